--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 
 test: $(READY)
 	$(BIN)/ruff check driftshed tests benchmarks
+	$(BIN)/ruff format --check driftshed tests benchmarks
 	$(BIN)/python -m pytest -q
 
 $(READY): requirements.txt requirements-test.txt pyproject.toml
--- a/benchmarks/capacity_flat.py
+++ b/benchmarks/capacity_flat.py
@@ -109,8 +109,10 @@
         before = {what: self.totals(what, pings) for what in ("bytes", "messages")}
         act()
         self.run(seconds)
-        return {what: {name: value - before[what].get(name, 0) for name, value in self.totals(what, pings).items()}
-                for what in before}  # fmt: skip
+        return {
+            what: {name: value - before[what].get(name, 0) for name, value in self.totals(what, pings).items()}
+            for what in before
+        }
 
 
 def up(count: int, seed: int = SEED) -> Metered:
@@ -130,9 +132,13 @@
 def joining(count: int, seed: int = SEED) -> dict[str, float]:
     """All start at once until each has read all: bytes and messages of each, and watches held."""
     fleet = up(count, seed)
-    return {"join_bytes": mean(fleet.totals().values()), "join_messages": mean(fleet.totals("messages").values()),
-            "watches": mean(fleet.watches()), "store_watches": sum(fleet.watches()),
-            "store_join_bytes": sum(fleet.totals().values())}  # fmt: skip
+    return {
+        "join_bytes": mean(fleet.totals().values()),
+        "join_messages": mean(fleet.totals("messages").values()),
+        "watches": mean(fleet.watches()),
+        "store_watches": sum(fleet.watches()),
+        "store_join_bytes": sum(fleet.totals().values()),
+    }
 
 
 def standing(count: int, seed: int = SEED) -> dict[str, float]:
@@ -160,7 +166,8 @@
     """A change of policy as it stands in a record: the text of a document of so many operations."""
     rows = "".join(
         f'[[operations]]\nname = "operation-{k:02}"\nobjective = 0.5\ntimeout = 1.5\nvalue = 1\neffect = "idempotent"\n'
-        for k in range(operations))  # fmt: skip
+        for k in range(operations)
+    )
     text = f'ahead = 0.3\n{rows}[settings]\nzones = "east,west"\nproxies = 350\nqueue-cap = 4000\ndrain-grace = 5.5\n'
     change = next_change(None, policies.read(text), "operator", "measured")
     return {"version": 1, "digest": change.digest, "text": change.text, "who": change.who, "why": change.why}
@@ -173,10 +180,12 @@
     body = policy_body()
     told = fleet.grown(lambda: fleet.propose(fleet.names[-1], "policy", body, patience=10.0), 40.0)
     proposer, others = fleet.names[-1], fleet.names[1:-1]  # the first sweeps
-    return {"change_bytes": mean(told["bytes"][name] for name in others),
-            "change_messages": mean(told["messages"][name] for name in others),
-            "proposer_change_bytes": told["bytes"][proposer],
-            "store_change_bytes": sum(told["bytes"].values())}  # fmt: skip
+    return {
+        "change_bytes": mean(told["bytes"][name] for name in others),
+        "change_messages": mean(told["messages"][name] for name in others),
+        "proposer_change_bytes": told["bytes"][proposer],
+        "store_change_bytes": sum(told["bytes"].values()),
+    }
 
 
 def _stored(fleet: Metered, last: int):
@@ -196,8 +205,12 @@
 
 
 # Of a record later than epoch `last`: it stands, all words do, it is settled, and all have read so.
-PHASES = {"open": lambda fleet, last: _stored(fleet, last) is not None, "words": _spoken,
-          "settled": lambda fleet, last: _stored(fleet, last).state == "settled", "read": _read}  # fmt: skip
+PHASES = {
+    "open": lambda fleet, last: _stored(fleet, last) is not None,
+    "words": _spoken,
+    "settled": lambda fleet, last: _stored(fleet, last).state == "settled",
+    "read": _read,
+}
 
 
 def chatter(count: int, seed: int = SEED) -> dict[str, float]:
@@ -233,8 +246,11 @@
             while not holds(fleet, last):
                 fleet.run(0.002)
             found[what].append(fleet.loop.now - began)
-    return {f"{what}_{name}": round(pick(each), 3) for what, each in found.items()
-            for name, pick in (("p50", median), ("worst", max))}  # fmt: skip
+    return {
+        f"{what}_{name}": round(pick(each), 3)
+        for what, each in found.items()
+        for name, pick in (("p50", median), ("worst", max))
+    }
 
 
 def refused_at() -> int:
@@ -273,10 +289,13 @@
         fleet.until(lambda: fleet.know_all(), 60.0)
         took = fleet.loop.now - began
         after = fleet.totals()
-        return {"seconds": round(took, 2), "survivor_bytes": mean(after[n] - before[n] for n in fleet.names[lost:])
-                if rest else 0, "each_peak": max(map(lambda m: peak([m]), fleet.meters.values())),
-                "store_peak": peak(fleet.meters.values()),
-                "store_bytes": sum(after[n] - before[n] for n in fleet.names)}  # fmt: skip
+        return {
+            "seconds": round(took, 2),
+            "survivor_bytes": mean(after[n] - before[n] for n in fleet.names[lost:]) if rest else 0,
+            "each_peak": max(map(lambda m: peak([m]), fleet.meters.values())),
+            "store_peak": peak(fleet.meters.values()),
+            "store_bytes": sum(after[n] - before[n] for n in fleet.names),
+        }
 
     def kill() -> None:
         for name in gone:
@@ -303,8 +322,15 @@
 
     def __init__(self, count: int) -> None:
         self.count, self.fleet = count, Metered()
-        self.client = RosterClient(Seat(self.fleet.loop, "crowd"), [STORE], 60.0, Random(1), lambda state: None,
-                                   lambda event: None, self.fleet.network.dial("127.0.9.1"))  # fmt: skip
+        self.client = RosterClient(
+            Seat(self.fleet.loop, "crowd"),
+            [STORE],
+            60.0,
+            Random(1),
+            lambda state: None,
+            lambda event: None,
+            self.fleet.network.dial("127.0.9.1"),
+        )
         self.fleet.run(0.5)
         parts = ROOT.split("/")[1:]
         folders = ["/" + "/".join(parts[: k + 1]) for k in range(len(parts))]
@@ -331,8 +357,13 @@
         seen = -1
         while seen != (seen := self.fleet.meters[name].total()) or self.fleet.loop.now < 5:
             self.fleet.run(3.0)
-        return {"one_join_bytes": seen, "knows": len(agent.roll.nodes), "whole": agent.members.whole,
-                "records_whole": agent.records.whole, "holds": agent.holds()}  # fmt: skip
+        return {
+            "one_join_bytes": seen,
+            "knows": len(agent.roll.nodes),
+            "whole": agent.members.whole,
+            "records_whole": agent.records.whole,
+            "holds": agent.holds(),
+        }
 
     def cost(self, request) -> int:
         name = self.fleet.names[-1]
@@ -357,8 +388,11 @@
 def one_among(count: int, seed: int = SEED) -> dict[str, float]:
     crowd = Crowd(count)
     joined = crowd.join()
-    return joined | {"one_word_bytes": crowd.word(), "one_death_bytes": crowd.death(),
-                     "one_restart_bytes": crowd.restart()}  # fmt: skip
+    return joined | {
+        "one_word_bytes": crowd.word(),
+        "one_death_bytes": crowd.death(),
+        "one_restart_bytes": crowd.restart(),
+    }
 
 
 def listing(servers: int, seed: int = SEED) -> dict[str, float]:
@@ -376,14 +410,27 @@
     crowd.ask([Create(*node(k), EPHEMERAL) for k in range(servers)])
     meter = Meter(lambda: crowd.fleet.loop.now)
     seat = Seat(crowd.fleet.loop, "follower")
-    RosterFollower(seat, [STORE], root, ("east",), ("standard",), Membership(4.0, 60.0), told.append,
-                   lambda event, **more: None, 1, 4.0, crowd.fleet.network.dial("127.0.9.9", meter.tap))  # fmt: skip
+    RosterFollower(
+        seat,
+        [STORE],
+        root,
+        ("east",),
+        ("standard",),
+        Membership(4.0, 60.0),
+        told.append,
+        lambda event, **more: None,
+        1,
+        4.0,
+        crowd.fleet.network.dial("127.0.9.9", meter.tap),
+    )
     crowd.fleet.run(10.0)
     first = meter.total()
     crowd.ask([Delete(node(0)[0])])
     crowd.ask([Create(*node(0, epoch=2), EPHEMERAL)])
     crowd.fleet.run(6.0)
-    return {"list_bytes": first, "list_knows": len(told[0].servers) if told else 0, "list_whole": told[0].whole
-            if told else False, "replaced_bytes": meter.total() - first}  # fmt: skip
-
-
+    return {
+        "list_bytes": first,
+        "list_knows": len(told[0].servers) if told else 0,
+        "list_whole": told[0].whole if told else False,
+        "replaced_bytes": meter.total() - first,
+    }
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -58,53 +58,181 @@
 LIMITS = (
     Limit("a record names all supervisors", "refusal:names", "supervisors", 64, "names", TIERS),
     Limit("a policy names all routes, as operations", "refusal:operations", "routes", 16, "operations", "missing"),
-    Limit("a policy's text fits into its record once settled", "document.document_bytes", "routes", 0, "bytes",
-          "missing"),
-    Limit("all servers' nodes are read by one session", "refusal:servers", "servers", 4096, "requests",
-          "`driftshed/roster/follow.py`"),
-    Limit("a change that needs every word is void in at most 1 of 20", "void", "supervisors", VOID_MOST, "chance",
-          "`driftshed/policy/change.py`, by a short `despite_after` alone: see below"),
-    Limit("each says something of itself once a second", "chatter.chatter_bytes_a_second", "supervisors", NETWORK,
-          "bytes/s", TIERS),
+    Limit(
+        "a policy's text fits into its record once settled", "document.document_bytes", "routes", 0, "bytes", "missing"
+    ),
+    Limit(
+        "all servers' nodes are read by one session",
+        "refusal:servers",
+        "servers",
+        4096,
+        "requests",
+        "`driftshed/roster/follow.py`",
+    ),
+    Limit(
+        "a change that needs every word is void in at most 1 of 20",
+        "void",
+        "supervisors",
+        VOID_MOST,
+        "chance",
+        "`driftshed/policy/change.py`, by a short `despite_after` alone: see below",
+    ),
+    Limit(
+        "each says something of itself once a second",
+        "chatter.chatter_bytes_a_second",
+        "supervisors",
+        NETWORK,
+        "bytes/s",
+        TIERS,
+    ),
     Limit("reading these words", "roll.cores_of_words", "supervisors", CORES, "of a core", TIERS),
-    Limit("all join at once, over a minute", "joining.join_bytes", "supervisors", NETWORK, "bytes/s", TIERS,
-          1 / A_MINUTE),
-    Limit("restarts of an ordinary day", "one.one_restart_bytes", "supervisors", NETWORK, "bytes/s", TIERS,
-          DESIGN["restarts_a_day"] / A_DAY),
-    Limit("changes of an ordinary day, each by every word", "change.change_bytes", "supervisors", NETWORK, "bytes/s",
-          TIERS, DESIGN["changes_a_day"] / A_DAY),
-    Limit("a change until all have read it, worst", "phases.read_worst", "supervisors", DESIGN["everywhere_within"],
-          "s", TIERS),
-    Limit("in tiers, a change until all have read it, worst", "tier_regions.tier_read_worst", "regions",
-          DESIGN["everywhere_within"], "s", TIERS),
-    Limit("in tiers, at rest, who speaks for a region", "tier_members.tier_rest_region", "members", NETWORK, "bytes/s",
-          TIERS),
-    Limit("in tiers, changes of the fullest hour, who speaks for a region", "tier_members.tier_change_region",
-          "changes_a_day", NETWORK, "bytes/s", "missing", PEAK / A_DAY),
-    Limit("in tiers, one topic's changes one after the other in the fullest hour", "tier_regions.tier_read_p50",
-          "changes_a_day", 1.0, "of the hour", "missing", PEAK / A_DAY),
+    Limit(
+        "all join at once, over a minute", "joining.join_bytes", "supervisors", NETWORK, "bytes/s", TIERS, 1 / A_MINUTE
+    ),
+    Limit(
+        "restarts of an ordinary day",
+        "one.one_restart_bytes",
+        "supervisors",
+        NETWORK,
+        "bytes/s",
+        TIERS,
+        DESIGN["restarts_a_day"] / A_DAY,
+    ),
+    Limit(
+        "changes of an ordinary day, each by every word",
+        "change.change_bytes",
+        "supervisors",
+        NETWORK,
+        "bytes/s",
+        TIERS,
+        DESIGN["changes_a_day"] / A_DAY,
+    ),
+    Limit(
+        "a change until all have read it, worst",
+        "phases.read_worst",
+        "supervisors",
+        DESIGN["everywhere_within"],
+        "s",
+        TIERS,
+    ),
+    Limit(
+        "in tiers, a change until all have read it, worst",
+        "tier_regions.tier_read_worst",
+        "regions",
+        DESIGN["everywhere_within"],
+        "s",
+        TIERS,
+    ),
+    Limit(
+        "in tiers, at rest, who speaks for a region",
+        "tier_members.tier_rest_region",
+        "members",
+        NETWORK,
+        "bytes/s",
+        TIERS,
+    ),
+    Limit(
+        "in tiers, changes of the fullest hour, who speaks for a region",
+        "tier_members.tier_change_region",
+        "changes_a_day",
+        NETWORK,
+        "bytes/s",
+        "missing",
+        PEAK / A_DAY,
+    ),
+    Limit(
+        "in tiers, one topic's changes one after the other in the fullest hour",
+        "tier_regions.tier_read_p50",
+        "changes_a_day",
+        1.0,
+        "of the hour",
+        "missing",
+        PEAK / A_DAY,
+    ),
     Limit("the roll of a flat fleet", "roll_memory.roll_memory", "supervisors", MEMORY, "bytes", TIERS),
-    Limit("first list of all servers, over a minute", "listing.list_bytes", "servers", NETWORK, "bytes/s",
-          "missing", 1 / A_MINUTE),
-    Limit("replaced servers of an ordinary day", "listing.replaced_bytes", "servers", NETWORK, "bytes/s",
-          "missing", DESIGN["restarts_a_day"] / A_DAY),
+    Limit(
+        "first list of all servers, over a minute",
+        "listing.list_bytes",
+        "servers",
+        NETWORK,
+        "bytes/s",
+        "missing",
+        1 / A_MINUTE,
+    ),
+    Limit(
+        "replaced servers of an ordinary day",
+        "listing.replaced_bytes",
+        "servers",
+        NETWORK,
+        "bytes/s",
+        "missing",
+        DESIGN["restarts_a_day"] / A_DAY,
+    ),
     Limit("the module at 350 proxies", "module_servers.cores", "servers", CORES, "of a core", "missing"),
-    Limit("the module's longest batch at 350 proxies", "module_servers.batch_ms", "servers", LEASE_PAUSE / 0.5,
-          "of 0.5 s", "missing"),
-    Limit("the module's memory at 350 proxies", "module_memory.module_memory", "servers", MEMORY, "bytes",
-          "`driftshed/brain.py`"),
-    Limit("the module's memory at 400 servers", "module_held.module_memory", "proxies", MEMORY, "bytes",
-          "`driftshed/brain.py`"),
-    Limit("the whole process at 64 proxies", "process_servers.process_cores", "servers", CORES, "of a core",
-          "`driftshed/supervisor/service.py`"),
-    Limit("the whole process's memory at 64 proxies", "process_servers.process_memory", "servers", MEMORY, "bytes",
-          "`driftshed/supervisor/service.py`"),
-    Limit("the core, 64 proxies on one table of all servers", "core_servers.core_memory", "servers", MEMORY, "bytes",
-          PARTS_OF_TABLE),
-    Limit("changes to 64 proxies, a server replaced each 4 s", "fan_servers.fan_bytes_a_second", "servers", NETWORK,
-          "bytes/s", PARTS_OF_TABLE),
-    Limit("changes to proxies, 118 servers", "fan_proxies.fan_bytes_a_second", "proxies", NETWORK, "bytes/s",
-          "`driftshed/core/hub.py`, deltas"),
+    Limit(
+        "the module's longest batch at 350 proxies",
+        "module_servers.batch_ms",
+        "servers",
+        LEASE_PAUSE / 0.5,
+        "of 0.5 s",
+        "missing",
+    ),
+    Limit(
+        "the module's memory at 350 proxies",
+        "module_memory.module_memory",
+        "servers",
+        MEMORY,
+        "bytes",
+        "`driftshed/brain.py`",
+    ),
+    Limit(
+        "the module's memory at 400 servers",
+        "module_held.module_memory",
+        "proxies",
+        MEMORY,
+        "bytes",
+        "`driftshed/brain.py`",
+    ),
+    Limit(
+        "the whole process at 64 proxies",
+        "process_servers.process_cores",
+        "servers",
+        CORES,
+        "of a core",
+        "`driftshed/supervisor/service.py`",
+    ),
+    Limit(
+        "the whole process's memory at 64 proxies",
+        "process_servers.process_memory",
+        "servers",
+        MEMORY,
+        "bytes",
+        "`driftshed/supervisor/service.py`",
+    ),
+    Limit(
+        "the core, 64 proxies on one table of all servers",
+        "core_servers.core_memory",
+        "servers",
+        MEMORY,
+        "bytes",
+        PARTS_OF_TABLE,
+    ),
+    Limit(
+        "changes to 64 proxies, a server replaced each 4 s",
+        "fan_servers.fan_bytes_a_second",
+        "servers",
+        NETWORK,
+        "bytes/s",
+        PARTS_OF_TABLE,
+    ),
+    Limit(
+        "changes to proxies, 118 servers",
+        "fan_proxies.fan_bytes_a_second",
+        "proxies",
+        NETWORK,
+        "bytes/s",
+        "`driftshed/core/hub.py`, deltas",
+    ),
 )
 
 
@@ -190,11 +318,20 @@
             continue
         first, of = f"{each.first:,} {limit.by.replace('_', ' ')}", f"{each.part:.2%}"
         at_design = f"{DESIGN[limit.by]:,}" if limit.key.startswith("refusal:") else short(each.at_design, limit.unit)
-        rows.append([limit.what, f"{short(limit.budget, limit.unit)}"
-                     + ("" if limit.unit.startswith("bytes") else f" {limit.unit}"), first, of, at_design,
-                     limit.carries])  # fmt: skip
-    return table(["what", "budget", "first above it at", "of the design", "at the design, as it is", "carried by"],
-                 rows) + f"\nWithin their budgets at the design's size: {'; '.join(within)}.\n"  # fmt: skip
+        rows.append(
+            [
+                limit.what,
+                f"{short(limit.budget, limit.unit)}" + ("" if limit.unit.startswith("bytes") else f" {limit.unit}"),
+                first,
+                of,
+                at_design,
+                limit.carries,
+            ]
+        )
+    return (
+        table(["what", "budget", "first above it at", "of the design", "at the design, as it is", "carried by"], rows)
+        + f"\nWithin their budgets at the design's size: {'; '.join(within)}.\n"
+    )
 
 
 BESIDE = ("one.one_word_bytes", "one.one_death_bytes")  # told by `standing` as well, and a test holds them together
@@ -216,18 +353,33 @@
         if low == high:
             spread = "" if row["kind"] == "count" or row["rounds"] == 1 else spread
         key = row["what"], f"{row['by']}, {sizes[0]:,} to {sizes[-1]:,}", row["time"], row["key"].partition(".")[0]
-        grouped.setdefault(key, []).append([
-            f"{_short(row['values'][0], unit)}, {_short(row['values'][-1], unit)}{spread}", row["form"],
-            f"{row['held_out_error']:+.1%}", _short(row["at_design"], unit) + checked(results, row["key"]),
-        ])  # fmt: skip
+        grouped.setdefault(key, []).append(
+            [
+                f"{_short(row['values'][0], unit)}, {_short(row['values'][-1], unit)}{spread}",
+                row["form"],
+                f"{row['held_out_error']:+.1%}",
+                _short(row["at_design"], unit) + checked(results, row["key"]),
+            ]
+        )
     rows = []
     for (what, by, time, part), found in grouped.items():
         columns = ["; ".join(column) for column in zip(*found, strict=True)]
         if len({each[1] for each in found}) == 1:
             columns[1] = found[0][1]
         rows.append([what, by, *columns, time, f"`{part}`"])
-    return table(["figure", "by", "at the least and largest size (spread there)", "grows as", "held out: off by",
-                  "at the design", "time", "part"], rows)  # fmt: skip
+    return table(
+        [
+            "figure",
+            "by",
+            "at the least and largest size (spread there)",
+            "grows as",
+            "held out: off by",
+            "at the design",
+            "time",
+            "part",
+        ],
+        rows,
+    )
 
 
 def _short(value: float, unit: str) -> str:
@@ -249,25 +401,46 @@
         region = at(row, CELLS_A_REGION) * limit.factor * share
         whole = at(row, DESIGN["regions"]) * limit.factor * share
         unit = limit.unit
-        rows.append([limit.what, _short(limit.budget, unit),
-                     *(_short(each, unit) for each in (member, member + region, member + region + whole)),
-                     f"{(member + region + whole) / limit.budget:.1%}"])  # fmt: skip
-    return table(["what", "budget", f"one of {CELL}", f"and of {CELLS_A_REGION}: speaks for its cell",
-                  f"and of {DESIGN['regions']}: speaks for its region", "of the budget"], rows)  # fmt: skip
+        rows.append(
+            [
+                limit.what,
+                _short(limit.budget, unit),
+                *(_short(each, unit) for each in (member, member + region, member + region + whole)),
+                f"{(member + region + whole) / limit.budget:.1%}",
+            ]
+        )
+    return table(
+        [
+            "what",
+            "budget",
+            f"one of {CELL}",
+            f"and of {CELLS_A_REGION}: speaks for its cell",
+            f"and of {DESIGN['regions']}: speaks for its region",
+            "of the budget",
+        ],
+        rows,
+    )
 
 
 def in_tiers(results: dict) -> str:
     """What a supervisor of a fleet in tiers reads and writes at rest, by the size of each tier."""
     rows = []
     told = {"member": "a member", "cell": "who speaks for a cell", "region": "who speaks for a region"}
-    figures = [(f"tier_{what}_{who}", f"{name}, {text}") for what, name in (("rest", "at rest"), ("change", "a change"))
-               for who, text in told.items()]  # fmt: skip
+    figures = [
+        (f"tier_{what}_{who}", f"{name}, {text}")
+        for what, name in (("rest", "at rest"), ("change", "a change"))
+        for who, text in told.items()
+    ]
     for key, what in [*figures, ("tier_watches", "the most watches of a session")]:
         cells = []
         for by in ("members", "cells", "regions"):
             row = row_of(results, f"tier_{by}.{key}")
-            cells.append("-" if row is None else f"{_short(row['values'][0], row['unit'])}, "
-                         f"{_short(row['values'][-1], row['unit'])} ({row['form']}, {row['held_out_error']:+.1%})")
+            cells.append(
+                "-"
+                if row is None
+                else f"{_short(row['values'][0], row['unit'])}, "
+                f"{_short(row['values'][-1], row['unit'])} ({row['form']}, {row['held_out_error']:+.1%})"
+            )
         rows.append([what, *cells])
     head = []
     for by in ("members", "cells", "regions"):
@@ -277,7 +450,7 @@
 
 
 def checked(results: dict, key: str) -> str:
-    """" (as measured at the design's own size)", where it was."""
+    """ " (as measured at the design's own size)", where it was."""
     for each in results.get("checked", {"rows": []})["rows"]:
         if each["key"] == key:
             return f" (measured: {_short(each['value'], each['unit'])})"
@@ -287,9 +460,13 @@
 def voids(results: dict) -> str:
     rows = [row for row in results["rows"] if row["key"].startswith("void.")]
     sizes = rows[0]["sizes"]
-    text = table(["away at each restart", *(f"{size:,}" for size in sizes)],
-                 [[f"{outage:g} s", *(f"{value:.1%}" for value in row["values"])]
-                  for outage, row in zip(OUTAGES, rows, strict=True)])  # fmt: skip
+    text = table(
+        ["away at each restart", *(f"{size:,}" for size in sizes)],
+        [
+            [f"{outage:g} s", *(f"{value:.1%}" for value in row["values"])]
+            for outage, row in zip(OUTAGES, rows, strict=True)
+        ],
+    )
     tier = row_of(results, "tier_regions.tier_read_worst")
     if tier is None:
         return text
@@ -302,7 +479,7 @@
         f"moment. From a proposal to everywhere where somebody has just died, by `despite_after` (computed: a time-out "
         f"of {SESSION:g} s, the wait, the worst change in tiers, {AHEAD:g} s ahead): {said}. The patience must be as "
         "long.\n"
-    )  # fmt: skip
+    )
 
 
 def day(results: dict) -> str:
@@ -343,19 +520,40 @@
     for each in results["bursts"]["rows"]:
         kinds = [what for what in ("lost", "back") if f"{what}_seconds" in each]
         columns = [f"{each['lost']} of {each['of']} {'die; ' if len(kinds) == 2 else ''}come back at once"]
-        for key, unit in (("seconds", "s"), ("survivor_bytes", "bytes"), ("each_peak", "bytes/s"),
-                          ("store_peak", "bytes/s"), ("store_bytes", "bytes")):  # fmt: skip
-            columns.append("-" if key == "survivor_bytes" and each["lost"] == each["of"] else
-                           "; ".join(_short(each[f"{what}_{key}"], unit) for what in kinds))  # fmt: skip
+        for key, unit in (
+            ("seconds", "s"),
+            ("survivor_bytes", "bytes"),
+            ("each_peak", "bytes/s"),
+            ("store_peak", "bytes/s"),
+            ("store_bytes", "bytes"),
+        ):
+            columns.append(
+                "-"
+                if key == "survivor_bytes" and each["lost"] == each["of"]
+                else "; ".join(_short(each[f"{what}_{key}"], unit) for what in kinds)
+            )
         rows.append(columns)
-    return table(["what", "until all know", "each other one reads and writes", "the fullest second of one",
-                  "of the store", "of the store in all"], rows)  # fmt: skip
+    return table(
+        [
+            "what",
+            "until all know",
+            "each other one reads and writes",
+            "the fullest second of one",
+            "of the store",
+            "of the store in all",
+        ],
+        rows,
+    )
 
 
 def phases(results: dict) -> str:
     rows = []
-    for what, told in (("open", "the record stands"), ("words", "all words do"), ("settled", "it is settled"),
-                       ("read", "all have read so")):  # fmt: skip
+    for what, told in (
+        ("open", "the record stands"),
+        ("words", "all words do"),
+        ("settled", "it is settled"),
+        ("read", "all have read so"),
+    ):
         p50, worst = row_of(results, f"phases.{what}_p50"), row_of(results, f"phases.{what}_worst")
         if p50 is not None and worst is not None:
             rows.append([told, *(f"{a:.3f}, {b:.3f}" for a, b in zip(p50["values"], worst["values"], strict=True))])
@@ -367,9 +565,13 @@
     for by in ("members", "cells", "regions"):
         p50, worst = row_of(results, f"tier_{by}.tier_read_p50"), row_of(results, f"tier_{by}.tier_read_worst")
         if p50 is not None:
-            rows.append([p50["what"].partition("(")[2].rstrip(")") + f", by {by}: {', '.join(map(str, p50['sizes']))}",
-                         ", ".join(f"{value:.2f}" for value in p50["values"]),
-                         ", ".join(f"{value:.2f}" for value in worst["values"])])  # fmt: skip
+            rows.append(
+                [
+                    p50["what"].partition("(")[2].rstrip(")") + f", by {by}: {', '.join(map(str, p50['sizes']))}",
+                    ", ".join(f"{value:.2f}" for value in p50["values"]),
+                    ", ".join(f"{value:.2f}" for value in worst["values"]),
+                ]
+            )
     text += "\nIn tiers, all having read that it is settled:\n\n" + table(["fleet", "p50, s", "worst, s"], rows)
     tier = row_of(results, "tier_regions.tier_read_p50")
     if tier is not None:
@@ -377,8 +579,10 @@
         for what, seconds in (("flat, 64 supervisors", at(row, 64)), ("in tiers, 9 regions", at(tier, 9))):
             share = (seconds + AHEAD) * DESIGN["changes_a_day"] / A_DAY
             said.append(f"{what}, {seconds:.2f} s: {share:.0%} of the day, {PEAK * share:.0%} of the fullest hour")
-        text += (f"\nOne topic takes one change after the other. {DESIGN['changes_a_day']:,} a day, {AHEAD:g} s ahead, "
-                 f"the fullest hour with {PEAK} times the mean (assumed), computed: {'; '.join(said)}.\n")
+        text += (
+            f"\nOne topic takes one change after the other. {DESIGN['changes_a_day']:,} a day, {AHEAD:g} s ahead, "
+            f"the fullest hour with {PEAK} times the mean (assumed), computed: {'; '.join(said)}.\n"
+        )
     return text
 
 
@@ -393,19 +597,32 @@
         of_all, core = rest.get("all") or {}, (rest.get("processes") or {}).get("core_share_each_supervisor")
         first = [each for each in row.get("first_change") or [] if each.get("settled")]
         after = changes.get("worst_s") or {}
-        rows.append([
-            f"{kind}, {size:,}, time-out {row['timeout']:g} s",
-            f"{_pick(joining.get('ready_after_s'), 'worst')} s", short(_pick(joining.get("bytes_of_all_joining"), "p50",
-                                                                             None), "bytes"),
-            f"{short(_pick(of_all.get('bytes_a_second'), 'p50', None), 'bytes/s')}, "
-            f"{short(_pick(of_all.get('bytes_a_second'), 'worst', None), 'bytes/s')}",
-            "-" if core is None else f"{core:.2%}" if isinstance(core, float) else str(core),
-            f"{changes.get('settled', len(first))} of {changes.get('changes', len(row.get('first_change') or []))}",
-            "-" if not after else f"{_pick(after, 'p50')}, {_pick(after, 'worst')}",
-            row.get("partial", "") or "-",
-        ])  # fmt: skip
-    return table(["supervisors", "all ready, worst", "joining, each", "at rest, p50, worst", "of a core, each",
-                  "changes settled", "until everywhere: p50, worst of them", "partial"], rows)  # fmt: skip
+        rows.append(
+            [
+                f"{kind}, {size:,}, time-out {row['timeout']:g} s",
+                f"{_pick(joining.get('ready_after_s'), 'worst')} s",
+                short(_pick(joining.get("bytes_of_all_joining"), "p50", None), "bytes"),
+                f"{short(_pick(of_all.get('bytes_a_second'), 'p50', None), 'bytes/s')}, "
+                f"{short(_pick(of_all.get('bytes_a_second'), 'worst', None), 'bytes/s')}",
+                "-" if core is None else f"{core:.2%}" if isinstance(core, float) else str(core),
+                f"{changes.get('settled', len(first))} of {changes.get('changes', len(row.get('first_change') or []))}",
+                "-" if not after else f"{_pick(after, 'p50')}, {_pick(after, 'worst')}",
+                row.get("partial", "") or "-",
+            ]
+        )
+    return table(
+        [
+            "supervisors",
+            "all ready, worst",
+            "joining, each",
+            "at rest, p50, worst",
+            "of a core, each",
+            "changes settled",
+            "until everywhere: p50, worst of them",
+            "partial",
+        ],
+        rows,
+    )
 
 
 def _pick(found: dict | None, name: str, otherwise: object = "-") -> object:
@@ -442,21 +659,45 @@
     rows = []
     for each in ENSEMBLES:
         resting = each.cells * (CELL * member + cell - member) + each.whole * DESIGN["regions"] * (region - cell)
-        joined = (each.cells * at(join, CELL) + each.regions * at(join, CELLS_A_REGION)
-                  + each.whole * at(join, DESIGN["regions"]))  # fmt: skip
+        joined = (
+            each.cells * at(join, CELL)
+            + each.regions * at(join, CELLS_A_REGION)
+            + each.whole * at(join, DESIGN["regions"])
+        )
         count = sessions(each)
         a_machine = f"{short(resting / 3, 'bytes/s')}, {short(resting / 2, 'bytes/s')}"
-        rows.append([f"{each.name} ({each.count}, of 3 machines each)", f"{count:,}",
-                     f"{count / 3:,.0f}, {count / 2:,.0f}", short(resting, "bytes/s"), a_machine,
-                     short(joined, "bytes")])  # fmt: skip
+        rows.append(
+            [
+                f"{each.name} ({each.count}, of 3 machines each)",
+                f"{count:,}",
+                f"{count / 3:,.0f}, {count / 2:,.0f}",
+                short(resting, "bytes/s"),
+                a_machine,
+                short(joined, "bytes"),
+            ]
+        )
     ensembles = sum(each.count for each in ENSEMBLES if each.cells)
     servers, ping = DESIGN["servers"] / ensembles, row_of(results, "standing.rest_bytes_a_second")
     text = ""
     if ping is not None:
-        text = (f"\nWhere the servers' own nodes lie on the same six (assumed even; computed): {servers:,.0f} sessions "
-                f"more on each, {servers / 3:,.0f} a machine, {short(servers * at(ping, 8), 'bytes/s')} at rest.\n")
-    return table(["ensemble", "sessions", "a machine; with one gone", "bytes at rest (time-out 2 s)",
-                  "a machine; with one gone", "all of them join at once"], rows) + text  # fmt: skip
+        text = (
+            f"\nWhere the servers' own nodes lie on the same six (assumed even; computed): {servers:,.0f} sessions "
+            f"more on each, {servers / 3:,.0f} a machine, {short(servers * at(ping, 8), 'bytes/s')} at rest.\n"
+        )
+    return (
+        table(
+            [
+                "ensemble",
+                "sessions",
+                "a machine; with one gone",
+                "bytes at rest (time-out 2 s)",
+                "a machine; with one gone",
+                "all of them join at once",
+            ],
+            rows,
+        )
+        + text
+    )
 
 
 def single(results: dict) -> str:
@@ -468,18 +709,26 @@
     servers = found["servers"]["runs"][-1]
     lines.append(f"- {found['names']} names in a record: refused (`coordination/agreement.py`).\n")
     lines.append(f"- {found['operations']} operations in a policy, or at a supervisor: refused.\n")
-    lines.append(f"- A policy's text of {found['text_refused_open']:,} bytes: its record is refused. From "
-                 f"{found['text_refused_settled']:,} bytes on (64 names) it is refused when it is proposed: a settled "
-                 "record holds it twice. A policy may have 32,768.\n")  # fmt: skip
-    lines.append(f"- One that joins {crowd['size']:,} reads {crowd['knows']:,} names, 4,096 at a time (`roster/"
-                 f"session.py`), and {'holds' if crowd['holds'] else 'never holds'} a lease.\n")  # fmt: skip
+    lines.append(
+        f"- A policy's text of {found['text_refused_open']:,} bytes: its record is refused. From "
+        f"{found['text_refused_settled']:,} bytes on (64 names) it is refused when it is proposed: a settled "
+        "record holds it twice. A policy may have 32,768.\n"
+    )
+    lines.append(
+        f"- One that joins {crowd['size']:,} reads {crowd['knows']:,} names, 4,096 at a time (`roster/"
+        f"session.py`), and {'holds' if crowd['holds'] else 'never holds'} a lease.\n"
+    )
     first, least = found["servers"]["first"], min(found["servers"]["runs"], key=lambda run: run["size"])
     if first is None:
-        lines.append(f"- Lists of {least['size']:,} and {servers['size']:,} servers' nodes are read to their ends, "
-                     f"{short(servers['list_bytes'], 'bytes')} the latter.\n")  # fmt: skip
+        lines.append(
+            f"- Lists of {least['size']:,} and {servers['size']:,} servers' nodes are read to their ends, "
+            f"{short(servers['list_bytes'], 'bytes')} the latter.\n"
+        )
     else:
-        lines.append(f"- A list of {first:,} servers' nodes or more is told as whole and is not: at "
-                     f"{servers['size']:,} it has {servers['list_knows']:,}.\n")  # fmt: skip
+        lines.append(
+            f"- A list of {first:,} servers' nodes or more is told as whole and is not: at "
+            f"{servers['size']:,} it has {servers['list_knows']:,}.\n"
+        )
     return "".join(lines)
 
 
@@ -490,12 +739,22 @@
 
 
 BLOCKS = {
-    "missing first": missing_first, "refusals": single, "cells": cells, "in tiers": in_tiers,
-    "voids": voids, "day": day, "bursts": bursts, "sockets": sockets, "phases": phases, "machines": machines,
+    "missing first": missing_first,
+    "refusals": single,
+    "cells": cells,
+    "in tiers": in_tiers,
+    "voids": voids,
+    "day": day,
+    "bursts": bursts,
+    "sockets": sockets,
+    "phases": phases,
+    "machines": machines,
     "not run": not_run,
-    **{role: (lambda results, role=role: role_table(results, role))
-       for role in ("supervisor", "store", "proxy", "command line")},
-}  # fmt: skip
+    **{
+        role: (lambda results, role=role: role_table(results, role))
+        for role in ("supervisor", "store", "proxy", "command line")
+    },
+}
 
 
 def filled(page: str, results: dict) -> str:
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -78,8 +78,9 @@
     brain, hub = Brain(facts, 1, 100.0), Hub(facts, "0123456789ab")
     records = [hub.join(p, p % 2, None, 0)[0] for p in range(proxies)]
     now = 100.0
-    entries = tuple(face.Entry(module_events.name(n), n % 2, n // 2 % 2, None, 0, face.READY, 1.0)
-                    for n in range(servers))  # fmt: skip
+    entries = tuple(
+        face.Entry(module_events.name(n), n % 2, n // 2 % 2, None, 0, face.READY, 1.0) for n in range(servers)
+    )
     hub.apply(brain.handle(now, [face.Listing(1, face.CACHED, entries)]), now)
     for first in range(0, proxies, 64):
         now += 0.02
@@ -88,8 +89,11 @@
     hub.release(1e9)
     bodies = [hub.news(record) or b"" for record in records]
     lines = [sum(key[0] == "line" for key in record.held) for record in records]
-    return {"dealt_lines": sum(lines) / proxies, "dealt_bytes": sum(map(len, bodies)) / proxies,
-            "tables": len(hub.tables)}  # fmt: skip
+    return {
+        "dealt_lines": sum(lines) / proxies,
+        "dealt_bytes": sum(map(len, bodies)) / proxies,
+        "tables": len(hub.tables),
+    }
 
 
 def fanout(servers: int, proxies: int, seconds: int = 30) -> dict:
@@ -279,13 +283,17 @@
     rig = Rig()
     try:
         empty = rig.memory(rig.store)
-        clients = [RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
-                   for k in range(count)]  # fmt: skip
+        clients = [
+            RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
+            for k in range(count)
+        ]
         rig.until(lambda: all(each.session.state is State.ON for each in clients), 60.0)
         cpu, then = rig.cpu(rig.store), time.monotonic()
         rig.loop.run(rig.loop.clock() + seconds)
-        return {"store_rest_cores": (rig.cpu(rig.store) - cpu) / (time.monotonic() - then),
-                "store_rest_memory": (rig.memory(rig.store) - empty) * 2**20}  # fmt: skip
+        return {
+            "store_rest_cores": (rig.cpu(rig.store) - cpu) / (time.monotonic() - then),
+            "store_rest_memory": (rig.memory(rig.store) - empty) * 2**20,
+        }
     finally:
         rig.close()
 
@@ -339,8 +347,17 @@
 
     def record(size: int) -> agreement.Record:
         text = (one * (size // len(one) + 1))[:size]
-        return agreement.proposed(None, "policy", 1, "s0000", "s0000~0123456789ab#1", policy_body() | {"text": text},
-                                  tuple(names(64)), 64, 10.0)  # fmt: skip
+        return agreement.proposed(
+            None,
+            "policy",
+            1,
+            "s0000",
+            "s0000~0123456789ab#1",
+            policy_body() | {"text": text},
+            tuple(names(64)),
+            64,
+            10.0,
+        )
 
     def fails(step, size: int) -> bool:
         try:
@@ -371,11 +388,25 @@
     """`driftshed fleet --supervisor`: what the API answers, what is printed, and the printing."""
     found = a_roll(count)
     rows = [row._asdict() for row in found.rows(600.0)]
-    view = plain({"by": "s0000", "incarnation": 1, "standing": "listed", "lease": 1.8, "order": found.order(),
-                  "members": rows, "records": [], "written": 3, "not_believed": 0})  # fmt: skip
+    view = plain(
+        {
+            "by": "s0000",
+            "incarnation": 1,
+            "standing": "listed",
+            "lease": 1.8,
+            "order": found.order(),
+            "members": rows,
+            "records": [],
+            "written": 3,
+            "not_believed": 0,
+        }
+    )
     body, text = msgspec.json.encode(view), _printed(lambda: command._print(view))
-    return {"fleet_api_bytes": len(body), "fleet_text_bytes": len(text),
-            "fleet_print_ms": _timed(lambda: _printed(lambda: command._print(view))) * 1e3}  # fmt: skip
+    return {
+        "fleet_api_bytes": len(body),
+        "fleet_text_bytes": len(text),
+        "fleet_print_ms": _timed(lambda: _printed(lambda: command._print(view))) * 1e3,
+    }
 
 
 def _printed(call) -> str:
@@ -391,10 +422,22 @@
     """`driftshed policy show`: what the API answers and what is printed, with one open change that waits for half."""
     body = policy_body()
     half = names(count)[: count // 2]
-    view = plain({"by": "s0000", "runs": 1, "holds_still": False, "cannot": "", "known": True, "standing": body,
-                  "open": {"epoch": 2, "by": "s0000", "missing": half, "words": []}, "next": None,
-                  "last_proposal": None, "everywhere_within": 2.6,
-                  "members": {name: ["living", 1] for name in names(count)}, "history": []})  # fmt: skip
+    view = plain(
+        {
+            "by": "s0000",
+            "runs": 1,
+            "holds_still": False,
+            "cannot": "",
+            "known": True,
+            "standing": body,
+            "open": {"epoch": 2, "by": "s0000", "missing": half, "words": []},
+            "next": None,
+            "last_proposal": None,
+            "everywhere_within": 2.6,
+            "members": {name: ["living", 1] for name in names(count)},
+            "history": [],
+        }
+    )
     kept, policy_command.ask = policy_command.ask, lambda *_: view
     try:
         text = CliRunner().invoke(policy_command.show, ["--supervisor", "127.0.0.1:7001"]).output
@@ -405,9 +448,28 @@
 
 def main() -> None:
     what, sizes = sys.argv[1], [int(each) for each in sys.argv[2:]]
-    measures = {each.__name__: each for each in (
-        module, module_memory, dealt, fanout, table, core, roll, roll_memory, proxy_tables, store_sessions, store_nodes,
-        store_fleet, store_rest, supervisor, document, fleet_view, policy_view)}  # fmt: skip
+    measures = {
+        each.__name__: each
+        for each in (
+            module,
+            module_memory,
+            dealt,
+            fanout,
+            table,
+            core,
+            roll,
+            roll_memory,
+            proxy_tables,
+            store_sessions,
+            store_nodes,
+            store_fleet,
+            store_rest,
+            supervisor,
+            document,
+            fleet_view,
+            policy_view,
+        )
+    }
     if what not in measures:
         raise SystemExit(f"{what}: no such measure; there is {', '.join(measures)}")
     print(json.dumps(measures[what](*sizes)))
--- a/benchmarks/capacity_tiers.py
+++ b/benchmarks/capacity_tiers.py
@@ -34,8 +34,12 @@
         self.loop, random = VirtualLoop(), Random(f"tiered {seed}")
         self.network = Network(self.loop, seed, lambda here, there: Way(delay, delay / 2))
         self.tiers = read_tiers(tiers_file(regions, cells, members))
-        self.stores = [StoreServer(Seat(self.loop, f"store {k}"), (f"127.0.2.{1 + k}", 2181), MemoryLog([]), seed + k,
-                                   self.network.listen) for k in range(regions + 1)]  # fmt: skip
+        self.stores = [
+            StoreServer(
+                Seat(self.loop, f"store {k}"), (f"127.0.2.{1 + k}", 2181), MemoryLog([]), seed + k, self.network.listen
+            )
+            for k in range(regions + 1)
+        ]
         for k in range(regions + 1):
             self.network.zones[f"127.0.2.{1 + k}"] = f"store {k}"
         self.agents: dict[str, Tiered] = {}
@@ -46,9 +50,14 @@
             self.network.zones[host] = host
             seat = DriftingSeat(self.loop, name, 1 + DRIFT / 2 * random.uniform(-1, 1))
             meter = self.meters[name] = Meter(lambda: self.loop.now)
-            agent = self.agents[name] = Tiered(seat, self.tiers, Member(name, f"{host}:7000", "test"), TIMEOUT,
-                                               random.getrandbits(30), dial=self.network.dial(host, meter.tap)
-                                               )  # fmt: skip
+            agent = self.agents[name] = Tiered(
+                seat,
+                self.tiers,
+                Member(name, f"{host}:7000", "test"),
+                TIMEOUT,
+                random.getrandbits(30),
+                dial=self.network.dial(host, meter.tap),
+            )
             agent.judge = lambda record: (True, "")
 
     def run(self, seconds: float) -> None:
@@ -79,8 +88,9 @@
         proposal = proposer.propose("policy", body, (), 1, 10.0)
 
         def read() -> bool:
-            records = [agent.topics["policy"].record if "policy" in agent.topics else None
-                       for agent in self.agents.values()]  # fmt: skip
+            records = [
+                agent.topics["policy"].record if "policy" in agent.topics else None for agent in self.agents.values()
+            ]
             return all(r is not None and r.state == "settled" and r.token == proposal.token for r in records)
 
         return self.until(read, 30.0)
@@ -94,8 +104,9 @@
     fleet.run(5)
     seconds = 10.0
     rest = fleet.grown(seconds)
-    watches = [len(held.data) + len(held.children) for store in fleet.stores for held in
-               store.store.tree.sessions.values()]  # fmt: skip
+    watches = [
+        len(held.data) + len(held.children) for store in fleet.stores for held in store.store.tree.sessions.values()
+    ]
     before, began, took = fleet.bytes(), fleet.loop.now, []
     for number in range(1, CHANGES + 1):
         took.append(fleet.change(number))
@@ -114,8 +125,9 @@
         "tier_change_cell": mean(changed[name] for name in speakers - heads or speakers),
         "tier_change_region": mean(changed[name] for name in heads),
         "tier_watches": max(watches),
-        "tier_read_p50": round(median(took), 3), "tier_read_worst": round(max(took), 3),
-    }  # fmt: skip
+        "tier_read_p50": round(median(took), 3),
+        "tier_read_worst": round(max(took), 3),
+    }
 
 
 def by_members(size: int, seed: int = 1) -> dict[str, float]:
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -32,15 +32,24 @@
         while proposal.state != "settled":
             fleet.run(0.001)
         own.append(fleet.loop.now - began)
-        while any(agent.topics["policy"].record.standing.epoch < proposal.epoch
-                  if agent.topics["policy"].record.standing else True for agent in fleet.all):  # fmt: skip
+        while any(
+            agent.topics["policy"].record.standing.epoch < proposal.epoch
+            if agent.topics["policy"].record.standing
+            else True
+            for agent in fleet.all
+        ):
             fleet.run(0.001)
         all_of_them.append(fleet.loop.now - began)
         writes.append(fleet.store.store.tree.zxid - before)
         fleet.run(0.5)
-    return {"supervisors": supervisors, "store_ms": delay * 1e3, "settled_ms": round(median(own) * 1e3, 1),
-            "seen_by_all_ms": round(median(all_of_them) * 1e3, 1), "worst_ms": round(max(all_of_them) * 1e3, 1),
-            "writes": median(writes)}  # fmt: skip
+    return {
+        "supervisors": supervisors,
+        "store_ms": delay * 1e3,
+        "settled_ms": round(median(own) * 1e3, 1),
+        "seen_by_all_ms": round(median(all_of_them) * 1e3, 1),
+        "worst_ms": round(max(all_of_them) * 1e3, 1),
+        "writes": median(writes),
+    }
 
 
 def death(supervisors: int, rounds: int = 20) -> dict:
@@ -72,10 +81,12 @@
                 fleet.propose(NAMES[k % supervisors], "policy", k)
             fleet.run(1.0)
         cpu = cpu_now() - cpu
-        figures |= {f"{what}_writes_a_second": round((fleet.store.store.tree.zxid - before) / seconds, 3),
-                    f"{what}_messages_a_second": round((fleet.network.messages - messages) / seconds, 1),
-                    f"{what}_bytes_a_second": round((traffic(fleet) - came) / seconds),
-                    f"{what}_cores_an_agent": round(cpu / seconds / supervisors, 5)}  # fmt: skip
+        figures |= {
+            f"{what}_writes_a_second": round((fleet.store.store.tree.zxid - before) / seconds, 3),
+            f"{what}_messages_a_second": round((fleet.network.messages - messages) / seconds, 1),
+            f"{what}_bytes_a_second": round((traffic(fleet) - came) / seconds),
+            f"{what}_cores_an_agent": round(cpu / seconds / supervisors, 5),
+        }
     return figures
 
 
@@ -102,8 +113,13 @@
     began = time.monotonic()
     with Pool() as pool:
         rows = pool.map(one_history, range(count), chunksize=20)
-    return {"histories": count, "broken": [said for said, _, _ in rows if said], "events": sum(e for _, e, _ in rows),
-            "records_written": sum(w for _, _, w in rows), "seconds": round(time.monotonic() - began, 1)}  # fmt: skip
+    return {
+        "histories": count,
+        "broken": [said for said, _, _ in rows if said],
+        "events": sum(e for _, e, _ in rows),
+        "records_written": sum(w for _, _, w in rows),
+        "seconds": round(time.monotonic() - began, 1),
+    }
 
 
 def models() -> None:
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -22,10 +22,18 @@
 
 def make_facts(proxies: int) -> face.StartFacts:
     given = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
-    given |= {"proxies": proxies, "lines_per_second": 20.0 * proxies, "queue_cap": 40.0 * proxies,
-              "least_connections": 130.0, "listed_weights": "rough", "kinds": ("large", "small")}  # fmt: skip
-    given["operations"] = tuple(read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
-                                for name, value in (("status", 1), ("history", 2), ("credit", 3)))  # fmt: skip
+    given |= {
+        "proxies": proxies,
+        "lines_per_second": 20.0 * proxies,
+        "queue_cap": 40.0 * proxies,
+        "least_connections": 130.0,
+        "listed_weights": "rough",
+        "kinds": ("large", "small"),
+    }
+    given["operations"] = tuple(
+        read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
+        for name, value in (("status", 1), ("history", 2), ("credit", 3))
+    )
     return start_facts(given)
 
 
@@ -74,9 +82,14 @@
             joins = max(joins, spent)
         else:
             took, count, worst = took + spent, count + len(events), max(worst, spent)
-    return {"size": f"{servers}x{proxies}", "us_an_event": round(took / count * 1e6, 2), "worst_batch_ms":
-            round(worst * 1e3, 1), "first_list_ms": round(starting * 1e3, 1), "worst_join_batch_ms":
-            round(joins * 1e3, 1), "cores": round(took / seconds, 4)}  # fmt: skip
+    return {
+        "size": f"{servers}x{proxies}",
+        "us_an_event": round(took / count * 1e6, 2),
+        "worst_batch_ms": round(worst * 1e3, 1),
+        "first_list_ms": round(starting * 1e3, 1),
+        "worst_join_batch_ms": round(joins * 1e3, 1),
+        "cores": round(took / seconds, 4),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -85,8 +85,13 @@
         return None
     ranked = sorted(values)
     at = lambda share: ranked[min(len(ranked) - 1, int(share * len(ranked)))]  # noqa: E731
-    return {"n": len(ranked), "mean": round(mean(ranked), places), "p50": round(at(0.5), places),
-            "p95": round(at(0.95), places), "worst": round(ranked[-1], places)}  # fmt: skip
+    return {
+        "n": len(ranked),
+        "mean": round(mean(ranked), places),
+        "p50": round(at(0.5), places),
+        "p95": round(at(0.95), places),
+        "worst": round(ranked[-1], places),
+    }
 
 
 ROLES = {1: "member", 2: "cell's speaker", 3: "region's speaker"}
@@ -108,10 +113,36 @@
     def __init__(self, name: str, address: str, tiers: Path, folder: Path, timeout: float) -> None:
         super().__init__(folder / f"real-{name}.log")
         self.name, self.address = name, address
-        facts = ["--operation", "lookup:objective=0.5,timeout=1.5,value=1,effect=idempotent", "--zones", "east,west",
-                 "--proxies", "4", "--drain-grace", "2.5", "--lines-per-second", "2000"]  # fmt: skip
-        self._launch(["supervise", "--listen", address, "--log-level", "warning", "--tiers", str(tiers), "--name", name,
-                      "--fleet-timeout", str(timeout), "--policy-folder", str(folder / "keeps" / name), *facts])
+        facts = [
+            "--operation",
+            "lookup:objective=0.5,timeout=1.5,value=1,effect=idempotent",
+            "--zones",
+            "east,west",
+            "--proxies",
+            "4",
+            "--drain-grace",
+            "2.5",
+            "--lines-per-second",
+            "2000",
+        ]
+        self._launch(
+            [
+                "supervise",
+                "--listen",
+                address,
+                "--log-level",
+                "warning",
+                "--tiers",
+                str(tiers),
+                "--name",
+                name,
+                "--fleet-timeout",
+                str(timeout),
+                "--policy-folder",
+                str(folder / "keeps" / name),
+                *facts,
+            ]
+        )
 
     def view(self) -> dict:
         """What it says of its policy."""
@@ -137,8 +168,13 @@
         paths = filter(None, [str(ROOT), os.environ.get("PYTHONPATH")])
         environment = os.environ | {"PYTHONPATH": os.pathsep.join(paths)}
         with self.logs.open("ab") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "benchmarks.hollow", "worker", str(file)],
-                                            stdin=theirs, stdout=log, stderr=log, env=environment)  # fmt: skip
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "benchmarks.hollow", "worker", str(file)],
+                stdin=theirs,
+                stdout=log,
+                stderr=log,
+                env=environment,
+            )
         theirs.close()
         self.stream = Stream(loop, ours, 64 << 20)
         self.stream.on_data = self._data
@@ -175,12 +211,30 @@
 class Run:
     """A fleet over sockets from its start to its end. Use it as a context: it ends all processes that it started."""
 
-    def __init__(self, kind: str, size: int, seed: int, regions: int = 1, cells: int = 1, processes: int = 2,
-                 longest: float = LONGEST, real: int = 0, timeout: float = TIMEOUT, between: float = BETWEEN,
-                 look_every: float = LOOK_EVERY, patience: float = PATIENCE) -> None:  # fmt: skip
+    def __init__(
+        self,
+        kind: str,
+        size: int,
+        seed: int,
+        regions: int = 1,
+        cells: int = 1,
+        processes: int = 2,
+        longest: float = LONGEST,
+        real: int = 0,
+        timeout: float = TIMEOUT,
+        between: float = BETWEEN,
+        look_every: float = LOOK_EVERY,
+        patience: float = PATIENCE,
+    ) -> None:
         self.between, self.look_every, self.patience = between, look_every, patience
         self.timeout, self.kind, self.size, self.seed, self.regions, self.cells = (
-            timeout, kind, size, seed, regions, cells)  # fmt: skip
+            timeout,
+            kind,
+            size,
+            seed,
+            regions,
+            cells,
+        )
         self.random, self.loop, self.names = Random(f"hollow {seed}"), Loop(), names_of(size)
         self.hollow = self.names[real:]  # the others are whole supervisors, processes of their own
         self.ends_at = time.monotonic() + longest
@@ -224,8 +278,17 @@
             hosts, expected = [(f"{host}.10", 2181)], self.names
         for k in range(self.processes):
             names = self.hollow[k :: self.processes]
-            plan = Plan(str(self.folder / "keeps"), self.random.getrandbits(48), timeout, self.kind != "agents",
-                        self.look_every, tiers, hosts, "/driftshed", expected)  # fmt: skip
+            plan = Plan(
+                str(self.folder / "keeps"),
+                self.random.getrandbits(48),
+                timeout,
+                self.kind != "agents",
+                self.look_every,
+                tiers,
+                hosts,
+                "/driftshed",
+                expected,
+            )
             worker = WorkerProcess(self.loop, plan, names, self.folder, k)
             self.workers.append(worker)
             self.where |= dict.fromkeys(names, worker)
@@ -305,14 +368,17 @@
         while (seen := self.look())["ready"] < len(self.hollow):
             if self.loop.clock() > ends_at:
                 errors = errors_of(self.ask_all("report"))["errors"][:2]
-                raise Overdue(f"{seen['ready']} of {len(self.hollow)} became ready within {ready_within:g} s of the "
-                              f"last start; {errors}")  # fmt: skip
+                raise Overdue(
+                    f"{seen['ready']} of {len(self.hollow)} became ready within {ready_within:g} s of the "
+                    f"last start; {errors}"
+                )
             self.pass_time(0.1)
         all_ready = self.loop.clock() - began
         reports = self.ask_all("report")
         rows = [Row(*row) for report in reports for row in report["rows"]]
         return {
-            "spread_over_s": within, "all_ready_s": round(all_ready, 2),
+            "spread_over_s": within,
+            "all_ready_s": round(all_ready, 2),
             "ready_after_s": spread([row.ready_after for row in rows if row.ready_after is not None]),
             "bytes_until_ready": spread([row.ready_bytes for row in rows], 0),
             "bytes_until_read": spread([row.read_bytes for row in rows], 0),
@@ -320,7 +386,7 @@
             "bytes_of_all_joining": spread([row.out + row.came for row in rows], 0),
             "messages_of_all_joining": spread([row.sent + row.got for row in rows], 0),
             "late_s": self._late(reports),
-        }  # fmt: skip
+        }
 
     @staticmethod
     def _late(reports: list[dict]) -> list[float]:
@@ -357,7 +423,7 @@
                 "roll": spread([b.roll for _, b, _ in mine], 0),
                 "records": spread([b.records for _, b, _ in mine], 0),
                 "core_share_in_calls": spread([(b.cpu - a.cpu) / s for a, b, s in mine], 6),
-            }  # fmt: skip
+            }
         cpu = [b["cpu"] - a["cpu"] for a, b in zip(before, after, strict=True)]
         living = [len(report["rows"]) for report in after]
         found["processes"] = {
@@ -365,8 +431,9 @@
             "core_share_a_process": spread([c / took for c in cpu]),
             "rss_mb_a_process": spread([report["rss"] / 2**20 for report in after], 1),
             "rss_mb_each_supervisor": round(sum(report["rss"] for report in after) / 2**20 / max(1, sum(living)), 3),
-            "supervisors_a_process": spread(living, 0), "late_s": self._late(after),
-        }  # fmt: skip
+            "supervisors_a_process": spread(living, 0),
+            "late_s": self._late(after),
+        }
         sums: dict[str, list[int]] = {}
         for sign, reports in ((-1, before), (1, after)):
             for report in reports:
@@ -376,15 +443,24 @@
                     row[1] += sign * (sent + got)
                     row[2] += opened if sign > 0 else 0
         found["stores"] = [
-            {"store": Path(store.logs).stem.removeprefix("store-"), "sessions": sums.get(store.address, [0, 0, 0])[2],
-             "bytes_a_second": round(sums.get(store.address, [0, 0, 0])[0] / took),
-             "messages_a_second": round(sums.get(store.address, [0, 0, 0])[1] / took, 1),
-             "core_share": round((b - a) / took, 4), "rss_mb": round(rss(store.process.pid) / 2**20, 1)}
+            {
+                "store": Path(store.logs).stem.removeprefix("store-"),
+                "sessions": sums.get(store.address, [0, 0, 0])[2],
+                "bytes_a_second": round(sums.get(store.address, [0, 0, 0])[0] / took),
+                "messages_a_second": round(sums.get(store.address, [0, 0, 0])[1] / took, 1),
+                "core_share": round((b - a) / took, 4),
+                "rss_mb": round(rss(store.process.pid) / 2**20, 1),
+            }
             for store, a, b in zip(self.stores, stores, later, strict=True)
-        ]  # fmt: skip
-        found["real"] = [{"name": each.name, "rss_mb": round(rss(each.process.pid) / 2**20, 1),
-                          "core_share": round((processor_time(each.process.pid) - before_it) / took, 4)}
-                         for each, before_it in zip(self.real, real, strict=True)]  # fmt: skip
+        ]
+        found["real"] = [
+            {
+                "name": each.name,
+                "rss_mb": round(rss(each.process.pid) / 2**20, 1),
+                "core_share": round((processor_time(each.process.pid) - before_it) / took, 4),
+            }
+            for each, before_it in zip(self.real, real, strict=True)
+        ]
         alone = [each.process.pid for each in (*self.stores, *self.real)]
         memory = sum(report["rss"] for report in after) + sum(map(rss, alone))
         found["rss_mb_of_all"] = round(memory / 2**20)
@@ -444,11 +520,20 @@
         answers = self.ask_all("times", version=version, asked=asked, until=until)
         stayed = [at for answer in answers for at in answer["stayed"]]
         missing = [name for answer in answers for name in answer["missing"]]
-        return {"version": version, "by": by, "settled": True, "state": state, "everywhere": not missing,
-                "missing": missing[:10], "missing_n": len(missing), "after_s": spread(stayed),
-                "started_meanwhile_after_s": spread([at for answer in answers for at in answer["began"]]),
-                "real_run": [each.view()["runs"] for each in self.real], "tries": tries,
-                "refusals": refusals[-3:]}  # fmt: skip
+        return {
+            "version": version,
+            "by": by,
+            "settled": True,
+            "state": state,
+            "everywhere": not missing,
+            "missing": missing[:10],
+            "missing_n": len(missing),
+            "after_s": spread(stayed),
+            "started_meanwhile_after_s": spread([at for answer in answers for at in answer["began"]]),
+            "real_run": [each.view()["runs"] for each in self.real],
+            "tries": tries,
+            "refusals": refusals[-3:],
+        }
 
     def changes(self, count: int, into: list[dict] | None = None, first: int = 1) -> list[dict]:
         """So many changes one after the other; rows go into the list as they come."""
@@ -474,23 +559,46 @@
     rows = [Row(*row) for report in reports for row in report["rows"] if row[1] > 1]
     if not rows:
         return None
-    return {"read_bytes": spread([row.read_bytes for row in rows if row.read_bytes], 0),
-            "read_messages": spread([row.read_messages for row in rows if row.read_messages], 0),
-            "ready_after_s": spread([row.ready_after for row in rows if row.ready_after is not None])}  # fmt: skip
-
-
-def run(kind: str, size: int, seed: int, changes: int, rest: float, within: float, multiple: float,
-        longest: float = LONGEST, real: int = 0, between: float = BETWEEN,
-        look_every: float = LOOK_EVERY, timeout: float = TIMEOUT, patience: float = PATIENCE) -> dict:  # fmt: skip
+    return {
+        "read_bytes": spread([row.read_bytes for row in rows if row.read_bytes], 0),
+        "read_messages": spread([row.read_messages for row in rows if row.read_messages], 0),
+        "ready_after_s": spread([row.ready_after for row in rows if row.ready_after is not None]),
+    }
+
+
+def run(
+    kind: str,
+    size: int,
+    seed: int,
+    changes: int,
+    rest: float,
+    within: float,
+    multiple: float,
+    longest: float = LONGEST,
+    real: int = 0,
+    between: float = BETWEEN,
+    look_every: float = LOOK_EVERY,
+    timeout: float = TIMEOUT,
+    patience: float = PATIENCE,
+) -> dict:
     """One row: starts, rests, changes while supervisors restart. What did not come to its end is told in `partial`."""
     regions, cells, processes = LAYOUTS.get(size, (2, max(1, size // 100), 4)) if kind == "tiers" else (1, 1, 4)
-    row: dict = {"kind": kind, "size": size, "seed": seed, "regions": regions, "cells": regions * cells,
-                 "processes": processes, "command": f"benchmarks.hollow {kind} {size} --seed {seed}"
-                 f" --changes {changes} --rest {rest:g} --spread {within:g} --restarts {multiple:g} --real {real}"
-                 f" --between {between:g} --look-every {look_every:g} --timeout {timeout:g} --patience {patience:g}",
-                 "timeout": timeout, "patience": patience,
-                 "cores": len(os.sched_getaffinity(0)), "at": time.strftime("%Y-%m-%d %H:%M"),
-                 "folders": str(Path("/dev/shm"))}  # fmt: skip
+    row: dict = {
+        "kind": kind,
+        "size": size,
+        "seed": seed,
+        "regions": regions,
+        "cells": regions * cells,
+        "processes": processes,
+        "command": f"benchmarks.hollow {kind} {size} --seed {seed}"
+        f" --changes {changes} --rest {rest:g} --spread {within:g} --restarts {multiple:g} --real {real}"
+        f" --between {between:g} --look-every {look_every:g} --timeout {timeout:g} --patience {patience:g}",
+        "timeout": timeout,
+        "patience": patience,
+        "cores": len(os.sched_getaffinity(0)),
+        "at": time.strftime("%Y-%m-%d %H:%M"),
+        "folders": str(Path("/dev/shm")),
+    }
     began = time.monotonic()
     flags = longest, real, timeout, between, look_every, patience
     with Run(kind, size, seed, regions, cells, processes, *flags) as fleet:
@@ -530,10 +638,14 @@
     """Of all changes: how many settled, how long until everywhere."""
     settled = [row for row in rows if row["settled"]]
     after = [row["after_s"] for row in settled if row["after_s"]]
-    return {"changes": len(rows), "settled": len(settled), "everywhere": sum(row["everywhere"] for row in settled),
-            "tried_again": sum(len(row["tries"]) for row in rows),
-            "p50_s": spread([each["p50"] for each in after]),
-            "worst_s": spread([each["worst"] for each in after])}  # fmt: skip
+    return {
+        "changes": len(rows),
+        "settled": len(settled),
+        "everywhere": sum(row["everywhere"] for row in settled),
+        "tried_again": sum(len(row["tries"]) for row in rows),
+        "p50_s": spread([each["p50"] for each in after]),
+        "worst_s": spread([each["worst"] for each in after]),
+    }
 
 
 def put(row: dict, out: Path) -> None:
@@ -547,16 +659,23 @@
     """The rows, one a line."""
     for row in json.loads(out.read_text())["rows"] if out.is_file() else []:
         rest, joining = row.get("rest", {}).get("all", {}), row.get("joining", {})
-        print(json.dumps({
-            "kind": row["kind"], "size": row["size"], "seed": row["seed"],
-            "ready_worst_s": (joining.get("ready_after_s") or {}).get("worst"),
-            "join_bytes_p50": (joining.get("bytes_of_all_joining") or {}).get("p50"),
-            "rest_bytes_s": [rest["bytes_a_second"][key] for key in ("p50", "worst")] if rest else None,
-            "rest_messages_s": [rest["messages_a_second"][key] for key in ("p50", "worst")] if rest else None,
-            "watches": [rest["watches"][key] for key in ("p50", "worst")] if rest else None,
-            "core_share": row.get("rest", {}).get("processes", {}).get("core_share_each_supervisor"),
-            "changes": row.get("summary"), "partial": row.get("partial"),
-        }))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "kind": row["kind"],
+                    "size": row["size"],
+                    "seed": row["seed"],
+                    "ready_worst_s": (joining.get("ready_after_s") or {}).get("worst"),
+                    "join_bytes_p50": (joining.get("bytes_of_all_joining") or {}).get("p50"),
+                    "rest_bytes_s": [rest["bytes_a_second"][key] for key in ("p50", "worst")] if rest else None,
+                    "rest_messages_s": [rest["messages_a_second"][key] for key in ("p50", "worst")] if rest else None,
+                    "watches": [rest["watches"][key] for key in ("p50", "worst")] if rest else None,
+                    "core_share": row.get("rest", {}).get("processes", {}).get("core_share_each_supervisor"),
+                    "changes": row.get("summary"),
+                    "partial": row.get("partial"),
+                }
+            )
+        )
 
 
 def read_arguments(given: list[str]) -> argparse.Namespace:
@@ -600,9 +719,20 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # through the context: what was started is ended
     code = 0
     for size in asked.sizes:
-        row = run(asked.kind, size, asked.seed, asked.changes, asked.rest, asked.spread, asked.restarts,
-                  real=asked.real, between=asked.between, look_every=asked.look_every,
-                  timeout=asked.timeout, patience=asked.patience)  # fmt: skip
+        row = run(
+            asked.kind,
+            size,
+            asked.seed,
+            asked.changes,
+            asked.rest,
+            asked.spread,
+            asked.restarts,
+            real=asked.real,
+            between=asked.between,
+            look_every=asked.look_every,
+            timeout=asked.timeout,
+            patience=asked.patience,
+        )
         put(row, asked.out)
         print(json.dumps(row), flush=True)
         code = max(code, 1 if "partial" in row else 0)
--- a/benchmarks/hollow_worker.py
+++ b/benchmarks/hollow_worker.py
@@ -250,12 +250,24 @@
         self.seat = seat = Seat(worker.loop, lambda error: worker.failed(name, error))
         self.instance = HollowInstance(time.monotonic)
         number = int("".join(filter(str.isdigit, name)) or 0)
-        service = HollowService(self.instance, (f"127.{100 + number // 62500}.{number // 250 % 250}.{1 + number % 250}",
-                                                7000))  # fmt: skip
+        service = HollowService(
+            self.instance, (f"127.{100 + number // 62500}.{number // 250 % 250}.{1 + number % 250}", 7000)
+        )
         plan, tiers = worker.plan, {} if worker.tiers is None else {"tiers": worker.tiers}
         log = worker.logged
-        self.agent = take_part(seat, service, plan.hosts, plan.root, name, ",".join(plan.expected), plan.timeout, log,
-                               seed=worker.random.getrandbits(48), dial=seat.dial, **tiers)  # fmt: skip
+        self.agent = take_part(
+            seat,
+            service,
+            plan.hosts,
+            plan.root,
+            name,
+            ",".join(plan.expected),
+            plan.timeout,
+            log,
+            seed=worker.random.getrandbits(48),
+            dial=seat.dial,
+            **tiers,
+        )
         self.keep = self.part = None
         if plan.policy:
             self.keep = Keep(Path(plan.folder) / name, "fleet", name)
@@ -297,11 +309,26 @@
         watched = sum(len(paths) for agent in agents for paths in agent.client.session.watched.values())
         after = None if self.ready_at is None else round(self.ready_at - self.begun, 3)
         role = 1 + sum(getattr(self.agent, part, None) is not None for part in ("for_cell", "for_region"))
-        return Row(self.name, self.start, role, len(agents), sum(wire.out for wire in wires),
-                   sum(wire.came for wire in wires), sum(wire.sent for wire in wires), sum(wire.got for wire in wires),
-                   watched, sum(len(agent.topics) for agent in agents), sum(len(agent.roll.nodes) for agent in agents),
-                   self.runs(), round(self.seat.cpu, 6), after, self.ready_bytes, self.ready_messages,
-                   self.read_bytes, self.read_messages)  # fmt: skip
+        return Row(
+            self.name,
+            self.start,
+            role,
+            len(agents),
+            sum(wire.out for wire in wires),
+            sum(wire.came for wire in wires),
+            sum(wire.sent for wire in wires),
+            sum(wire.got for wire in wires),
+            watched,
+            sum(len(agent.topics) for agent in agents),
+            sum(len(agent.roll.nodes) for agent in agents),
+            self.runs(),
+            round(self.seat.cpu, 6),
+            after,
+            self.ready_bytes,
+            self.ready_messages,
+            self.read_bytes,
+            self.read_messages,
+        )
 
 
 class Worker:
@@ -408,8 +435,15 @@
         still = sum(bool(hollow.part and hollow.part.was_still) for hollow in self.living.values())
         fenced = sum(hollow.agent.chair.standing is Standing.FENCED for hollow in self.living.values())
         ready = sum(hollow.ready_at is not None for hollow in self.living.values())
-        answer = {"living": len(self.living), "fenced": fenced, "ready": ready, "stayed": len(stayed),
-                  "there": there, "still": still, "errors": len(self.errors)}  # fmt: skip
+        answer = {
+            "living": len(self.living),
+            "fenced": fenced,
+            "ready": ready,
+            "stayed": len(stayed),
+            "there": there,
+            "still": still,
+            "errors": len(self.errors),
+        }
         if by in self.living:
             mine = self.living[by].part.mine
             answer["mine"] = None if mine is None else [mine.state, mine.why]
@@ -438,12 +472,20 @@
                 stores[tuple(stream.peer)][4] += 1
         late, self.late = sorted(self.late), deque(maxlen=self.late.maxlen)
         times = os.times()
-        return {"at": time.monotonic(), "pid": os.getpid(), "cpu": times.user + times.system, "rss": rss(os.getpid()),
-                "most_rss": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
-                "late_p50": late[len(late) // 2] if late else 0.0, "late_worst": late[-1] if late else 0.0,
-                "stores": [[f"{host}:{port}", *sums] for (host, port), sums in sorted(stores.items())],
-                "rows": [hollow.row() for hollow in self.living.values()], "past": self.past_rows,
-                "logs": dict(self.logs), "errors": self.errors}  # fmt: skip
+        return {
+            "at": time.monotonic(),
+            "pid": os.getpid(),
+            "cpu": times.user + times.system,
+            "rss": rss(os.getpid()),
+            "most_rss": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
+            "late_p50": late[len(late) // 2] if late else 0.0,
+            "late_worst": late[-1] if late else 0.0,
+            "stores": [[f"{host}:{port}", *sums] for (host, port), sums in sorted(stores.items())],
+            "rows": [hollow.row() for hollow in self.living.values()],
+            "past": self.past_rows,
+            "logs": dict(self.logs),
+            "errors": self.errors,
+        }
 
     def do_end(self) -> dict:
         self.loop.soon(self.loop.stop)
--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -47,10 +47,18 @@
 def main() -> None:
     port, servers, proxies, pace = (int(each) for each in sys.argv[1:5])
     given = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
-    given |= {"proxies": proxies, "lines_per_second": float(pace), "queue_cap": 2.0 * pace, "report_period": 1.0,
-              "least_connections": 130.0, "listed_weights": "rough"}  # fmt: skip
-    given["operations"] = tuple(read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
-                                for name, value in (("status", 1), ("history", 2), ("credit", 3)))  # fmt: skip
+    given |= {
+        "proxies": proxies,
+        "lines_per_second": float(pace),
+        "queue_cap": 2.0 * pace,
+        "report_period": 1.0,
+        "least_connections": 130.0,
+        "listed_weights": "rough",
+    }
+    given["operations"] = tuple(
+        read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
+        for name, value in (("status", 1), ("history", 2), ("credit", 3))
+    )
     loop = Loop()
     brain = Plain if "plain" in sys.argv else Brain
     instance = Instance(start_facts(given), 1, f"run{os.getpid()}", loop.clock(), time.monotonic() - time.time(), brain)
@@ -73,9 +81,15 @@
     loop.run()
     if writer:
         writer.close()
-    figures = {name: {"count": h.get_total_count(), "p50_ms": h.get_value_at_percentile(50) / 1000,
-                      "p99_ms": h.get_value_at_percentile(99) / 1000, "most_ms": h.get_max_value() / 1000}
-               for name, h in (("whole", whole), ("own", own))}  # fmt: skip
+    figures = {
+        name: {
+            "count": h.get_total_count(),
+            "p50_ms": h.get_value_at_percentile(50) / 1000,
+            "p99_ms": h.get_value_at_percentile(99) / 1000,
+            "most_ms": h.get_max_value() / 1000,
+        }
+        for name, h in (("whole", whole), ("own", own))
+    }
     print(json.dumps({**figures, "most_waiting": instance.hub.channel.most_waiting, "cpu": time.process_time()}))
 
 
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,7 +1,7 @@
 """The laboratory itself: how fast virtual time runs at three sizes, and how alike the two clocks are.
 
-    python -m benchmarks.lab speed
-    python -m benchmarks.lab clocks --days 20
+python -m benchmarks.lab speed
+python -m benchmarks.lab clocks --days 20
 """
 
 from __future__ import annotations
@@ -64,19 +64,26 @@
         day = bare_day("tiny", 8.0)
         day.flags |= {"warm-within": 3.0}
         day.troubles = [
-            [Deploy(1.0, Whom(count=3), 1.0, 1, 3.0)], [Sick(2.0, 5.0, "hang")], [Crash(2.0, Whom(count=2), 1.5)],
-            [Kill(2.0, 1.0)], [Sick(1.0, 6.0, "errors", 0.8), Deploy(2.0, Whom(count=2), 1.0, 1, 3.0)],
-            [Rejoin(3.0)], [Surge(2.0, 3.0, 1.6)], [Sick(1.5, 5.0, "slow", 4.0, Whom(count=2))],
-        ][seed % 8]  # fmt: skip
+            [Deploy(1.0, Whom(count=3), 1.0, 1, 3.0)],
+            [Sick(2.0, 5.0, "hang")],
+            [Crash(2.0, Whom(count=2), 1.5)],
+            [Kill(2.0, 1.0)],
+            [Sick(1.0, 6.0, "errors", 0.8), Deploy(2.0, Whom(count=2), 1.0, 1, 3.0)],
+            [Rejoin(3.0)],
+            [Surge(2.0, 3.0, 1.6)],
+            [Sick(1.5, 5.0, "slow", 4.0, Whom(count=2))],
+        ][seed % 8]
         virtual, real = (run(check(day), seed, clock) for clock in ("virtual", "real"))
         apart = real.service - virtual.service
         most = max(most, abs(apart))
         rules = [{rule: row["broken"] for rule, row in outcome.rules.items()} for outcome in (virtual, real)]
         same = rules[0] == rules[1]
         alike += same and abs(apart) <= 0.03
-        click.echo(f"seed {seed:2} {type(day.troubles[0]).__name__:8} virtual {virtual.service:.4f} real "
-                   f"{real.service:.4f} apart {apart:+.4f}; rules {'equal' if same else 'differ'}; counts "
-                   f"{real.counts} (lag p99 {real.lag[0] * 1000:.1f} ms)")  # fmt: skip
+        click.echo(
+            f"seed {seed:2} {type(day.troubles[0]).__name__:8} virtual {virtual.service:.4f} real "
+            f"{real.service:.4f} apart {apart:+.4f}; rules {'equal' if same else 'differ'}; counts "
+            f"{real.counts} (lag p99 {real.lag[0] * 1000:.1f} ms)"
+        )
     click.echo(f"{alike} of {days} with equal rules and service within 0.03; most apart {most:.4f}")
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -47,8 +47,19 @@
             kinds[min(versions, 5)] += 1
             if said:
                 broken.append([seed, said])
-    print(json.dumps({"histories": count, "broken": broken[:10], "broken_in_all": len(broken), "settled": settled,
-                      "orders": orders, "ends": ends, "by_versions": dict(sorted(kinds.items()))}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "histories": count,
+                "broken": broken[:10],
+                "broken_in_all": len(broken),
+                "settled": settled,
+                "orders": orders,
+                "ends": ends,
+                "by_versions": dict(sorted(kinds.items())),
+            }
+        )
+    )
 
 
 def times(supervisors: int) -> dict:
@@ -69,9 +80,12 @@
     fleet.run(10)
     written = sum(agent.written for agent in fleet.agents.values()) - quiet
     shutil.rmtree(folder, ignore_errors=True)
-    return {"supervisors": supervisors, "everywhere_s": [round(median(took[1:]), 3), round(max(took[1:]), 3)],
-            "spread_ms": [round(1000 * median(spread[1:]), 1), round(1000 * max(spread[1:]), 1)],
-            "writes_at_rest_in_10_s": written}  # fmt: skip
+    return {
+        "supervisors": supervisors,
+        "everywhere_s": [round(median(took[1:]), 3), round(max(took[1:]), 3)],
+        "spread_ms": [round(1000 * median(spread[1:]), 1), round(1000 * max(spread[1:]), 1)],
+        "writes_at_rest_in_10_s": written,
+    }
 
 
 def killed(seeds: range) -> list:
--- a/benchmarks/proxies.py
+++ b/benchmarks/proxies.py
@@ -44,8 +44,15 @@
 
 
 def start_proxy(supervisor: str = "127.0.0.1:18119", *more: str) -> subprocess.Popen:
-    flags = {"listen": f"{PROXY[0]}:{PROXY[1]}", "number": "1", "zone": "east", "supervisor": supervisor,
-             "standing": f"{SERVER[0]}:{SERVER[1]}", "server-connections": "512", "connecting": "64"}  # fmt: skip
+    flags = {
+        "listen": f"{PROXY[0]}:{PROXY[1]}",
+        "number": "1",
+        "zone": "east",
+        "supervisor": supervisor,
+        "standing": f"{SERVER[0]}:{SERVER[1]}",
+        "server-connections": "512",
+        "connecting": "64",
+    }
     command = [part for name, value in flags.items() for part in (f"--{name}", value)]
     for name in ("status", "history", "credit", "look"):  # the first three are those of hosted.py
         if name != "look" or supervisor.endswith(":18119"):
@@ -78,8 +85,12 @@
 
     loop.at(due[0], lambda: ask(0))
     loop.run(due[-1] + 1.0)
-    return {"answered": done[0], "of": len(due), "p50_us": histogram.get_value_at_percentile(50),
-            "p99_us": histogram.get_value_at_percentile(99)}  # fmt: skip
+    return {
+        "answered": done[0],
+        "of": len(due),
+        "p50_us": histogram.get_value_at_percentile(50),
+        "p99_us": histogram.get_value_at_percentile(99),
+    }
 
 
 def closed(address: tuple[str, int], connections: int, span: float) -> float:
@@ -104,10 +115,14 @@
         for rate in rates:
             straight, used = load(SERVER, rate, SPAN), cpu(proxy)
             through = load(PROXY, rate, SPAN)
-            say(rate=rate, straight=straight, through=through,
+            say(
+                rate=rate,
+                straight=straight,
+                through=through,
                 added_p50_ms=(through["p50_us"] - straight["p50_us"]) / 1e3,
                 added_p99_ms=(through["p99_us"] - straight["p99_us"]) / 1e3,
-                cpu_us_an_invocation=round((cpu(proxy) - used) / through["of"] * 1e6))  # fmt: skip
+                cpu_us_an_invocation=round((cpu(proxy) - used) / through["of"] * 1e6),
+            )
     finally:
         for process in (field, proxy):
             process.terminate()
@@ -120,13 +135,22 @@
     proxy = start_proxy("127.0.0.1:18119", *["--shared"] * (proxies > 1))
     try:
         for connections in (1, 16, 256) if proxies == 1 else (256,):
-            children = [subprocess.Popen([sys.executable, __file__, "closed", str(max(1, connections // 4))],
-                                         stdout=subprocess.PIPE, text=True)
-                        for _ in range(min(4, connections))]  # fmt: skip
+            children = [
+                subprocess.Popen(
+                    [sys.executable, __file__, "closed", str(max(1, connections // 4))],
+                    stdout=subprocess.PIPE,
+                    text=True,
+                )
+                for _ in range(min(4, connections))
+            ]
             used, began = cpu(proxy), time.monotonic()
             rates = [float(child.communicate()[0]) for child in children]
-            say(proxies=proxies, connections=connections, answers_a_second=round(sum(rates)),
-                cores_of_one=round((cpu(proxy) - used) / (time.monotonic() - began), 2))  # fmt: skip
+            say(
+                proxies=proxies,
+                connections=connections,
+                answers_a_second=round(sum(rates)),
+                cores_of_one=round((cpu(proxy) - used) / (time.monotonic() - began), 2),
+            )
     finally:
         for process in (field, proxy, *others):
             process.terminate()
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -1,9 +1,9 @@
 """Membership by sessions: how soon a lapse is applied everywhere, a store's restart, a change's cost, many sessions.
 
-    python -m benchmarks.roster lapse
-    python -m benchmarks.roster restart
-    python -m benchmarks.roster storm
-    python -m benchmarks.roster sessions --count 5000
+python -m benchmarks.roster lapse
+python -m benchmarks.roster restart
+python -m benchmarks.roster storm
+python -m benchmarks.roster sessions --count 5000
 """
 
 from __future__ import annotations
@@ -44,10 +44,24 @@
         self.supervisor = None
         if supervisor:
             self.supervisor = self.run(
-                "supervise", "--listen", "127.0.0.1:0", "--roster-connect", f"127.0.0.1:{self.address[1]}",
-                "--operation", OPERATION, "--proxies", str(supervisor), "--lines-per-second", "5000", "--queue-cap",
-                "5000", "--lapse-hold", "1", "--session-timeout", "4",
-            )  # fmt: skip
+                "supervise",
+                "--listen",
+                "127.0.0.1:0",
+                "--roster-connect",
+                f"127.0.0.1:{self.address[1]}",
+                "--operation",
+                OPERATION,
+                "--proxies",
+                str(supervisor),
+                "--lines-per-second",
+                "5000",
+                "--queue-cap",
+                "5000",
+                "--lapse-hold",
+                "1",
+                "--session-timeout",
+                "4",
+            )
             self.supervised = self._where(self.supervisor)
 
     @staticmethod
@@ -75,8 +89,10 @@
             self.loop.turn(self.loop.clock() + 0.002)
 
     def announce(self, count: int, timeout: float = 4.0) -> list[Announcer]:
-        who = [Announced(f"127.1.{k // 250}.{1 + k % 250}:8000", "east", "standard", "ready", None, 0, 1.0, 0)
-               for k in range(count)]  # fmt: skip
+        who = [
+            Announced(f"127.1.{k // 250}.{1 + k % 250}:8000", "east", "standard", "ready", None, 0, 1.0, 0)
+            for k in range(count)
+        ]
         found = [Announcer(self.loop, [self.address], ROOT, node, timeout, k) for k, node in enumerate(who)]
         self.until(lambda: all(each.standing is Standing.LISTED for each in found))
         return found
@@ -117,8 +133,19 @@
     for number in range(proxies):
         tables = Tables(1, "two", "share", 0, [], Random(number))
         zone = ("east", "west")[number % 2]
-        followers.append(Follower(rig.loop, number, zone, 5.0, [rig.supervised], tables, Sums(["look"]), Random(number),
-                                  lambda event, **more: None))  # fmt: skip
+        followers.append(
+            Follower(
+                rig.loop,
+                number,
+                zone,
+                5.0,
+                [rig.supervised],
+                tables,
+                Sums(["look"]),
+                Random(number),
+                lambda event, **more: None,
+            )
+        )
 
     def held(name: str) -> list[Follower]:
         return [f for f in followers if any(key[0] == "line" and key[2] == name for key in f.tables.held)]
@@ -129,8 +156,14 @@
     for announcer in announcers[:times]:
         rig.loop.run(rig.loop.clock() + 1.0)  # the module spaces urgent rounds; one lapse is not to wait for another
         seen = {}
-        watcher = RosterClient(rig.loop, [rig.address], 4.0, Random(1), lambda state: None,
-                               lambda event, seen=seen: seen.setdefault("store", rig.loop.clock()))  # fmt: skip
+        watcher = RosterClient(
+            rig.loop,
+            [rig.address],
+            4.0,
+            Random(1),
+            lambda state: None,
+            lambda event, seen=seen: seen.setdefault("store", rig.loop.clock()),
+        )
         watcher.ask(GetData(announcer.path, True), lambda error, result, seen=seen: seen.setdefault("set", 1))
         rig.until(lambda seen=seen: "set" in seen)
         name, mine = announcer.node.server, len(held(announcer.node.server))
@@ -158,8 +191,18 @@
     rig = Rig()
     announcers = rig.announce(servers)
     heard = []
-    follower = RosterFollower(rig.loop, [rig.address], ROOT, ("east",), ("standard",), Membership(4.0, 60.0),
-                              heard.append, lambda event, **more: None, 1, 4.0)  # fmt: skip
+    follower = RosterFollower(
+        rig.loop,
+        [rig.address],
+        ROOT,
+        ("east",),
+        ("standard",),
+        Membership(4.0, 60.0),
+        heard.append,
+        lambda event, **more: None,
+        1,
+        4.0,
+    )
     rig.until(lambda: heard)
     rig.restart()
     began = time.monotonic()
@@ -168,9 +211,10 @@
     rig.until(lambda: all(each.session.state is State.ON for each in clients))
     whole = time.monotonic() - began
     rig.until(lambda: follower.membership.away_since is None)
-    click.echo(f"{servers} servers and the follower back {whole:.2f} s after the store listens again; the store took "
-               f"{rig.cpu(rig.store):.2f} s of a core, its start included; lists told since: {len(heard) - 1}"
-               )  # fmt: skip
+    click.echo(
+        f"{servers} servers and the follower back {whole:.2f} s after the store listens again; the store took "
+        f"{rig.cpu(rig.store):.2f} s of a core, its start included; lists told since: {len(heard) - 1}"
+    )
     rig.close()
 
 
@@ -182,8 +226,18 @@
     rig = Rig()
     announcers = rig.announce(servers)
     heard = []
-    follower = RosterFollower(rig.loop, [rig.address], ROOT, ("east",), ("standard",), Membership(4.0, 60.0),
-                              heard.append, lambda event, **more: None, 1, 4.0)  # fmt: skip
+    follower = RosterFollower(
+        rig.loop,
+        [rig.address],
+        ROOT,
+        ("east",),
+        ("standard",),
+        Membership(4.0, 60.0),
+        heard.append,
+        lambda event, **more: None,
+        1,
+        4.0,
+    )
     rig.until(lambda: heard)
     stream = follower.client.stream
     reads, came, went, cpu = follower.reads, stream.came, stream.went, rig.cpu(rig.store)
@@ -195,10 +249,12 @@
         announcer.say("ready", lambda done=done: done.append(1))
         wanted = len(heard) + 1
         rig.until(lambda done=done, wanted=wanted: done and len(heard) >= wanted)
-    click.echo(f"a change: {(follower.reads - reads) / changes:.2f} nodes read of {servers}, "
-               f"{(stream.came - came) / changes:.0f} bytes to the follower, {(stream.went - went) / changes:.0f} "
-               f"from it (the first list took {first}); {1000 * (rig.cpu(rig.store) - cpu) / changes:.2f} ms of the "
-               "store's core")  # fmt: skip
+    click.echo(
+        f"a change: {(follower.reads - reads) / changes:.2f} nodes read of {servers}, "
+        f"{(stream.came - came) / changes:.0f} bytes to the follower, {(stream.went - went) / changes:.0f} "
+        f"from it (the first list took {first}); {1000 * (rig.cpu(rig.store) - cpu) / changes:.2f} ms of the "
+        "store's core"
+    )
     rig.close()
 
 
@@ -212,15 +268,19 @@
     rig = Rig()
     empty = rig.memory(rig.store)
     began = time.monotonic()
-    clients = [RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
-               for k in range(count)]  # fmt: skip
+    clients = [
+        RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
+        for k in range(count)
+    ]
     rig.until(lambda: all(each.session.state is State.ON for each in clients), 120.0)
     opened = time.monotonic() - began
     cpu, then = rig.cpu(rig.store), time.monotonic()
     rig.loop.run(rig.loop.clock() + seconds)
     share = (rig.cpu(rig.store) - cpu) / (time.monotonic() - then)
-    click.echo(f"{count} sessions opened in {opened:.1f} s; {share:.3f} of a core while they ping, "
-               f"{(rig.memory(rig.store) - empty) * 1024 / count:.1f} kB each")  # fmt: skip
+    click.echo(
+        f"{count} sessions opened in {opened:.1f} s; {share:.3f} of a core while they ping, "
+        f"{(rig.memory(rig.store) - empty) * 1024 / count:.1f} kB each"
+    )
     rig.close()
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,8 +42,15 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.address = free.getsockname()
-        self.command = [sys.executable, str(Path(__file__).with_name("hosted.py")), str(self.address[1]), str(servers),
-                        str(proxies), str(pace), *more]  # fmt: skip
+        self.command = [
+            sys.executable,
+            str(Path(__file__).with_name("hosted.py")),
+            str(self.address[1]),
+            str(servers),
+            str(proxies),
+            str(pace),
+            *more,
+        ]
         self.start()
 
     def start(self) -> None:
@@ -177,8 +184,10 @@
             at, cpu = self.loop.clock(), self.supervisor.cpu()
             self.wait(1.0)
             worst = max(worst, (self.supervisor.cpu() - cpu) / (self.loop.clock() - at))
-        return {"cpu_a_second": round((self.supervisor.cpu() - first) / (self.loop.clock() - began), 4),
-                "worst_second": round(worst, 4)}  # fmt: skip
+        return {
+            "cpu_a_second": round((self.supervisor.cpu() - first) / (self.loop.clock() - began), 4),
+            "worst_second": round(worst, 4),
+        }
 
 
 def say(**figures) -> None:
@@ -209,9 +218,14 @@
     fleet.wait(60, lambda: all(proxy.usable_at for proxy in fleet.proxies))
     took = max(proxy.usable_at for proxy in fleet.proxies) - began
     lines = sum(3 + 1 + 3 + 3 + len(proxy.lines) for proxy in fleet.proxies)  # head, mark, uses, levels, lines
-    say(when="killed and rejoined", all_with_tables_s=round(took, 3), floor_s=round(lines / PACE, 3),
-        beyond_s=round(took - lines / PACE, 3), cpu_a_second=round((supervisor.cpu() - started) / took, 3),
-        memory_mb=round(supervisor.memory() / 1e6, 1))  # fmt: skip
+    say(
+        when="killed and rejoined",
+        all_with_tables_s=round(took, 3),
+        floor_s=round(lines / PACE, 3),
+        beyond_s=round(took - lines / PACE, 3),
+        cpu_a_second=round((supervisor.cpu() - started) / took, 3),
+        memory_mb=round(supervisor.memory() / 1e6, 1),
+    )
     fleet.measure(5, drain)
     say(when="orders to proxies, since then", **supervisor.end())
 
@@ -233,8 +247,13 @@
     fleet.push(False, [fleet.entry(0, "draining")])
     took = fleet.wait(60, lambda: fleet.told >= count)
     fleet.wait(0.3)
-    say(polls=count, bytes_a_poll=round((held - before) / count), idle_cpu_a_second=quiet["cpu_a_second"],
-        fan_out_s=round(took, 3), cpu_us_a_poll=round((supervisor.cpu() - cpu) / count * 1e6, 1))  # fmt: skip
+    say(
+        polls=count,
+        bytes_a_poll=round((held - before) / count),
+        idle_cpu_a_second=quiet["cpu_a_second"],
+        fan_out_s=round(took, 3),
+        cpu_us_a_poll=round((supervisor.cpu() - cpu) / count * 1e6, 1),
+    )
     supervisor.end()
 
 
@@ -248,8 +267,13 @@
     hub = Hub(start_facts(given), "0123456789")
     record, _ = hub.join(0, 0, None, 0)
     weights = Random(1)
-    hub.apply([*(face.SetLine(bytes([10, 0, 0, n, 31, 64]), weights.uniform(0.5, 2), 0) for n in range(118)),
-               face.UseTable(0, 0, 0)], 0.0)  # fmt: skip
+    hub.apply(
+        [
+            *(face.SetLine(bytes([10, 0, 0, n, 31, 64]), weights.uniform(0.5, 2), 0) for n in range(118)),
+            face.UseTable(0, 0, 0),
+        ],
+        0.0,
+    )
     hub.release(1e6)
     whole = len(hub.news(record))
     hub.ack(record, record.version, 1e6)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -62,10 +62,16 @@
     took = sorted(at - LOST_AT for at, _, _ in ordered.values())
     gaps = sorted(ordered[proxy][0] - max(left[proxy], LOST_AT) for proxy in ordered)
     return {
-        "how": how, "proxies": proxies, "lines_per_second": pace, "lost": len(lost), "under_orders": len(ordered),
-        "median_s": round(median(took), 2), "last_s": round(took[-1], 2),
-        "floor_s": round(max(lines.values()) / pace, 2), "gap_s": [round(median(gaps), 2), round(gaps[-1], 2)],
-    }  # fmt: skip
+        "how": how,
+        "proxies": proxies,
+        "lines_per_second": pace,
+        "lost": len(lost),
+        "under_orders": len(ordered),
+        "median_s": round(median(took), 2),
+        "last_s": round(took[-1], 2),
+        "floor_s": round(max(lines.values()) / pace, 2),
+        "gap_s": [round(median(gaps), 2), round(gaps[-1], 2)],
+    }
 
 
 def main() -> None:
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -25,15 +25,32 @@
 
 PROCESSES = 8
 SHAPES = ["2x2x3", "2x4x16", "4x4x4"]
-STAGES = ("asked", "to the regions", "to the cells", "members' words", "cells ready", "cells' words", "regions ready",
-          "regions' words", "settled", "down to the regions", "down to the cells", "switched")  # fmt: skip
+STAGES = (
+    "asked",
+    "to the regions",
+    "to the cells",
+    "members' words",
+    "cells ready",
+    "cells' words",
+    "regions ready",
+    "regions' words",
+    "settled",
+    "down to the regions",
+    "down to the cells",
+    "switched",
+)
 
 WORDS = {"cells": "members' words", "regions": "cells' words", "whole": "regions' words"}
 RECORDS = {
-    ("whole", "open"): "asked", ("regions", "open"): "to the regions", ("cells", "open"): "to the cells",
-    ("cells", "ready"): "cells ready", ("regions", "ready"): "regions ready", ("whole", "settled"): "settled",
-    ("regions", "settled"): "down to the regions", ("cells", "settled"): "down to the cells",
-}  # fmt: skip
+    ("whole", "open"): "asked",
+    ("regions", "open"): "to the regions",
+    ("cells", "open"): "to the cells",
+    ("cells", "ready"): "cells ready",
+    ("regions", "ready"): "regions ready",
+    ("whole", "settled"): "settled",
+    ("regions", "settled"): "down to the regions",
+    ("cells", "settled"): "down to the cells",
+}
 
 
 def history(seed: int) -> tuple[int, str, int, int, Counter, Counter]:
@@ -64,9 +81,21 @@
             kinds[min(versions, 10)] += 1
             if said:
                 broken.append([seed, said])
-    print(json.dumps({"histories": count, "first": first, "broken": sorted(broken)[:20], "broken_in_all": len(broken),
-                      "settled": settled, "acts": acts, "asked": asked, "ends": ends,
-                      "by_versions": dict(sorted(kinds.items()))}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "histories": count,
+                "first": first,
+                "broken": sorted(broken)[:20],
+                "broken_in_all": len(broken),
+                "settled": settled,
+                "acts": acts,
+                "asked": asked,
+                "ends": ends,
+                "by_versions": dict(sorted(kinds.items())),
+            }
+        )
+    )
 
 
 def stages_of(fleet: TieredFleet, version: int, began: float) -> list[float]:
@@ -89,8 +118,9 @@
             kind = RECORDS.get((tier, record.state))
             if kind:
                 at[kind].append(when)
-    at["switched"] = [when for when, _, event, fields in fleet.logs if event == "policy" and
-                      fields["version"] == version]  # fmt: skip
+    at["switched"] = [
+        when for when, _, event, fields in fleet.logs if event == "policy" and fields["version"] == version
+    ]
     return [max(at[stage]) - began for stage in STAGES]
 
 
@@ -117,12 +147,21 @@
     for j, stage in enumerate(STAGES):
         spent[stage] = round(1000 * median(row[j] - was for row, was in zip(rows, before, strict=True)))
         before = [row[j] for row in rows]
-    return {"shape": shape, "supervisors": regions * cells * members, "near_ms": 2000 * fleet.near,
-            "far_ms": 2000 * fleet.far, "all_free_after_s": round(up, 2), "changes": changes,
-            "everywhere_s": {"p50": round(median(took), 3), "worst": round(max(took), 3)},
-            "settled_s": {"p50": round(median(row[STAGES.index("settled")] for row in rows), 3),
-                          "worst": round(max(row[STAGES.index("settled")] for row in rows), 3)},
-            "bound_s": round(fleet.bound(), 3), "p50_ms_by_stage": spent}  # fmt: skip
+    return {
+        "shape": shape,
+        "supervisors": regions * cells * members,
+        "near_ms": 2000 * fleet.near,
+        "far_ms": 2000 * fleet.far,
+        "all_free_after_s": round(up, 2),
+        "changes": changes,
+        "everywhere_s": {"p50": round(median(took), 3), "worst": round(max(took), 3)},
+        "settled_s": {
+            "p50": round(median(row[STAGES.index("settled")] for row in rows), 3),
+            "worst": round(max(row[STAGES.index("settled")] for row in rows), 3),
+        },
+        "bound_s": round(fleet.bound(), 3),
+        "p50_ms_by_stage": spent,
+    }
 
 
 def searched(asked: tuple) -> dict:
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -41,28 +41,43 @@
         names = ("a.dst", "b.dst", "c.dst", "m.dst", "n.dst", "r.dst", "l.jsonl", "back.dst")
         files = {name: folder / name for name in names}
         steps = (
-            ("generate", files["a.dst"], "--records", records), ("verify", files["a.dst"], "--digest"),
-            ("verify", files["a.dst"]), ("summary", files["a.dst"]),
+            ("generate", files["a.dst"], "--records", records),
+            ("verify", files["a.dst"], "--digest"),
+            ("verify", files["a.dst"]),
+            ("summary", files["a.dst"]),
             ("cut", files["a.dst"], files["c.dst"], "--proxy", 5, "--relative", "--from", 10, "--to", 1e6),
             ("cut", files["a.dst"], files["b.dst"], "--relative", "--from", 100, "--to", 400),
-            ("merge", files["a.dst"], files["b.dst"], files["m.dst"]), ("anonymise", files["a.dst"], files["n.dst"]),
-            ("repair", files["a.dst"], files["r.dst"]), ("convert", files["a.dst"], files["l.jsonl"]),
-            ("convert", files["l.jsonl"], files["back.dst"]), ("verify", files["back.dst"], "--digest"),
-            ("replay", files["a.dst"]), ("show", files["a.dst"], "--most", records),
-        )  # fmt: skip
+            ("merge", files["a.dst"], files["b.dst"], files["m.dst"]),
+            ("anonymise", files["a.dst"], files["n.dst"]),
+            ("repair", files["a.dst"], files["r.dst"]),
+            ("convert", files["a.dst"], files["l.jsonl"]),
+            ("convert", files["l.jsonl"], files["back.dst"]),
+            ("verify", files["back.dst"], "--digest"),
+            ("replay", files["a.dst"]),
+            ("show", files["a.dst"], "--most", records),
+        )
         digests = []
         for step in steps:
             took, memory, out = run(*step)
             if "--digest" in step:
                 digests.append(json.loads(out)["digest"])
-            say(tool=" ".join(str(part) if not isinstance(part, Path) else part.name for part in step),
-                seconds=round(took, 2), records_a_second=round(records / took), peak_mb=round(memory))  # fmt: skip
+            say(
+                tool=" ".join(str(part) if not isinstance(part, Path) else part.name for part in step),
+                seconds=round(took, 2),
+                records_a_second=round(records / took),
+                peak_mb=round(memory),
+            )
         lines = files["l.jsonl"].read_bytes()
         packed = len(zstandard.ZstdCompressor(level=6).compress(lines))
         size = files["a.dst"].stat().st_size
-        say(records=records, same_digest=len(set(digests)) == 1, bytes_a_record=round(size / records, 2),
-            json_lines=round(len(lines) / records, 1), json_lines_zstd=round(packed / records, 2),
-            part_of_json_lines_zstd=round(size / packed, 3))  # fmt: skip
+        say(
+            records=records,
+            same_digest=len(set(digests)) == 1,
+            bytes_a_record=round(size / records, 2),
+            json_lines=round(len(lines) / records, 1),
+            json_lines_zstd=round(packed / records, 2),
+            part_of_json_lines_zstd=round(size / packed, 3),
+        )
     finally:
         shutil.rmtree(folder)
 
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -53,8 +53,11 @@
     def second(self, extra: list | None = None) -> None:
         """A second's reports in one turn, then turns every 20 ms for what is answered."""
         joined = self.host.joins.held
-        come = [face.Heard(self.random.random() < 0.1, name(n), 12, PERIOD, zone, self.random.uniform(0.09, 0.2), None)
-                for n in range(SERVERS) for zone in (0, 1)]  # fmt: skip
+        come = [
+            face.Heard(self.random.random() < 0.1, name(n), 12, PERIOD, zone, self.random.uniform(0.09, 0.2), None)
+            for n in range(SERVERS)
+            for zone in (0, 1)
+        ]
         come += [face.Demand(1 + self.random.randrange(2), p, PERIOD, 0, op) for p in joined for op in range(3)]
         self.turn([*(extra or []), *come])
         for _ in range(49):
@@ -87,8 +90,13 @@
         run.second()
     held = sum(part is not None for part in run.host.brain.held_part.values())
     assert held == own + joining, held
-    return {"joining": joining, "before_ms": max(before) * 1e3, "moment_ms": moment[0] * 1e3, "after_ms":
-            max(run.turns) * 1e3, "turns": len(before) + 1 + len(run.turns)}  # fmt: skip
+    return {
+        "joining": joining,
+        "before_ms": max(before) * 1e3,
+        "moment_ms": moment[0] * 1e3,
+        "after_ms": max(run.turns) * 1e3,
+        "turns": len(before) + 1 + len(run.turns),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -52,17 +52,21 @@
     day = says.bare_day(size, SECONDS, load)
     kind = KINDS[seed % len(KINDS)]
     limits = os.environ.get("ZONE_LIMITS", "")
-    day.fleet = replace(
-        day.fleet, store=True, supervisors=random.choice([3, 5]), leave_zones=leave, zone_limits=limits
-    )
+    day.fleet = replace(day.fleet, store=True, supervisors=random.choice([3, 5]), leave_zones=leave, zone_limits=limits)
     day.troubles = failure(random, kind, random.choice(day.facts.zones))
     number = random.randrange(day.fleet.supervisors)
     at = round(random.uniform(FAILS_AT, FAILS_AT + 25), 1)
-    day.troubles.append(random.choice([
-        says.Kill(at, 3.0, number), says.Pause(at, 4.0, "supervisor", 1.0, number), says.StoreDown(at, 2.0),
-        says.Link(at, 5.0, says.control_zone(number), "roster", cut=True),
-        says.Link(at, 8.0, says.control_zone(number), "roster", delay=0.1, loss=0.05),
-    ]))  # fmt: skip
+    day.troubles.append(
+        random.choice(
+            [
+                says.Kill(at, 3.0, number),
+                says.Pause(at, 4.0, "supervisor", 1.0, number),
+                says.StoreDown(at, 2.0),
+                says.Link(at, 5.0, says.control_zone(number), "roster", cut=True),
+                says.Link(at, 8.0, says.control_zone(number), "roster", delay=0.1, loss=0.05),
+            ]
+        )
+    )
     return says.check(day), kind
 
 
@@ -84,14 +88,16 @@
     first = [at for at in first if at is not None]
     back = [each[-1][0] for each in rows.values() if each and each[-1][1] == 0]
     return {
-        "seed": seed, "kind": kind, "supervisors": day.fleet.supervisors,
+        "seed": seed,
+        "kind": kind,
+        "supervisors": day.fleet.supervisors,
         "service": [round(stays.service, 4), round(left.service, 4)],
         "worst": [round(stays.worst, 3), round(left.worst, 3)],
         "left_s": round(max(first) - FAILS_AT, 1) if first else None,
         "spread_s": round(max(first) - min(first), 2) if first else None,
         "back_s": round(max(back) - FAILS_AT, 1) if back else None,
         "broken": [stays.breaks[:2] + stays.faults[:1], left.breaks[:2] + left.faults[:1]],
-    }  # fmt: skip
+    }
 
 
 def no_failure(seed: int) -> dict:
@@ -107,8 +113,12 @@
     day.troubles = kept
     outcome = run(says.check(day), seed)
     left = sorted({max(share for _, share in rows) for rows in shares(outcome).values() if rows})
-    return {"seed": seed, "left": left, "broken": outcome.breaks[:2] + outcome.faults[:1],
-            "troubles": [type(each).__name__ for each in kept]}  # fmt: skip
+    return {
+        "seed": seed,
+        "left": left,
+        "broken": outcome.breaks[:2] + outcome.faults[:1],
+        "troubles": [type(each).__name__ for each in kept],
+    }
 
 
 def alike(given: tuple[int, int]) -> dict:
@@ -123,7 +133,9 @@
     cut = [says.Link(at, lasts, one, zone, cut=True) for one in (other, third)]
     away = says.Link(at + 1, lasts, says.control_zone(paused), "roster", cut=True)
     day.troubles = [
-        [cut[0]], cut, [says.Sick(at, lasts, "slow", round(random.uniform(3, 6), 1), says.Whom(share=1.0))],
+        [cut[0]],
+        cut,
+        [says.Sick(at, lasts, "slow", round(random.uniform(3, 6), 1), says.Whom(share=1.0))],
         [says.Sick(at, lasts, "errors", 0.7, says.Whom(count=2, zone=zone))],
         [says.Link(at, lasts, zone, "", delay=0.15, loss=0.1)],  # its proxies see all zones so
         [says.Pause(at, 4.0, "supervisor", 1.0, paused), says.Sick(at, lasts, "errors", 0.6, says.Whom(count=2))],
@@ -136,8 +148,16 @@
     return {"kind": ALIKE[number], "seed": seed, "left": left, "broken": outcome.breaks[:2] + outcome.faults[:1]}
 
 
-ALIKE = ("a way is cut", "cut off, well inside", "all slow alike", "two of its servers", "its proxies are ill",
-         "a supervisor paused", "a supervisor cut off, and a way", "a short stall")  # fmt: skip
+ALIKE = (
+    "a way is cut",
+    "cut off, well inside",
+    "all slow alike",
+    "two of its servers",
+    "its proxies are ill",
+    "a supervisor paused",
+    "a supervisor cut off, and a way",
+    "a short stall",
+)
 FIXED = (None, 0.1, 0.25, 0.5, 1.0)  # of a zone's servers at a time, on the way back; None: ours
 
 
@@ -160,9 +180,16 @@
     day, kind = fleet_day(seed, size, True)
     outcome = run(day, seed)
     back = [rows[-1][0] for rows in shares(outcome).values() if rows and rows[-1][1] == 0]
-    return {"seed": seed, "kind": kind, "step": step, "service": outcome.service, "worst": outcome.worst,
-            "back_s": max(back) - FAILS_AT if back else None, "broken": bool(outcome.breaks or outcome.faults),
-            "failback": outcome.margins.get("failback", 0.0)}  # fmt: skip
+    return {
+        "seed": seed,
+        "kind": kind,
+        "step": step,
+        "service": outcome.service,
+        "worst": outcome.worst,
+        "back_s": max(back) - FAILS_AT if back else None,
+        "broken": bool(outcome.breaks or outcome.faults),
+        "failback": outcome.margins.get("failback", 0.0),
+    }
 
 
 def pace(days: int, size: str) -> None:
@@ -172,13 +199,21 @@
     for step in FIXED:
         own = [row for row in rows if row["step"] == step]
         back = [row["back_s"] for row in own if row["back_s"] is not None]
-        print(json.dumps({
-            "step": step, "days": len(own), "service": round(mean(row["service"] for row in own), 4),
-            "beside_ours": round(mean(row["service"] - ours[row["seed"]]["service"] for row in own), 4),
-            "worst": round(mean(row["worst"] for row in own), 3), "broken": sum(row["broken"] for row in own),
-            "back": len(back), "back_s": round(median(back), 1) if back else None,
-            "most_of_what_tips": round(max(row["failback"] for row in own), 2),
-        }))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "step": step,
+                    "days": len(own),
+                    "service": round(mean(row["service"] for row in own), 4),
+                    "beside_ours": round(mean(row["service"] - ours[row["seed"]]["service"] for row in own), 4),
+                    "worst": round(mean(row["worst"] for row in own), 3),
+                    "broken": sum(row["broken"] for row in own),
+                    "back": len(back),
+                    "back_s": round(median(back), 1) if back else None,
+                    "most_of_what_tips": round(max(row["failback"] for row in own), 2),
+                }
+            )
+        )
 
 
 def process_day(seed: int) -> dict:
@@ -192,16 +227,22 @@
         "errors": [day_script.Sick(6.0, lasts, "errors", size=0.6, zone="east")],
         "slow": [day_script.Sick(6.0, lasts, "slow", size=8.0, zone="east")],
         "flap": [day_script.Sick(at, 5.0, "hang", zone="east") for at in (6.0, 26.0)],
-    }[kind]  # fmt: skip
+    }[kind]
     fleet = replace(script.fleet, supervisors=random.choice([3, 5]))
     script = with_drawn(replace(script, fleet=fleet, troubles=sick), seed)
     with tempfile.TemporaryDirectory() as scratch:
         stage = play(script, seed, Path(scratch), None, None, None)
         verdict = judge(script, stage.record)
     left = {owner: max(share for _, share in rows) for owner, rows in verdict.left.get("east", {}).items()}
-    return {"seed": seed, "kind": kind, "supervisors": fleet.supervisors, "service": round(verdict.service, 4),
-            "left": left, "breaks": verdict.breaks[:3],
-            "rules": {name: [row["checked"], row["broken"]] for name, row in verdict.rules.items()}}  # fmt: skip
+    return {
+        "seed": seed,
+        "kind": kind,
+        "supervisors": fleet.supervisors,
+        "service": round(verdict.service, 4),
+        "left": left,
+        "breaks": verdict.breaks[:3],
+        "rules": {name: [row["checked"], row["broken"]] for name, row in verdict.rules.items()},
+    }
 
 
 def main() -> None:
@@ -222,16 +263,31 @@
             rows = pool.map(alike, drawn, chunksize=1)
             for kind in ALIKE:
                 own = [row for row in rows if row["kind"] == kind]
-                print(json.dumps({"kind": kind, "days": len(own), "left": [row["seed"] for row in own if row["left"]],
-                                  "broken": [row["broken"] for row in own if row["broken"]]}))  # fmt: skip
+                print(
+                    json.dumps(
+                        {
+                            "kind": kind,
+                            "days": len(own),
+                            "left": [row["seed"] for row in own if row["left"]],
+                            "broken": [row["broken"] for row in own if row["broken"]],
+                        }
+                    )
+                )
             return
         if what == "false":
             rows = pool.map(no_failure, range(days), chunksize=1)
             for row in rows:
                 if row["left"] or row["broken"]:
                     print(json.dumps(row))
-            print(json.dumps({"days": days, "left_falsely": sum(bool(row["left"]) for row in rows),
-                              "broken": sum(bool(row["broken"]) for row in rows)}))  # fmt: skip
+            print(
+                json.dumps(
+                    {
+                        "days": days,
+                        "left_falsely": sum(bool(row["left"]) for row in rows),
+                        "broken": sum(bool(row["broken"]) for row in rows),
+                    }
+                )
+            )
             return
         rows = pool.map(paired, [(seed, size) for seed in range(days)], chunksize=1)
     for row in rows:
@@ -242,15 +298,22 @@
             continue
         gain = [row["service"][1] - row["service"][0] for row in own]
         left = [row["left_s"] for row in own if row["left_s"] is not None]
-        print(json.dumps({
-            "kind": kind, "days": len(own), "left": len(left), "left_s": [median(left), max(left)] if left else None,
-            "spread_s": max((row["spread_s"] for row in own if row["spread_s"] is not None), default=None),
-            "back_s": median([row["back_s"] for row in own if row["back_s"] is not None] or [0]),
-            "service": [round(mean(row["service"][k] for row in own), 4) for k in (0, 1)],
-            "gain": [round(min(gain), 4), round(median(gain), 4), round(max(gain), 4)],
-            "worst": [round(mean(row["worst"][k] for row in own), 3) for k in (0, 1)],
-            "broken": [sum(bool(row["broken"][k]) for row in own) for k in (0, 1)],
-        }))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "kind": kind,
+                    "days": len(own),
+                    "left": len(left),
+                    "left_s": [median(left), max(left)] if left else None,
+                    "spread_s": max((row["spread_s"] for row in own if row["spread_s"] is not None), default=None),
+                    "back_s": median([row["back_s"] for row in own if row["back_s"] is not None] or [0]),
+                    "service": [round(mean(row["service"][k] for row in own), 4) for k in (0, 1)],
+                    "gain": [round(min(gain), 4), round(median(gain), 4), round(max(gain), 4)],
+                    "worst": [round(mean(row["worst"][k] for row in own), 3) for k in (0, 1)],
+                    "broken": [sum(bool(row["broken"][k]) for row in own) for k in (0, 1)],
+                }
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/driftshed/adapter/codec.py
+++ b/driftshed/adapter/codec.py
@@ -53,23 +53,34 @@
 
 
 READERS: dict[str, Callable[[Cursor], object]] = {
-    "u8": _plain("B"), "u16": _plain("H"), "u32": _plain("I"), "u64": _plain("Q"), "f32": _plain("f"),
+    "u8": _plain("B"),
+    "u16": _plain("H"),
+    "u32": _plain("I"),
+    "u64": _plain("Q"),
+    "f32": _plain("f"),
     "bool": lambda cursor: bool(cursor.number("B")),
-    "span": _span("I"), "span?": _span("I", True), "time?": _span("Q", True),
+    "span": _span("I"),
+    "span?": _span("I", True),
+    "time?": _span("Q", True),
     "server": lambda cursor: cursor.take(6),
-    "load": _load, "entries": _entries,
+    "load": _load,
+    "entries": _entries,
     "bytes": lambda cursor: cursor.counted("H"),
     "facts": lambda cursor: read_facts(cursor.counted("I").decode("utf-8", "replace")),
-}  # fmt: skip
+}
 
 WRITERS: dict[str, Callable[[object], bytes]] = {
-    "u8": struct.Struct("<B").pack, "u16": struct.Struct("<H").pack, "u32": struct.Struct("<I").pack,
-    "u64": struct.Struct("<Q").pack, "f32": struct.Struct("<f").pack, "bool": struct.Struct("<?").pack,
+    "u8": struct.Struct("<B").pack,
+    "u16": struct.Struct("<H").pack,
+    "u32": struct.Struct("<I").pack,
+    "u64": struct.Struct("<Q").pack,
+    "f32": struct.Struct("<f").pack,
+    "bool": struct.Struct("<?").pack,
     "time": lambda at: struct.pack("<Q", math.ceil(at * 1e6)),  # rounded up: a timer is never early
     "server": bytes,
     "bytes": lambda data: struct.pack("<H", len(data)) + data,
     "text": lambda text: WRITERS["bytes"](text.encode()[:65535]),
-}  # fmt: skip
+}
 
 # One row a record: its code, its type, and its fields in order, behind the instance that each record names first.
 ENTRY = ("server", "u8", "u16", "time?", "u16", "u8", "f32")
--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -117,10 +117,20 @@
     a record says, in a fleet whose members speak for others."""
 
     def __init__(
-        self, loop: Timers, hosts: list[tuple[str, int]], root: str, member: Member, expected: tuple[str, ...],
-        timeout: float, seed: int, log: Callable[..., object] = lambda event, **fields: None,
-        dial: Callable[..., Stream] = dial, drift: float = DRIFT, pause: float | None = None, lag: float = 0.0,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        hosts: list[tuple[str, int]],
+        root: str,
+        member: Member,
+        expected: tuple[str, ...],
+        timeout: float,
+        seed: int,
+        log: Callable[..., object] = lambda event, **fields: None,
+        dial: Callable[..., Stream] = dial,
+        drift: float = DRIFT,
+        pause: float | None = None,
+        lag: float = 0.0,
+    ) -> None:
         self.loop, self.root, self.log, self.timeout, self.lag = loop, root, log, timeout, lag
         self.tiers = 1
         self.lease, self.roll = Lease(timeout, drift, pause), Roll(expected, loop.clock())
@@ -136,8 +146,9 @@
         self.written = self.not_believed = 0
         self.client, self.zxid = None, 0
         self.members = Folder(self._ask, f"{root}/members", self._member, self._member_gone, self._roll_whole)
-        self.records = Folder(self._ask, f"{root}/records", self._record, self._record_gone, self._records_whole,
-                              self._make_records)  # fmt: skip
+        self.records = Folder(
+            self._ask, f"{root}/records", self._record, self._record_gone, self._records_whole, self._make_records
+        )
         self.others: list[Folder | Names] = []  # folders of other fleets that it reads besides
         self.stopped = False
         self.say_due: Timer | None = None
@@ -213,11 +224,12 @@
         other start of its name is there."""
         session = self.client.session
         return (
-            self.chair.standing is Standing.LISTED and not self.stopped
+            self.chair.standing is Standing.LISTED
+            and not self.stopped
             and not self.roll.has_older(self.name, self.incarnation)
             and self.roll.highest.get(self.name, 0) == self.incarnation
             and self.lease.holds(self.loop.clock(), session.proved_at, session.timeout)
-        )  # fmt: skip
+        )
 
     def lease_until(self) -> float:
         """When the lease ends unless it is proven anew, in seconds on the own clock."""
@@ -316,8 +328,12 @@
     # ---- records as they are read -----------------------------------------------------------------------------
 
     def _make_records(self) -> None:
-        self._write(Create(self.records.path, b""), lambda error, result: self.records.begin()
-                    if error in (OK, NODE_EXISTS) else self.loop.after(AGAIN, self.records.begin))  # fmt: skip
+        self._write(
+            Create(self.records.path, b""),
+            lambda error, result: (
+                self.records.begin() if error in (OK, NODE_EXISTS) else self.loop.after(AGAIN, self.records.begin)
+            ),
+        )
 
     def _topic(self, name: str) -> Topic:
         return self.topics.setdefault(name, Topic(name))
@@ -364,8 +380,9 @@
             self._look(again)
 
     def _records_whole(self) -> None:
-        for name in [name for name, topic in self.topics.items()
-                     if topic.record is not None and name not in self.records.names]:  # fmt: skip
+        for name in [
+            name for name, topic in self.topics.items() if topic.record is not None and name not in self.records.names
+        ]:
             self._record_gone(name)
         self._look_all()
 
@@ -394,10 +411,16 @@
     # ---- what is wanted ---------------------------------------------------------------------------------------
 
     def propose(
-        self, topic: str, body: object, needs: tuple[str, ...], quorum: int, patience: float,
-        done: Callable[[Proposal], object] = lambda proposal: None, binds_for: float | None = None,
+        self,
+        topic: str,
+        body: object,
+        needs: tuple[str, ...],
+        quorum: int,
+        patience: float,
+        done: Callable[[Proposal], object] = lambda proposal: None,
+        binds_for: float | None = None,
         waits: float | UnsetType = UNSET,
-    ) -> Proposal:  # fmt: skip
+    ) -> Proposal:
         """Proposes for a topic; `quorum` of `needs` must assent within `patience` seconds. Barred where that can never
         be. What becomes of it is told to `done`, also when this process lost contact meanwhile. `waits`: seconds of
         silence after which one that is named is done without; for ever unless given."""
@@ -519,9 +542,13 @@
         if topic.box is None:
             path = f"{self.records.path}/{topic.name}"
             box = topic.box = Folder(
-                self._ask, path, lambda node, data, stat: self._ballot(topic, node, data), lambda node: None,
-                lambda: self._counted(topic, box), changing=False,
-            )  # fmt: skip
+                self._ask,
+                path,
+                lambda node, data, stat: self._ballot(topic, node, data),
+                lambda node: None,
+                lambda: self._counted(topic, box),
+                changing=False,
+            )
             box.begin()
         elif topic.box.whole:
             self._counted(topic, topic.box)
@@ -570,8 +597,9 @@
         waited = {name: silent[name] for name in agreement.missing(record, ballots) if name in silent}
         away = frozenset(name for name, seconds in waited.items() if seconds >= after)
         # A hundredth later: else rounding calls it just too early, again and again.
-        return away, min((now + after - seconds + 0.01 for name, seconds in waited.items() if name not in away),
-                         default=float("inf"))  # fmt: skip
+        return away, min(
+            (now + after - seconds + 0.01 for name, seconds in waited.items() if name not in away), default=float("inf")
+        )
 
     # ---- writing ----------------------------------------------------------------------------------------------
 
@@ -627,8 +655,9 @@
         """The one compare-and-set that ends a proposal, or what stands."""
         topic.busy = True
         path = f"{self.records.path}/{topic.name}"
-        self._write(SetData(path, agreement.write(record), topic.stat.version), lambda error, result:
-                    self._look_up(topic))  # fmt: skip
+        self._write(
+            SetData(path, agreement.write(record), topic.stat.version), lambda error, result: self._look_up(topic)
+        )
 
     def _end(self, topic: Topic) -> None:
         epoch, why, done = topic.ending
@@ -750,12 +779,17 @@
         rows = [row._asdict() for row in self.roll.rows(now)]
         records = [
             {"record": topic.record, "age": now - topic.since, "words": list(topic.ballots.values())}
-            for topic in self.topics.values() if topic.record is not None
-        ]  # fmt: skip
+            for topic in self.topics.values()
+            if topic.record is not None
+        ]
         return {
-            "by": self.name, "incarnation": self.incarnation, "standing": self.chair.standing.value,
-            "lease": round(self.lease_until() - now, 3) if self.holds() else None, "order": self.roll.order(),
-            "members": rows, "records": records, "written": self.written, "not_believed": self.not_believed,
-        }  # fmt: skip
-
-
+            "by": self.name,
+            "incarnation": self.incarnation,
+            "standing": self.chair.standing.value,
+            "lease": round(self.lease_until() - now, 3) if self.holds() else None,
+            "order": self.roll.order(),
+            "members": rows,
+            "records": records,
+            "written": self.written,
+            "not_believed": self.not_believed,
+        }
--- a/driftshed/coordination/agreement.py
+++ b/driftshed/coordination/agreement.py
@@ -124,9 +124,18 @@
 
 
 def proposed(
-    old: Record | None, topic: str, epoch: int, by: str, token: str, body: object, needs: tuple[str, ...],
-    quorum: int, patience: float, binds_for: float | None = None, waits: float | UnsetType = UNSET,
-) -> Record:  # fmt: skip
+    old: Record | None,
+    topic: str,
+    epoch: int,
+    by: str,
+    token: str,
+    body: object,
+    needs: tuple[str, ...],
+    quorum: int,
+    patience: float,
+    binds_for: float | None = None,
+    waits: float | UnsetType = UNSET,
+) -> Record:
     """The record that a proposal makes of what is there. Barred while another proposal is open, or where the epoch
     would not rise."""
     check(topic, needs, quorum, patience)
@@ -147,18 +156,39 @@
         if old is not None and old.epoch == above.epoch:
             return None
         return Record(
-            above.topic, above.epoch, "open", by, above.token, above.body, needs, len(needs), above.patience,
-            above.binds_for, above.standing, copied=True, waits=above.waits,
-        )  # fmt: skip
+            above.topic,
+            above.epoch,
+            "open",
+            by,
+            above.token,
+            above.body,
+            needs,
+            len(needs),
+            above.patience,
+            above.binds_for,
+            above.standing,
+            copied=True,
+            waits=above.waits,
+        )
     if old is None and above.standing is None:
         return None
     if old is not None and (old.epoch, old.state, old.standing) == (above.epoch, above.state, above.standing):
         return None
     if old is None or old.epoch < above.epoch:
         old = Record(
-            above.topic, above.epoch, "open", by, above.token, above.body, needs, len(needs), above.patience,
-            above.binds_for, copied=True, waits=above.waits,
-        )  # fmt: skip
+            above.topic,
+            above.epoch,
+            "open",
+            by,
+            above.token,
+            above.body,
+            needs,
+            len(needs),
+            above.patience,
+            above.binds_for,
+            copied=True,
+            waits=above.waits,
+        )
     return replace(old, state=above.state, standing=above.standing, passed=above.passed, why=above.why)
 
 
--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -83,9 +83,16 @@
         member = row["member"] or {}
         lead = " (lead)" if view["order"][:1] == [row["name"]] else ""
         since = "" if row["since"] is None else f"{row['since']:.0f} s"
-        table.add_row(row["name"] + lead, row["state"], since, str(member.get("incarnation", "")),
-                      member.get("address", ""), member.get("build", ""), str(member.get("policy", "")),
-                      str(member.get("proxies", "")))  # fmt: skip
+        table.add_row(
+            row["name"] + lead,
+            row["state"],
+            since,
+            str(member.get("incarnation", "")),
+            member.get("address", ""),
+            member.get("build", ""),
+            str(member.get("policy", "")),
+            str(member.get("proxies", "")),
+        )
     console.print(table)
     for each in view["records"]:
         record, words = each["record"], each["words"]
@@ -104,7 +111,10 @@
             text += "" if view["acts"] else "; may not act on what was agreed above"
             console.print(text, highlight=False)
             if whole:
-                console.print(f"the whole: {whole['living']} of {whole['expected']} live, {whole['leaving']} leave, "
-                              f"{whole['silent']} are silent", highlight=False)  # fmt: skip
+                console.print(
+                    f"the whole: {whole['living']} of {whole['expected']} live, {whole['leaving']} leave, "
+                    f"{whole['silent']} are silent",
+                    highlight=False,
+                )
         lease = "holds no lease" if view["lease"] is None else f"lease for {view['lease']:.2f} s more"
         console.print(f"seen by {view['by']}, start {view['incarnation']}, {view['standing']}, {lease}")
--- a/driftshed/coordination/folder.py
+++ b/driftshed/coordination/folder.py
@@ -16,10 +16,15 @@
     connection leaves open is read with the next `begin`, which is due whenever the session goes on."""
 
     def __init__(
-        self, ask: Ask, path: str, on_child: Callable[[str, bytes, Stat], object], on_gone: Callable[[str], object],
-        on_whole: Callable[[], object] = lambda: None, on_missing: Callable[[], object] = lambda: None,
+        self,
+        ask: Ask,
+        path: str,
+        on_child: Callable[[str, bytes, Stat], object],
+        on_gone: Callable[[str], object],
+        on_whole: Callable[[], object] = lambda: None,
+        on_missing: Callable[[], object] = lambda: None,
         changing: bool = True,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.ask, self.path, self.on_child, self.on_gone = ask, path, on_child, on_gone
         self.on_whole, self.on_missing, self.changing = on_whole, on_missing, changing
         self.names: set[str] = set()  # whose data is known or asked for
--- a/driftshed/coordination/members.py
+++ b/driftshed/coordination/members.py
@@ -125,10 +125,21 @@
         old = self.nodes.get(node)
         since = old.since if old is not None and old.czxid == czxid else now
         present = self.nodes[node] = Present(member, czxid, since)
-        if old is not None and self._living is not None and old == present._replace(member=replace(
-            member, policy=old.member.policy, proxies=old.member.proxies, zones=old.member.zones,
-            inside=old.member.inside, digest=old.member.digest,
-        )):  # fmt: skip
+        if (
+            old is not None
+            and self._living is not None
+            and old
+            == present._replace(
+                member=replace(
+                    member,
+                    policy=old.member.policy,
+                    proxies=old.member.proxies,
+                    zones=old.member.zones,
+                    inside=old.member.inside,
+                    digest=old.member.digest,
+                )
+            )
+        ):
             if self._living.get(member.name) is old:  # only counts have changed: most words do no more
                 self._living[member.name] = present
             return
@@ -183,8 +194,11 @@
         against silence that is put together from before and after a time in which we saw nothing ourselves."""
         if self.read_at is None:
             return {}
-        return {name: now - max(self.read_at, self.silent[name][0] if name in self.silent else self.read_at)
-                for name in self.expected if name not in self.there}  # fmt: skip
+        return {
+            name: now - max(self.read_at, self.silent[name][0] if name in self.silent else self.read_at)
+            for name in self.expected
+            if name not in self.there
+        }
 
     def order(self) -> list[str]:
         """The living, the longest there first: the first has the lead. It has no right that a compare-and-set does not
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -50,10 +50,19 @@
 
 
 def take_part(
-    loop: Timers, service: Service, hosts: list[tuple[str, int]], root: str, name: str, expected: str, timeout: float,
-    log: Callable[..., object], advertise: str = "", seed: int | None = None, dial: Callable[..., Stream] = dial,
+    loop: Timers,
+    service: Service,
+    hosts: list[tuple[str, int]],
+    root: str,
+    name: str,
+    expected: str,
+    timeout: float,
+    log: Callable[..., object],
+    advertise: str = "",
+    seed: int | None = None,
+    dial: Callable[..., Stream] = dial,
     tiers: Tiers | None = None,
-) -> Agent:  # fmt: skip
+) -> Agent:
     """Joins the fleet; `seed` of chance, drawn unless given. What the supervisor does by itself does not wait for it,
     and stays as it is without it. With `tiers` these say which fleet, whom it expects and where its store is, and
     `hosts`, `root` and `expected` are not looked at; BadTiers where `name` is in none."""
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -31,10 +31,17 @@
     and the region's place above, and nothing ended above that is not known here. `propose` proposes in the whole."""
 
     def __init__(
-        self, loop: Timers, whole: Tiers, member: Member, timeout: float, seed: int,
-        log: Callable[..., object] = lambda event, **fields: None, dial: Callable[..., Stream] = dial,
-        drift: float = DRIFT, pause: float | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        whole: Tiers,
+        member: Member,
+        timeout: float,
+        seed: int,
+        log: Callable[..., object] = lambda event, **fields: None,
+        dial: Callable[..., Stream] = dial,
+        drift: float = DRIFT,
+        pause: float | None = None,
+    ) -> None:
         self.place, self.dial, self.drift, self.pause = whole.place(member.name), dial, drift, pause
         self.random = Random(f"tiers {seed}")
         self.supervisors = whole.supervisors()
@@ -46,8 +53,7 @@
         self.compared: dict[str, tuple[Record, Record | None, bool]] = {}  # with the cell's copy, and whether that lags
         self.cells = Names(self._ask, f"{region.root}/members", self._read_cells)
         self.named = False  # whether the cell is in the region's roll, as it was last read
-        self.region = Folder(self._ask, f"{region.root}/records", self._read_above,
-                             self._gone_above)  # fmt: skip
+        self.region = Folder(self._ask, f"{region.root}/records", self._read_above, self._gone_above)
         self.others += [self.cells, self.region]
         self.polling = self.beating = False
         self.troubled_at: float | None = None  # since when nobody is seen to speak for the cell
@@ -62,9 +68,13 @@
 
     def acts(self) -> bool:
         return (
-            self.holds() and self.loop.clock() < self.beats.until and self._spoken_for()
-            and self.records.current and self.region.current and not self._lags()
-        )  # fmt: skip
+            self.holds()
+            and self.loop.clock() < self.beats.until
+            and self._spoken_for()
+            and self.records.current
+            and self.region.current
+            and not self._lags()
+        )
 
     def acts_until(self) -> float:
         return min(self.lease_until(), self.beats.until)
@@ -157,8 +167,20 @@
 
     def _part(self, fleet: Fleet, member: Member, seed: str) -> Agent:
         number = Random(f"{seed} {self.run} {self.random.random()}").getrandbits(48)
-        return Agent(self.loop, fleet.hosts, fleet.root, member, fleet.expected, self.timeout, number, self.log,
-                     self.dial, self.drift, self.pause, tiers.lag(self.timeout, self.drift))  # fmt: skip
+        return Agent(
+            self.loop,
+            fleet.hosts,
+            fleet.root,
+            member,
+            fleet.expected,
+            self.timeout,
+            number,
+            self.log,
+            self.dial,
+            self.drift,
+            self.pause,
+            tiers.lag(self.timeout, self.drift),
+        )
 
     def _speak_for_cell(self) -> None:
         if self.for_cell is not None:
@@ -257,8 +279,11 @@
         above, below = self.for_region, self.for_cell
         if not above.records.current or any(topic.reading or topic.busy for topic in above.topics.values()):
             return False
-        return all(self._copy_of(topic.record, below, below.roll.expected) is None
-                   for topic in above.topics.values() if topic.record is not None)  # fmt: skip
+        return all(
+            self._copy_of(topic.record, below, below.roll.expected) is None
+            for topic in above.topics.values()
+            if topic.record is not None
+        )
 
     def _beat(self) -> None:
         """Tells the region that it is in touch with the whole, one beat after the other."""
@@ -284,10 +309,16 @@
     # ---- proposing --------------------------------------------------------------------------------------------
 
     def propose(
-        self, topic: str, body: object, needs: tuple[str, ...], quorum: int, patience: float,
-        done: Callable[[Proposal], object] = lambda proposal: None, binds_for: float | None = None,
+        self,
+        topic: str,
+        body: object,
+        needs: tuple[str, ...],
+        quorum: int,
+        patience: float,
+        done: Callable[[Proposal], object] = lambda proposal: None,
+        binds_for: float | None = None,
         waits: float | UnsetType = UNSET,
-    ) -> Proposal:  # fmt: skip
+    ) -> Proposal:
         """Proposes in the whole, as a guest there: every region is asked, whatever `needs` says. Void where the whole
         is not reached within the patience."""
         fleet = self.place.whole
@@ -351,8 +382,14 @@
 
     def view(self) -> dict:
         now = self.loop.clock()
-        return super().view() | self.view_whole() | {
-            "cell": self.place.region.name, "region": self.place.whole.name, "acts": self.acts(),
-            "speaks_for": [part.name for part in (self.for_cell, self.for_region) if part is not None],
-            "chain": None if self.beats.until == float("-inf") else round(self.beats.until - now, 3),
-        }  # fmt: skip
+        return (
+            super().view()
+            | self.view_whole()
+            | {
+                "cell": self.place.region.name,
+                "region": self.place.whole.name,
+                "acts": self.acts(),
+                "speaks_for": [part.name for part in (self.for_cell, self.for_region) if part is not None],
+                "chain": None if self.beats.until == float("-inf") else round(self.beats.until - now, 3),
+            }
+        )
--- a/driftshed/coordination/tiers.py
+++ b/driftshed/coordination/tiers.py
@@ -80,11 +80,21 @@
                     regions = tuple(each.name for each in self.regions)
                     return Place(
                         Fleet(name, f"{self.root}/cells/{cell.name}", hosts, cell.members, {}),
-                        Fleet(cell.name, f"{self.root}/regions/{region.name}", hosts, cells,
-                              {each.name: len(each.members) for each in region.cells}),
-                        Fleet(region.name, f"{self.root}/whole", read_hosts(self.stores, "the whole"), regions,
-                              {each.name: sum(len(c.members) for c in each.cells) for each in self.regions}),
-                    )  # fmt: skip
+                        Fleet(
+                            cell.name,
+                            f"{self.root}/regions/{region.name}",
+                            hosts,
+                            cells,
+                            {each.name: len(each.members) for each in region.cells},
+                        ),
+                        Fleet(
+                            region.name,
+                            f"{self.root}/whole",
+                            read_hosts(self.stores, "the whole"),
+                            regions,
+                            {each.name: sum(len(c.members) for c in each.cells) for each in self.regions},
+                        ),
+                    )
         raise BadTiers(f"{name!r} is in no cell: name it among the members of one, or give another --name")
 
     def supervisors(self) -> int:
@@ -270,9 +280,12 @@
             policies[version] = policies.get(version, 0) + count
     unheard = sum(size for name, size in sizes.items() if name not in said)
     return Digest(
-        sum(sizes.values()), sum(each.living for each in said.values()), sum(each.leaving for each in said.values()),
-        unheard + sum(each.silent for each in said.values()), bounded(policies),
-    )  # fmt: skip
+        sum(sizes.values()),
+        sum(each.living for each in said.values()),
+        sum(each.leaving for each in said.values()),
+        unheard + sum(each.silent for each in said.values()),
+        bounded(policies),
+    )
 
 
 def bounded(policies: dict[str, int]) -> dict[str, int]:
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -21,9 +21,13 @@
     """Reads a fleet from its store without taking part in it: `done(view)` once all has been read."""
 
     def __init__(
-        self, loop: Timers, hosts: list[tuple[str, int]], root: str, expected: tuple[str, ...],
+        self,
+        loop: Timers,
+        hosts: list[tuple[str, int]],
+        root: str,
+        expected: tuple[str, ...],
         done: Callable[[dict], object],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.done = loop, done
         self.roll = Roll(expected, loop.clock())
         self.strange = not expected  # with nobody named, all that are there are taken as expected
--- a/driftshed/core/carrying.py
+++ b/driftshed/core/carrying.py
@@ -17,10 +17,23 @@
 
 # What may differ: figures that no list of the module is as long as.
 FREE = {
-    "cold_share", "warm_within", "drain_grace", "tip_multiple", "tip_span", "queue_cap", "lines_per_second",
-    "lines_per_message", "transit", "worst_transit", "message_cap", "message_span", "bare_for", "proxies",
-    "report_lines_per_second", "least_connections",
-}  # fmt: skip
+    "cold_share",
+    "warm_within",
+    "drain_grace",
+    "tip_multiple",
+    "tip_span",
+    "queue_cap",
+    "lines_per_second",
+    "lines_per_message",
+    "transit",
+    "worst_transit",
+    "message_cap",
+    "message_span",
+    "bare_for",
+    "proxies",
+    "report_lines_per_second",
+    "least_connections",
+}
 
 
 def check_carry(old: face.StartFacts, new: face.StartFacts) -> None:
@@ -35,9 +48,11 @@
 
 
 def carried(
-    brain: Brain, old: face.StartFacts, new: face.StartFacts,
+    brain: Brain,
+    old: face.StartFacts,
+    new: face.StartFacts,
     make: Callable[[face.StartFacts, int, float], Brain] = Brain,
-) -> Brain:  # fmt: skip
+) -> Brain:
     """The instance as it goes on under the new facts; `brain` itself stays as it is, but shares what it learnt."""
     check_carry(old, new)
     was, will = make(old, 0, 0.0), make(new, 0, 0.0)
--- a/driftshed/core/channel.py
+++ b/driftshed/core/channel.py
@@ -10,13 +10,18 @@
 class Message:
     """What one reply of the module says to one proxy. `cost`: its lines, its head and its mark."""
 
-    __slots__ = ("proxy", "stream", "changes", "body", "cost", "mark", "ordered_at", "due_at", "released_at",
-                 "version")  # fmt: skip
+    __slots__ = ("proxy", "stream", "changes", "body", "cost", "mark", "ordered_at", "due_at", "released_at", "version")
 
     def __init__(
-        self, proxy: int, stream: str, changes: tuple[Change, ...], body: bytes, cost: float, mark: int | None,
+        self,
+        proxy: int,
+        stream: str,
+        changes: tuple[Change, ...],
+        body: bytes,
+        cost: float,
+        mark: int | None,
         ordered_at: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.proxy, self.stream, self.changes, self.body = proxy, stream, changes, body
         self.cost, self.mark, self.ordered_at = cost, mark, ordered_at
         self.due_at = self.released_at = 0.0  # the soonest that the pace allows, and what it came to
--- a/driftshed/core/hosting.py
+++ b/driftshed/core/hosting.py
@@ -29,9 +29,12 @@
     `forget_orders` what the old one ordered."""
 
     def __init__(
-        self, facts: face.StartFacts, seed: int, now: float,
+        self,
+        facts: face.StartFacts,
+        seed: int,
+        now: float,
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.facts, self.seed, self.make, self.began = facts, seed, brain, now
         self.brain = brain(facts, seed, now)
         self.news: list = []
--- a/driftshed/core/hub.py
+++ b/driftshed/core/hub.py
@@ -26,8 +26,23 @@
 class Record:
     """One proxy as the supervisor knows it. `held`: what it holds once it has applied all that was released."""
 
-    __slots__ = ("proxy", "zone", "stream", "joined", "bound", "held", "log", "first", "version", "acked", "marks",
-                 "silent_to", "pending", "base", "rate")  # fmt: skip
+    __slots__ = (
+        "proxy",
+        "zone",
+        "stream",
+        "joined",
+        "bound",
+        "held",
+        "log",
+        "first",
+        "version",
+        "acked",
+        "marks",
+        "silent_to",
+        "pending",
+        "base",
+        "rate",
+    )
 
     def __init__(self, proxy: int) -> None:
         self.proxy, self.zone, self.rate, self.stream, self.joined = proxy, 0, 0.0, "", False
@@ -47,8 +62,10 @@
     """What changes count in the channel. Guards against a channel fuller than the module was told: what one order says
     is one line, so all that puts a proxy on a table is, and a line with the word that its server is out."""
     uses = sum(type(change) is Use for change in changes)
-    told_out = sum(type(second) is Out and type(first) is Line and first.server == second.server
-                   for first, second in pairwise(changes))  # fmt: skip
+    told_out = sum(
+        type(second) is Out and type(first) is Line and first.server == second.server
+        for first, second in pairwise(changes)
+    )
     return len(changes) - uses + (uses > 0) - told_out
 
 
@@ -319,11 +336,19 @@
             stretches = [[round(now - m.ordered_at, 6), round(now - m.released_at, 6), m.cost] for m in since]
             stood = b'"stood":%s,' % encode(stretches)
         return b'{"run":"%s","since":%d,"version":%d,"whole":%s,"waited":%.6f,"lines":%d,%s"changes":[%s]}' % (
-            self.run.encode(), record.acked, record.version, b"true" if whole else b"false", waited, lines, stood,
+            self.run.encode(),
+            record.acked,
+            record.version,
+            b"true" if whole else b"false",
+            waited,
+            lines,
+            stood,
             changes,
-        )  # fmt: skip
+        )
 
     def no_news(self, record: Record) -> bytes:
         return b'{"run":"%s","since":%d,"version":%d,"whole":false,"changes":[]}' % (
-            self.run.encode(), record.acked, record.acked,
-        )  # fmt: skip
+            self.run.encode(),
+            record.acked,
+            record.acked,
+        )
--- a/driftshed/core/instance.py
+++ b/driftshed/core/instance.py
@@ -21,9 +21,14 @@
     when `next_at()` is due. Times are seconds on the caller's clock."""
 
     def __init__(
-        self, facts: face.StartFacts, seed: int, run: str, now: float, wall: float = 0.0,
+        self,
+        facts: face.StartFacts,
+        seed: int,
+        run: str,
+        now: float,
+        wall: float = 0.0,
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(facts, seed, now, brain)
         self.hub = Hub(facts, run)
         self.roster = Roster(facts, wall)
@@ -130,9 +135,10 @@
         ends = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
         ended = {(order.table, order.server) for order in ends}
         self.held_back = [
-            order for order in self.held_back + orders
+            order
+            for order in self.held_back + orders
             if not (isinstance(order, face.SetLine) and (order.table, order.server) in ended)
-        ]  # fmt: skip
+        ]
         return ends
 
     def check_switch(self, facts: face.StartFacts) -> str:
--- a/driftshed/core/roster.py
+++ b/driftshed/core/roster.py
@@ -25,17 +25,25 @@
                 server = server_id(listed.server)
             except BadName as error:
                 raise Refused(400, str(error)) from None
-            for what, name, known in (("zone", listed.zone, self.zones), ("kind", listed.kind, self.kinds),
-                                      ("state", listed.state, STATES)):  # fmt: skip
+            for what, name, known in (
+                ("zone", listed.zone, self.zones),
+                ("kind", listed.kind, self.kinds),
+                ("state", listed.state, STATES),
+            ):
                 if name not in known:
                     raise Refused(400, f"server {listed.server}: {what} {name!r} is none of {', '.join(known)}")
             if server in entries:
                 raise Refused(400, f"server {listed.server} is named twice")
             started = None if listed.started is None else listed.started + self.wall
             entries[server] = face.Entry(
-                server, self.zones[listed.zone], self.kinds[listed.kind], started, listed.cell, STATES[listed.state],
+                server,
+                self.zones[listed.zone],
+                self.kinds[listed.kind],
+                started,
+                listed.cell,
+                STATES[listed.state],
                 listed.weight,
-            )  # fmt: skip
+            )
         if not news.whole and (self.version is None or news.version != self.version + 1):
             held = "none is" if self.version is None else f"version {self.version} is"
             raise Refused(409, f"change {news.version} does not follow: {held} held; send the whole list")
--- a/driftshed/core/sums.py
+++ b/driftshed/core/sums.py
@@ -15,8 +15,16 @@
         # Since when, and the sums: tries, errored, good with a latency, time of those, load; arrived, errored.
         self.rows: dict[tuple, list] = {}
 
-    def met(self, now: float, zone: int, server: face.Server, tries: int, errored: int, latency: float | None,
-            load: tuple[float, ...] | None) -> None:  # fmt: skip
+    def met(
+        self,
+        now: float,
+        zone: int,
+        server: face.Server,
+        tries: int,
+        errored: int,
+        latency: float | None,
+        load: tuple[float, ...] | None,
+    ) -> None:
         """What a proxy of a zone met at a server; `latency`: mean of its good tries."""
         row = self.rows.get((zone, server))
         if row is None:
--- a/driftshed/day/accord.py
+++ b/driftshed/day/accord.py
@@ -40,9 +40,14 @@
     `broken(rule, text)` is called for each break, `check(rule)` for each look."""
 
     def __init__(
-        self, kinds: dict[str, list], owner: Callable[[str], int], check: Callable, broken: Callable,
-        root: str = FLEET_ROOT, names: frozenset[str] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        kinds: dict[str, list],
+        owner: Callable[[str], int],
+        check: Callable,
+        broken: Callable,
+        root: str = FLEET_ROOT,
+        names: frozenset[str] | None = None,
+    ) -> None:
         self.kinds, self.owner, self.check, self.broken = kinds, owner, check, broken
         self.root, self.names = root, names
         self.records: list[agreement.Record] = []  # as somebody read them, or as they were surely written
@@ -115,8 +120,12 @@
                     self.broken("epochs", f"{order.name} acts at {at:.2f} s on {token}, which was never settled")
 
     def _orders(self) -> Iterator[tuple[float, Ordered]]:
-        rows = [(each.asked_at, ORDERED.decode(each.asked)) for connection in self.kinds.get(ORDER, [])
-                for each in connection.exchanges if each.path == ORDERS and each.asked]  # fmt: skip
+        rows = [
+            (each.asked_at, ORDERED.decode(each.asked))
+            for connection in self.kinds.get(ORDER, [])
+            for each in connection.exchanges
+            if each.path == ORDERS and each.asked
+        ]
         for at, order in sorted(rows, key=lambda row: row[0]):
             if self.names is None or order.name in self.names:
                 yield at, order
@@ -167,8 +176,11 @@
             for at, owner, stream in sorted(rows):
                 term = terms.get((owner, stream), -1)
                 if term < highest:
-                    self.broken("owners", f"proxy {proxy} heeds supervisor {owner} under term {term} at {at:.2f} s, "
-                                f"having heeded term {highest}")  # fmt: skip
+                    self.broken(
+                        "owners",
+                        f"proxy {proxy} heeds supervisor {owner} under term {term} at {at:.2f} s, "
+                        f"having heeded term {highest}",
+                    )
                 highest = max(highest, term)
 
 
--- a/driftshed/day/between.py
+++ b/driftshed/day/between.py
@@ -83,9 +83,12 @@
     many of the next messages that `loses(way, message)` names are lost, each with its connection."""
 
     def __init__(
-        self, loop: Timers, address: tuple[str, int], target: tuple[str, int],
+        self,
+        loop: Timers,
+        address: tuple[str, int],
+        target: tuple[str, int],
         whole: Callable[[bytes], int] = len,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.target, self.whole = loop, target, whole
         self.pairs: set[_Pair] = set()
         self.held = {FORTH: False, BACK: False}
--- a/driftshed/day/command.py
+++ b/driftshed/day/command.py
@@ -37,15 +37,25 @@
 @click.option("--tries", type=click.IntRange(0, 3), help="the mode of trying again that every proxy is told")
 @click.option("--seconds", type=click.FloatRange(tiers.LEAST_SECONDS, 600), help="of the day `tiers` alone; default 36")
 def day(
-    name: str, seed: int, as_json: bool, tamper: str | None, keep: Path | None, trace: Path | None,
-    without_faults: bool, shrink: bool, tries: int | None, seconds: float | None,
-) -> None:  # fmt: skip
+    name: str,
+    seed: int,
+    as_json: bool,
+    tamper: str | None,
+    keep: Path | None,
+    trace: Path | None,
+    without_faults: bool,
+    shrink: bool,
+    tries: int | None,
+    seconds: float | None,
+) -> None:
     """Plays the day NAME (one that comes along, or a file) on loopback sockets. The day `tiers` is of a fleet in tiers.
     Exit code: 0 when every rule is kept, 1 when one is broken, 2 on bad input."""
     if name == tiers.NAME:
         if shrink or trace is not None or tries is not None:
-            raise click.BadParameter(f"the day {name} takes --seed, --seconds, --json, --tamper, --keep and "
-                                     "--without-faults alone", param_hint="--shrink, --trace or --tries")  # fmt: skip
+            raise click.BadParameter(
+                f"the day {name} takes --seed, --seconds, --json, --tamper, --keep and --without-faults alone",
+                param_hint="--shrink, --trace or --tries",
+            )
         if tamper is not None and tamper not in TIERS_TAMPERS:
             raise click.BadParameter(f"{tamper}: the day {name} has {', '.join(TIERS_TAMPERS)}", param_hint="--tamper")
         _play_tiers(seed, seconds or TIERS_SECONDS, as_json, tamper, keep, without_faults)
@@ -73,15 +83,27 @@
         stage, verdict = one(script, keep or Path(scratch) / "0")
         if shrink and not verdict.kept:
             folders = (Path(scratch) / str(k) for k in count(1))
-            script, (stage, verdict) = shrunk(script, (stage, verdict), lambda less: one(less, next(folders)),
-                                              lambda played: not played[1].kept)  # fmt: skip
+            script, (stage, verdict) = shrunk(
+                script, (stage, verdict), lambda less: one(less, next(folders)), lambda played: not played[1].kept
+            )
         size = stage.recorder.bytes
     if as_json:
-        click.echo(json.dumps({
-            "rules": verdict.rules, "service": round(verdict.service, 4), "seed": seed, "seconds": script.seconds,
-            "events": stage.events, "name": name, "asked": verdict.asked, "breaks": verdict.breaks,
-            "left": verdict.left, "operations": {name: round(share, 4) for name, share in verdict.operations.items()},
-        }))  # fmt: skip
+        click.echo(
+            json.dumps(
+                {
+                    "rules": verdict.rules,
+                    "service": round(verdict.service, 4),
+                    "seed": seed,
+                    "seconds": script.seconds,
+                    "events": stage.events,
+                    "name": name,
+                    "asked": verdict.asked,
+                    "breaks": verdict.breaks,
+                    "left": verdict.left,
+                    "operations": {name: round(share, 4) for name, share in verdict.operations.items()},
+                }
+            )
+        )
     else:
         _print(name, seed, script, stage.events, verdict, size)
     sys.exit(0 if verdict.kept else 1)
@@ -93,11 +115,26 @@
     with tempfile.TemporaryDirectory() as scratch:
         stage = tiers.play(seed, keep or Path(scratch), seconds, tamper, not without_faults)
         verdict, found = tiers.judge(stage)
-    figures = {"settled": len(found.settled), "asked": stage.asked, "bound": round(found.bound, 2),
-               "used": verdict.margins.get(POLICIES, 0.0)}  # fmt: skip
+    figures = {
+        "settled": len(found.settled),
+        "asked": stage.asked,
+        "bound": round(found.bound, 2),
+        "used": verdict.margins.get(POLICIES, 0.0),
+    }
     if as_json:
-        click.echo(json.dumps({"rules": verdict.rules, "seed": seed, "seconds": seconds, "events": stage.events,
-                               "name": tiers.NAME, "breaks": verdict.breaks, **figures}))  # fmt: skip
+        click.echo(
+            json.dumps(
+                {
+                    "rules": verdict.rules,
+                    "seed": seed,
+                    "seconds": seconds,
+                    "events": stage.events,
+                    "name": tiers.NAME,
+                    "breaks": verdict.breaks,
+                    **figures,
+                }
+            )
+        )
     else:
         click.echo(f"{tiers.NAME}, seed {seed}: {tiers.ABOUT}")
         parts = f"{len(tiers.NAMES)} supervisors, {len(tiers.CELLS)} cells, {len(tiers.REGIONS)} regions"
@@ -106,8 +143,10 @@
         _print_course(stage.events, verdict)
         for text in verdict.breaks:
             click.echo(f"  {text}")
-        click.echo(f"{stage.asked} changes asked for, {figures['settled']} settled; at the most {figures['used']:.2f} "
-                   f"of the bound of {found.bound:.2f} s was used")  # fmt: skip
+        click.echo(
+            f"{stage.asked} changes asked for, {figures['settled']} settled; at the most {figures['used']:.2f} "
+            f"of the bound of {found.bound:.2f} s was used"
+        )
     sys.exit(0 if verdict.kept else 1)
 
 
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -49,9 +49,16 @@
     of supervisors; `policies`: they go by the fleet's policy."""
 
     def __init__(
-        self, folder: Path, supervisors: int = 3, proxies: int = 6, timeout: float = 1.5, silence: float = 2.0,
-        hears_within: float = 2.0, more: tuple[str, ...] = (), policies: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        folder: Path,
+        supervisors: int = 3,
+        proxies: int = 6,
+        timeout: float = 1.5,
+        silence: float = 2.0,
+        hears_within: float = 2.0,
+        more: tuple[str, ...] = (),
+        policies: bool = False,
+    ) -> None:
         self.loop = Loop()
         net, self.lock = free_net(os.getpid())
         host = f"127.{net}.0"
@@ -59,32 +66,75 @@
         self.store_address = f"{host}.8", 2181
         self.store = FleetProcess(
             ["roster", "serve", "--listen", f"{host}.8:2181", "--folder", str(folder / "store")], folder / "store.log"
-        )  # fmt: skip
+        )
         self.addresses = {name: (f"{host}.{20 + k}", 7000) for k, name in enumerate(self.names)}
-        self.to_store = {name: Between(self.loop, (f"{host}.{60 + k}", 2181), self.store_address, whole_frame)
-                         for k, name in enumerate(self.names)}  # fmt: skip
-        self.to_proxies = {name: Between(self.loop, (f"{host}.{100 + k}", 7000), self.addresses[name])
-                           for k, name in enumerate(self.names)}  # fmt: skip
+        self.to_store = {
+            name: Between(self.loop, (f"{host}.{60 + k}", 2181), self.store_address, whole_frame)
+            for k, name in enumerate(self.names)
+        }
+        self.to_proxies = {
+            name: Between(self.loop, (f"{host}.{100 + k}", 7000), self.addresses[name])
+            for k, name in enumerate(self.names)
+        }
         self.supervisors = {}
         for name in self.names:
             listen, told, store = self.addresses[name], self.to_proxies[name].address, self.to_store[name].address
-            self.supervisors[name] = FleetProcess([
-                "supervise", "--listen", f"{listen[0]}:{listen[1]}", "--advertise", f"{told[0]}:{told[1]}",
-                "--operation", OPERATION, "--proxies", str(proxies), "--supervisors", str(supervisors), "--silence",
-                str(silence), "--name", name, "--expected", ",".join(self.names), "--fleet-connect",
-                f"{store[0]}:{store[1]}", "--fleet-timeout", str(timeout), *more,
-                *(("--policy-folder", str(folder / f"policy-{name}")) if policies else ()),
-            ], folder / f"{name}.log")  # fmt: skip
+            self.supervisors[name] = FleetProcess(
+                [
+                    "supervise",
+                    "--listen",
+                    f"{listen[0]}:{listen[1]}",
+                    "--advertise",
+                    f"{told[0]}:{told[1]}",
+                    "--operation",
+                    OPERATION,
+                    "--proxies",
+                    str(proxies),
+                    "--supervisors",
+                    str(supervisors),
+                    "--silence",
+                    str(silence),
+                    "--name",
+                    name,
+                    "--expected",
+                    ",".join(self.names),
+                    "--fleet-connect",
+                    f"{store[0]}:{store[1]}",
+                    "--fleet-timeout",
+                    str(timeout),
+                    *more,
+                    *(("--policy-folder", str(folder / f"policy-{name}")) if policies else ()),
+                ],
+                folder / f"{name}.log",
+            )
         self.proxies = []
         for k in range(proxies):
             order = self.names[k % supervisors :] + self.names[: k % supervisors]
             at = [f"{self.to_proxies[name].address[0]}:7000" for name in order]
             follows = [part for each in at for part in ("--supervisor", each)]
-            self.proxies.append(FleetProcess([
-                "proxy", "--listen", f"{host}.{140 + k}:8080", "--number", str(k), "--zone", "east", "--operation",
-                OPERATION, "--hears-within", str(hears_within), "--standing", f"{host}.9:8000", "--seed", str(k),
-                *follows,
-            ], folder / f"proxy{k}.log"))  # fmt: skip
+            self.proxies.append(
+                FleetProcess(
+                    [
+                        "proxy",
+                        "--listen",
+                        f"{host}.{140 + k}:8080",
+                        "--number",
+                        str(k),
+                        "--zone",
+                        "east",
+                        "--operation",
+                        OPERATION,
+                        "--hears-within",
+                        str(hears_within),
+                        "--standing",
+                        f"{host}.9:8000",
+                        "--seed",
+                        str(k),
+                        *follows,
+                    ],
+                    folder / f"proxy{k}.log",
+                )
+            )
         self.server = f"{host}.9:8000"
         self.version = 0
         self.calls: queue.SimpleQueue = queue.SimpleQueue()
@@ -128,8 +178,9 @@
         self.version += 1
         news = RosterNews(self.version, True, [ListedServer(self.server, "east", "standard")])
         host, port = self.addresses[name]
-        request = urllib.request.Request(f"http://{host}:{port}/v1/roster", encode(news),
-                                         {"content-type": "application/json"})  # fmt: skip
+        request = urllib.request.Request(
+            f"http://{host}:{port}/v1/roster", encode(news), {"content-type": "application/json"}
+        )
         urllib.request.urlopen(request, timeout=5).close()
 
     def close(self) -> None:
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -165,8 +165,9 @@
         self.slow: dict[int, list[Stretch]] = defaultdict(list)
         for proxy, rows in self.told.items():
             for at, changes in rows:
-                applied = min((then for after, then in acks[proxy] if after >= changes.version and then >= at),
-                              default=at)  # fmt: skip
+                applied = min(
+                    (then for after, then in acks[proxy] if after >= changes.version and then >= at), default=at
+                )
                 if applied - at > self.facts.worst_transit:
                     self.slow[proxy].append(Stretch(at, applied))
 
@@ -184,9 +185,13 @@
 
     def _read_listed(self, owner: int) -> dict[str, list[Stretch]]:
         all_listed: dict[str, list[Stretch]] = defaultdict(list)
-        news = [(each.answered_at, NEWS.decode(each.asked)) for connection in self.roster
-                if self.case.owner(connection.asked) == owner
-                for each in connection.exchanges if each.status == 200 and each.method == "POST"]  # fmt: skip
+        news = [
+            (each.answered_at, NEWS.decode(each.asked))
+            for connection in self.roster
+            if self.case.owner(connection.asked) == owner
+            for each in connection.exchanges
+            if each.status == 200 and each.method == "POST"
+        ]
         kills = [kill for by, kill in self.case.kills if by == owner]
         rows: list[tuple[float, RosterNews | None]] = [*news, *((kill, None) for kill in kills)]
         present: dict[str, Stretch] = {}
@@ -241,8 +246,11 @@
         told: list[tuple[float, str, object]] = []
 
         def tell(at: float, server: str) -> None:
-            own = [(epoch, state, started) for path, (state, started, epoch) in nodes.items()
-                   if path.rpartition("/")[2].partition("~")[0] == server]  # fmt: skip
+            own = [
+                (epoch, state, started)
+                for path, (state, started, epoch) in nodes.items()
+                if path.rpartition("/")[2].partition("~")[0] == server
+            ]
             _, state, started = max(own)
             told.append((at, server, (state, started)))
 
@@ -322,9 +330,10 @@
                                 self.verdict.used("bare", (both[1] - both[0]) / self.facts.bare_for)
                             if both and both[1] - both[0] > self.facts.bare_for + SLACK:
                                 self.verdict.broken(
-                                    "bare", f"proxy {proxy} had no line for {operation} from {both[0]:.2f} to "
-                                    f"{both[1]:.2f} s, {self.facts.bare_for} s are allowed"
-                                )  # fmt: skip
+                                    "bare",
+                                    f"proxy {proxy} had no line for {operation} from {both[0]:.2f} to "
+                                    f"{both[1]:.2f} s, {self.facts.bare_for} s are allowed",
+                                )
 
     def _bare_stretches(self, proxy: int, k: int, operation: str, answers: list) -> list[Stretch]:
         """When a proxy had nothing to pick for an operation. Before it was on a table its own answers tell."""
@@ -367,9 +376,10 @@
                     apart = later.asked_at - earlier.asked_at
                     if operation.effect == "side-effecting" or apart > operation.repeat_window:
                         self.verdict.broken(
-                            "twice", f"proxy {proxy} sent invocation {inv} of {operation.name} again at "
-                            f"{later.asked_at:.2f} s, {apart:.2f} s after a try that may have run"
-                        )  # fmt: skip
+                            "twice",
+                            f"proxy {proxy} sent invocation {inv} of {operation.name} again at "
+                            f"{later.asked_at:.2f} s, {apart:.2f} s after a try that may have run",
+                        )
                         break
 
     def _judge_drains(self) -> None:
@@ -391,9 +401,10 @@
                         late = [at for at in sent if at > since + SLACK and not self._is_slow(proxy, at, at + SLACK)]
                         if late:
                             self.verdict.broken(
-                                "drains", f"proxy {proxy} sent to {server} at {late[0]:.2f} s and {len(late)} times in "
-                                f"all; told at {told.since:.2f} s, {grace} s are allowed"
-                            )  # fmt: skip
+                                "drains",
+                                f"proxy {proxy} sent to {server} at {late[0]:.2f} s and {len(late)} times in "
+                                f"all; told at {told.since:.2f} s, {grace} s are allowed",
+                            )
 
     def _judge_failback(self) -> None:
         all_starts: dict[str, dict[float, dict[int, float]]] = defaultdict(lambda: defaultdict(dict))
@@ -420,9 +431,10 @@
                         self.verdict.used("failback", whole / (machine.tip_multiple * can))
                     if whole > machine.tip_multiple * can and knowing >= 2 / 3 * whole:
                         self.verdict.broken(
-                            "failback", f"{server}, started at {started:.2f} s, was sent {whole / can:.1f} times what "
-                            f"it could do in the {machine.tip_span} s to {at:.2f} s; {machine.tip_multiple} are allowed"
-                        )  # fmt: skip
+                            "failback",
+                            f"{server}, started at {started:.2f} s, was sent {whole / can:.1f} times what "
+                            f"it could do in the {machine.tip_span} s to {at:.2f} s; {machine.tip_multiple} are allowed",
+                        )
                         break
 
     def _knows(self, proxy: int, at: float, all_told: dict[int, float]) -> bool:
@@ -451,9 +463,10 @@
                         within.popleft()
                     if self.facts.message_cap and len(within) > self.facts.message_cap:
                         self.verdict.broken(
-                            "queue", f"proxy {proxy} was sent {len(within)} messages in the "
-                            f"{self.facts.message_span} s to {at:.2f} s; {self.facts.message_cap} are allowed"
-                        )  # fmt: skip
+                            "queue",
+                            f"proxy {proxy} was sent {len(within)} messages in the "
+                            f"{self.facts.message_span} s to {at:.2f} s; {self.facts.message_cap} are allowed",
+                        )
                         break
         for waits in edges.values():
             waiting = 0.0
@@ -463,7 +476,7 @@
                 if waiting > self.facts.queue_cap:
                     self.verdict.broken(
                         "queue", f"{waiting:.0f} lines waited at {at:.2f} s; {self.facts.queue_cap:.0f} are allowed"
-                    )  # fmt: skip
+                    )
                     break
 
     def _count_service(self) -> None:
@@ -511,17 +524,38 @@
     began, kinds = read_traffic(read_record(record))
     net = next((int(connection.asked.split(".")[1]) for connection in kinds.get(CONTROL, [])), 0)
     cast = Cast(script.facts, net)
-    cuts = [(proxy, None, trouble.at) for trouble in script.troubles if isinstance(trouble, Cut)
-            and trouble.what != "servers" for proxy in range(script.facts.proxies)
-            if cast.zone_of_proxy(proxy) == trouble.zone]  # fmt: skip
+    cuts = [
+        (proxy, None, trouble.at)
+        for trouble in script.troubles
+        if isinstance(trouble, Cut) and trouble.what != "servers"
+        for proxy in range(script.facts.proxies)
+        if cast.zone_of_proxy(proxy) == trouble.zone
+    ]
     kills = [(trouble.who, trouble.at) for trouble in script.troubles if isinstance(trouble, Kill)]
-    pauses = [(trouble.who, trouble.at, trouble.at + trouble.lasts) for trouble in script.troubles
-              if isinstance(trouble, Pause)]  # fmt: skip
+    pauses = [
+        (trouble.who, trouble.at, trouble.at + trouble.lasts)
+        for trouble in script.troubles
+        if isinstance(trouble, Pause)
+    ]
     names, owner = owners(net, script.fleet.supervisors)
-    cuts += [(proxy, trouble.who, trouble.at) for trouble in script.troubles if isinstance(trouble, Apart)
-             and trouble.side != "store" for proxy in range(script.facts.proxies)]  # fmt: skip
-    case = Case(script.facts, cast, lambda number: script.machine(cast.kind_of_server(number)), script.seconds, cuts,
-                kills, began, kinds, owner, pauses)  # fmt: skip
+    cuts += [
+        (proxy, trouble.who, trouble.at)
+        for trouble in script.troubles
+        if isinstance(trouble, Apart) and trouble.side != "store"
+        for proxy in range(script.facts.proxies)
+    ]
+    case = Case(
+        script.facts,
+        cast,
+        lambda number: script.machine(cast.kind_of_server(number)),
+        script.seconds,
+        cuts,
+        kills,
+        began,
+        kinds,
+        owner,
+        pauses,
+    )
     found = Judge(case)
     verdict = found.judge()
     if len(names) > 1:
--- a/driftshed/day/policies.py
+++ b/driftshed/day/policies.py
@@ -42,5 +42,8 @@
             newer = [each for each, since in first.items() if each > changes.policy and ordered_at > since + bound]
             adds = any(isinstance(change, Line) and change.weight for change in changes.changes)
             if newer and adds:
-                verdict.broken(RULE, f"proxy {proxy} was told lines by policy {changes.policy} at {at:.2f} s; "
-                               f"{newer[0]} holds since {first[newer[0]]:.2f} s")  # fmt: skip
+                verdict.broken(
+                    RULE,
+                    f"proxy {proxy} was told lines by policy {changes.policy} at {at:.2f} s; "
+                    f"{newer[0]} holds since {first[newer[0]]:.2f} s",
+                )
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -105,8 +105,12 @@
             if isinstance(request, SetData):
                 request = request._replace(version=ANY_VERSION)
             elif isinstance(request, Multi):
-                request = Multi(tuple(each._replace(version=ANY_VERSION) if isinstance(each, SetData) else each
-                                      for each in request.parts))  # fmt: skip
+                request = Multi(
+                    tuple(
+                        each._replace(version=ANY_VERSION) if isinstance(each, SetData) else each
+                        for each in request.parts
+                    )
+                )
             write(self, request, then)
 
         Agent._write = over
--- a/driftshed/day/script.py
+++ b/driftshed/day/script.py
@@ -211,7 +211,7 @@
 OfFleet = Apart | Lag | Lose | Change
 Trouble = (
     Deploy | Restart | Sick | LateRoster | Cut | Kill | Pause | BreakStreams | DropStreams | Surge | OfStore | OfFleet
-)  # fmt: skip
+)
 
 
 class Drawn(Struct, forbid_unknown_fields=True):
@@ -241,8 +241,15 @@
 
     def machine(self, kind: int) -> Machine:
         facts, fleet = self.facts, self.fleet
-        return Machine(fleet.cores, fleet.speed[kind % len(fleet.speed)], fleet.room, facts.cold_share,
-                       facts.warm_within, facts.tip_multiple, facts.tip_span)  # fmt: skip
+        return Machine(
+            fleet.cores,
+            fleet.speed[kind % len(fleet.speed)],
+            fleet.room,
+            facts.cold_share,
+            facts.warm_within,
+            facts.tip_multiple,
+            facts.tip_span,
+        )
 
 
 def known_scripts() -> list[str]:
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -177,21 +177,50 @@
     def __init__(self, script: says.Script, folder: Path, trace: Path | None) -> None:
         super().__init__(script, folder / "proxies.log", trace)
 
-    def start(self, number: int, zone: str, rate: float, address: tuple[str, int], controls: list[tuple[str, int]],
-              standing: list[str], seed: int, *more: str) -> None:  # fmt: skip
+    def start(
+        self,
+        number: int,
+        zone: str,
+        rate: float,
+        address: tuple[str, int],
+        controls: list[tuple[str, int]],
+        standing: list[str],
+        seed: int,
+        *more: str,
+    ) -> None:
         flags = [part for name in standing for part in ("--standing", name)]
         flags += [part for control in controls for part in ("--supervisor", f"{control[0]}:{control[1]}")]
-        self.run("proxy", "--listen", f"{address[0]}:{address[1]}", "--number", str(number), "--zone", zone, "--rate",
-                 f"{rate:.3f}", "--source", address[0], "--seed", str(seed), *flags, *more)  # fmt: skip
+        self.run(
+            "proxy",
+            "--listen",
+            f"{address[0]}:{address[1]}",
+            "--number",
+            str(number),
+            "--zone",
+            zone,
+            "--rate",
+            f"{rate:.3f}",
+            "--source",
+            address[0],
+            "--seed",
+            str(seed),
+            *flags,
+            *more,
+        )
 
 
 class Stage:
     """Plays one day; `events` says what was done when, for whoever reads the verdict."""
 
     def __init__(
-        self, script: says.Script, seed: int, folder: Path, tamper: str | None = None, trace: Path | None = None,
+        self,
+        script: says.Script,
+        seed: int,
+        folder: Path,
+        tamper: str | None = None,
+        trace: Path | None = None,
         tries: int | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.script, self.seed, self.facts = script, seed, script.facts
         self.random = Random(f"day {seed}")
         self.net, self.lock = free_net(os.getpid())
@@ -240,7 +269,7 @@
             self.stored.append(Relay(loop, self.recorder, STORED, (f"{host}.{STORES + k}", 2181), store))
             before = self.between[k, "store"] = Between(
                 loop, (f"{host}.{AT_STORE + k}", 2181), self.stored[-1].address, whole_frame
-            )  # fmt: skip
+            )
             store = before.address
             before = self.between[k, "proxies"] = Between(loop, (f"{host}.{AT_PROXIES + k}", 7000), target)
             target = before.address
@@ -249,22 +278,42 @@
         kind, whither = (STORE, store) if store else (ROSTER, target)
         self.roster_relays.append(Relay(loop, self.recorder, kind, (at, ROSTER_PORT), whither))
         if store:
-            supervisor.more = ["--roster-connect", f"{at}:{ROSTER_PORT}", "--session-timeout",
-                               str(fleet.session_timeout)]  # fmt: skip
+            supervisor.more = [
+                "--roster-connect",
+                f"{at}:{ROSTER_PORT}",
+                "--session-timeout",
+                str(fleet.session_timeout),
+            ]
         if len(self.names) > 1:
             supervisor.more += [
-                "--fleet-connect", f"{at}:{ROSTER_PORT}", "--fleet-timeout", str(fleet.fleet_timeout), "--name",
-                self.names[k], "--expected", ",".join(self.names), "--advertise",
-                f"{host}.{CONTROLS + k}:{CONTROL_PORT}", "--supervisors", str(len(self.names)),
-            ]  # fmt: skip
+                "--fleet-connect",
+                f"{at}:{ROSTER_PORT}",
+                "--fleet-timeout",
+                str(fleet.fleet_timeout),
+                "--name",
+                self.names[k],
+                "--expected",
+                ",".join(self.names),
+                "--advertise",
+                f"{host}.{CONTROLS + k}:{CONTROL_PORT}",
+                "--supervisors",
+                str(len(self.names)),
+            ]
             if fleet.leave_zones:
                 supervisor.more += ["--leave-zones", "--zone-limits", fleet.zone_limits, "--regions", fleet.regions]
             if fleet.policies:
                 supervisor.more += ["--policy-folder", str(self.folder / f"policy{k}")]
             off = fleet.clocks_off * self.random.uniform(-1, 1)
             taken_out = ["--take-out", self.tamper] if self.tamper in ("leases", "epochs", "zones", "policies") else []
-            supervisor.program = ("driftshed.day.rigged", "--orders-to", f"{host}.3:{ORDER_PORT}", "--clock-off",
-                                  f"{off:.3f}", *taken_out, "--")  # fmt: skip
+            supervisor.program = (
+                "driftshed.day.rigged",
+                "--orders-to",
+                f"{host}.3:{ORDER_PORT}",
+                "--clock-off",
+                f"{off:.3f}",
+                *taken_out,
+                "--",
+            )
         self.supervisors.append(supervisor)
 
     def _note(self, what: str, **more: object) -> None:
@@ -273,8 +322,13 @@
     def _listed(self, number: int, state: str = "ready") -> ListedServer:
         facts = self.facts
         started = RosterStandin.unix(self.servers[number].started)
-        return ListedServer(self.cast.server(number), facts.zones[self.cast.zone_of_server(number)],
-                            facts.kinds[self.cast.kind_of_server(number)], state, started)  # fmt: skip
+        return ListedServer(
+            self.cast.server(number),
+            facts.zones[self.cast.zone_of_server(number)],
+            facts.kinds[self.cast.kind_of_server(number)],
+            state,
+            started,
+        )
 
     def _new_server(self, number: int, cold: bool) -> None:
         host, _, port = self.cast.server(number).rpartition(":")
@@ -321,10 +375,16 @@
             address = (self.cast.proxy_host(number), ASK_PORT)
             self.clients.append(
                 ClientStandin(
-                    self.loop, address, facts.operations, script.traffic.shares, script.traffic.work, rate,
-                    self.random.getrandbits(32), script.traffic.repeats,
+                    self.loop,
+                    address,
+                    facts.operations,
+                    script.traffic.shares,
+                    script.traffic.work,
+                    rate,
+                    self.random.getrandbits(32),
+                    script.traffic.repeats,
                     lambda address=address: self.recorder.asking(ASK, address),
-                )  # fmt: skip
+                )
             )
         for trouble in script.troubles:
             act = getattr(self, f"_begin_{type(trouble).__name__.lower()}")
@@ -343,8 +403,16 @@
         more = ["--hears-within", str(self.script.fleet.hears_within)] if len(controls) > 1 else []
         if self.tamper == "owners":
             proxy.program = ("driftshed.day.rigged", "--take-out", "owners", "--")
-        proxy.start(number, facts.zones[zone], rate, (self.cast.proxy_host(number), ASK_PORT), controls,
-                    [self.cast.server(n) for n in standing], self.random.getrandbits(32), *more)  # fmt: skip
+        proxy.start(
+            number,
+            facts.zones[zone],
+            rate,
+            (self.cast.proxy_host(number), ASK_PORT),
+            controls,
+            [self.cast.server(n) for n in standing],
+            self.random.getrandbits(32),
+            *more,
+        )
         self.proxies.append(proxy)
 
     def _at(self, seconds: float, call: Callable[[], object]) -> None:
@@ -374,8 +442,7 @@
 
     def _some(self, count: int, zone: str = "") -> list[int]:
         """Servers that are well, drawn by chance, or all of a zone."""
-        well = [n for n, server in self.servers.items()
-                if n not in self.gone and server.up and not server.ills]
+        well = [n for n, server in self.servers.items() if n not in self.gone and server.up and not server.ills]
         if zone:
             return [n for n in well if self.facts.zones[self.cast.zone_of_server(n)] == zone]
         return sorted(self.random.sample(well, min(count, len(well))))
@@ -429,9 +496,14 @@
         for number in numbers:
             server = self.servers[number]
             self._note(trouble.how, server=self.cast.server(number))
-            server.fall_ill((trouble.how, trouble.at), {
-                "hang": Ill(hangs=True), "errors": Ill(errors=trouble.size), "slow": Ill(slower=trouble.size),
-            }[trouble.how])  # fmt: skip
+            server.fall_ill(
+                (trouble.how, trouble.at),
+                {
+                    "hang": Ill(hangs=True),
+                    "errors": Ill(errors=trouble.size),
+                    "slow": Ill(slower=trouble.size),
+                }[trouble.how],
+            )
 
         def well() -> None:
             for number in numbers:
@@ -571,8 +643,12 @@
         client = HttpClient(self.loop, (f"127.{self.net}.0.{9 + trouble.who}", 7100), idle_most=1)
 
         def answered(answer: Answer) -> None:
-            self._note("policy proposed", status=answer.status, said=answer.body.decode("utf-8", "replace")[:120],
-                       **self._which(trouble.who))  # fmt: skip
+            self._note(
+                "policy proposed",
+                status=answer.status,
+                said=answer.body.decode("utf-8", "replace")[:120],
+                **self._which(trouble.who),
+            )
             client.close()
 
         client.call("POST", "/v1/policy", msgspec.json.encode(asked), answered, 3.0)
@@ -620,9 +696,13 @@
 
 
 def play(
-    script: says.Script, seed: int, folder: Path, tamper: str | None = None, trace: Path | None = None,
+    script: says.Script,
+    seed: int,
+    folder: Path,
+    tamper: str | None = None,
+    trace: Path | None = None,
     tries: int | None = None,
-) -> Stage:  # fmt: skip
+) -> Stage:
     """Plays a day; what passed is in the stage's `record`, and in traces where a folder for them is given."""
     stage = Stage(script, seed, folder, tamper, trace, tries)
     stage.play()
--- a/driftshed/day/tamper.py
+++ b/driftshed/day/tamper.py
@@ -15,9 +15,7 @@
 
 
 def frame(body: bytes) -> bytes:
-    return (
-        b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n" % len(body)
-    ) + body  # fmt: skip
+    return (b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n" % len(body)) + body
 
 
 class Tamper:
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -31,14 +31,21 @@
 from driftshed.net.loop import Loop
 
 NAME = "tiers"
-ABOUT = ("a policy is changed every second or so in two regions of two cells of three supervisors, while they, their "
-         "ways and their stores fail as the seed draws it")  # fmt: skip
+ABOUT = (
+    "a policy is changed every second or so in two regions of two cells of three supervisors, while they, their "
+    "ways and their stores fail as the seed draws it"
+)
 ROOT, REGIONS = "/driftshed", {"north": ("n1", "n2"), "south": ("s1", "s2")}
 CELLS = {cell: tuple(f"{cell}-{k}" for k in range(3)) for cells in REGIONS.values() for cell in cells}
-FLEETS = Fleets(REGIONS, CELLS, {
-    "": f"{ROOT}/whole", **{name: f"{ROOT}/regions/{name}" for name in REGIONS},
-    **{name: f"{ROOT}/cells/{name}" for name in CELLS},
-})  # fmt: skip
+FLEETS = Fleets(
+    REGIONS,
+    CELLS,
+    {
+        "": f"{ROOT}/whole",
+        **{name: f"{ROOT}/regions/{name}" for name in REGIONS},
+        **{name: f"{ROOT}/cells/{name}" for name in CELLS},
+    },
+)
 NAMES = [name for members in CELLS.values() for name in members]
 REGION_OF = {name: FLEETS.region_of(cell) for cell, members in CELLS.items() for name in members}
 # Of the addresses 127.NET.x.y: what stands at each x, y counts from 1.
@@ -198,8 +205,9 @@
     def _store_process(self, k: int, name: str) -> FleetProcess:
         listen = told(self._at(STORES, 1 + k, 2181))
         folder = self.folder / f"store-{name or 'whole'}"
-        return FleetProcess(["roster", "serve", "--listen", listen, "--folder", str(folder)],
-                            self.folder / f"{folder.name}.log")  # fmt: skip
+        return FleetProcess(
+            ["roster", "serve", "--listen", listen, "--folder", str(folder)], self.folder / f"{folder.name}.log"
+        )
 
     def _way(self, name: str, side: str, k: int, at: int, stored: int, store: str) -> str:
         """The way of a supervisor to a store: faults at its own end, what passes recorded at the store's."""
@@ -222,11 +230,32 @@
         path = self.folder / f"tiers-{name}.toml"
         path.write_text(self._tiers(whole, region, near))
         listen, advertise = told(address), told(control.address)
-        process = FleetProcess([
-            "supervise", "--listen", listen, "--advertise", advertise, "--operation", OPERATION, "--proxies", "6",
-            "--supervisors", "3", "--silence", "2", "--name", name, "--tiers", str(path), "--fleet-timeout",
-            str(self.timeout), "--policy-folder", str(self.folder / f"policy-{name}"),
-        ], self.folder / f"{name}.log")  # fmt: skip
+        process = FleetProcess(
+            [
+                "supervise",
+                "--listen",
+                listen,
+                "--advertise",
+                advertise,
+                "--operation",
+                OPERATION,
+                "--proxies",
+                "6",
+                "--supervisors",
+                "3",
+                "--silence",
+                "2",
+                "--name",
+                name,
+                "--tiers",
+                str(path),
+                "--fleet-timeout",
+                str(self.timeout),
+                "--policy-folder",
+                str(self.folder / f"policy-{name}"),
+            ],
+            self.folder / f"{name}.log",
+        )
         taken_out = ["--take-out", self.tamper] if self.tamper not in (None, "owners") else []
         process.program = ("driftshed.day.rigged", "--orders-to", told(self.sink.address), *taken_out, "--")
         self.supervisors[name] = process
@@ -247,11 +276,27 @@
         members = members[k % 3 :] + members[: k % 3]
         at = [told(self._at(CONTROLS, 1 + NAMES.index(name), 7000)) for name in members]
         listen = told(self._at(PROXIES, 1 + k, 8080))
-        process = FleetProcess([
-            "proxy", "--listen", listen, "--number", str(k), "--zone", "east", "--operation", OPERATION,
-            "--hears-within", "2", "--standing", self._server(0), "--seed", str(k),
-            *(part for each in at for part in ("--supervisor", each)),
-        ], self.folder / f"proxy{k}.log")  # fmt: skip
+        process = FleetProcess(
+            [
+                "proxy",
+                "--listen",
+                listen,
+                "--number",
+                str(k),
+                "--zone",
+                "east",
+                "--operation",
+                OPERATION,
+                "--hears-within",
+                "2",
+                "--standing",
+                self._server(0),
+                "--seed",
+                str(k),
+                *(part for each in at for part in ("--supervisor", each)),
+            ],
+            self.folder / f"proxy{k}.log",
+        )
         if self.tamper == "owners":
             process.program = ("driftshed.day.rigged", "--take-out", "owners", "--")
         return process
@@ -366,8 +411,9 @@
     def propose(self, name: str, number: int, patience: float = 3.0) -> tuple[int, str]:
         """Asks a supervisor for a change and waits for its answer: the status, and what it said."""
         host, port = self.addresses[name]
-        request = urllib.request.Request(f"http://{host}:{port}/v1/policy", asked(number, patience),
-                                         {"content-type": "application/json"})  # fmt: skip
+        request = urllib.request.Request(
+            f"http://{host}:{port}/v1/policy", asked(number, patience), {"content-type": "application/json"}
+        )
         try:
             with urllib.request.urlopen(request, timeout=5) as answer:
                 return answer.status, answer.read().decode()
@@ -469,8 +515,9 @@
             self.asked += 1
 
             def answered(answer: Answer, name: str = name) -> None:
-                self.note("policy proposed", who=name, status=answer.status,
-                          said=answer.body.decode("utf-8", "replace")[:100])  # fmt: skip
+                self.note(
+                    "policy proposed", who=name, status=answer.status, said=answer.body.decode("utf-8", "replace")[:100]
+                )
 
             self.clients[name].call("POST", "/v1/policy", asked(self.asked, asking.patience), answered, 3.0, fresh=True)
 
@@ -504,7 +551,6 @@
     """Judges what a stage recorded."""
     _, kinds = read_traffic(read_record(stage.record))
     verdict = Verdict()
-    found = TiersJudge(verdict, kinds, FLEETS, NAMES, stage.owner, stage.timeout, AHEAD,
-                        stage.tamper is None)  # fmt: skip
+    found = TiersJudge(verdict, kinds, FLEETS, NAMES, stage.owner, stage.timeout, AHEAD, stage.tamper is None)
     found.judge()
     return verdict, found
