--- a/driftshed/day/tiers_accord.py
+++ b/driftshed/day/tiers_accord.py
@@ -162,8 +162,11 @@
                 met = [at for at in self.there[name] if since + LATE < at < till]
                 if not away or met:
                     why = f"it was there at {met[-1]:.2f} s" if met else "it waits for every word"
-                    self.broken("epochs", f"{self.root}: epoch {epoch} was {seen.record.state} at {seen.at:.2f} s "
-                                f"without the word of {name}; {why}")  # fmt: skip
+                    self.broken(
+                        "epochs",
+                        f"{self.root}: epoch {epoch} was {seen.record.state} at {seen.at:.2f} s "
+                        f"without the word of {name}; {why}",
+                    )
 
 
 class TiersJudge:
@@ -171,9 +174,16 @@
     on until the faults are over and all should have settled."""
 
     def __init__(
-        self, verdict, kinds: dict[str, list], fleets: Fleets, names: list[str],
-        owner: Callable[[str], int], timeout: float, ahead: float, ends: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        verdict,
+        kinds: dict[str, list],
+        fleets: Fleets,
+        names: list[str],
+        owner: Callable[[str], int],
+        timeout: float,
+        ahead: float,
+        ends: bool = True,
+    ) -> None:
         self.verdict, self.kinds, self.fleets, self.names, self.owner = verdict, kinds, fleets, names, owner
         self.timeout, self.bound = timeout, everywhere_within(timeout, ahead, DRIFT, tiers=3) + ALLOWED
         verdict.rules = {rule: {"checked": 0, "broken": 0} for rule in RULES}
@@ -185,8 +195,12 @@
             whose = frozenset(fleets.cells.get(name, ()))
             self.accords[name] = FleetAccord(kinds, owner, verdict.check, verdict.broken, root, whose, said=said)
         self.settled: dict[int, Seen] = {}  # by version
-        runs = [(each.asked_at, RUNNING.decode(each.asked)) for connection in kinds.get(ORDER, [])
-                for each in connection.exchanges if each.path == RUNS and each.asked]  # fmt: skip
+        runs = [
+            (each.asked_at, RUNNING.decode(each.asked))
+            for connection in kinds.get(ORDER, [])
+            for each in connection.exchanges
+            if each.path == RUNS and each.asked
+        ]
         self.runs = sorted(runs, key=lambda row: row[0])
 
     def judge(self) -> None:
@@ -213,8 +227,9 @@
             first = self.settled.setdefault(version, seen)
             self.verdict.check("epochs")
             if first.record.standing.token != standing.token:
-                self.verdict.broken("epochs", f"version {version} was settled as {first.record.standing.token} and as "
-                                    f"{standing.token}")  # fmt: skip
+                self.verdict.broken(
+                    "epochs", f"version {version} was settled as {first.record.standing.token} and as {standing.token}"
+                )
 
     def _judge_copies(self) -> None:
         """Regions and cells hold only what the whole made of a proposal, and not before it did."""
@@ -230,8 +245,11 @@
                 self.verdict.check("epochs")
                 since = whole.get((seen.record.topic, standing.epoch, standing.token), accord.NEVER)
                 if since > seen.at + accord.SLACK:
-                    self.verdict.broken("epochs", f"{accord_of.root}: epoch {standing.epoch} of {standing.token} "
-                                        f"stands at {seen.at:.2f} s, not settled in the whole by then")  # fmt: skip
+                    self.verdict.broken(
+                        "epochs",
+                        f"{accord_of.root}: epoch {standing.epoch} of {standing.token} "
+                        f"stands at {seen.at:.2f} s, not settled in the whole by then",
+                    )
 
     def _judge_chain(self, cell: str) -> None:
         """Nobody acts past what its own readings of its region's beats prove, nor where it was told that nobody speaks
@@ -243,15 +261,18 @@
             self.verdict.check("leases", 3)
             until = max((end for heard, end in proofs[order.name] if heard <= at), default=0.0)
             if at > until + LATE:
-                self.verdict.broken("leases", f"{order.name} acts at {at:.2f} s; that {region} is in touch was proven "
-                                    f"until {until:.2f} s")  # fmt: skip
+                self.verdict.broken(
+                    "leases",
+                    f"{order.name} acts at {at:.2f} s; that {region} is in touch was proven until {until:.2f} s",
+                )
             heard = [there for then, there in named[order.name] if then <= at - LATE]
             if not heard or not (heard[-1] or any(at - LATE < then for then, _ in named[order.name] if then <= at)):
                 self.verdict.broken("leases", f"{order.name} acts at {at:.2f} s, told that nobody speaks for {cell}")
             since = at - lasts * (1 + DRIFT) - LATE
             if not any(was_there(rows, since, at) for rows in seen):
-                self.verdict.broken("leases", f"{order.name} acts at {at:.2f} s; {region} had no node in the whole "
-                                    f"since {since:.2f} s")  # fmt: skip
+                self.verdict.broken(
+                    "leases", f"{order.name} acts at {at:.2f} s; {region} had no node in the whole since {since:.2f} s"
+                )
 
     def _proofs(self, cell: str, region: str, lasts: float) -> dict[str, list[tuple[float, float]]]:
         """By supervisor, when it heard what, and until when that proves its region to be in touch: for as long from the
@@ -292,12 +313,18 @@
         for at, runs in self.runs:
             self.verdict.check(POLICIES)
             if runs.version and since.get(runs.version, accord.NEVER) > at + accord.SLACK:
-                self.verdict.broken(POLICIES, f"{runs.name} goes by version {runs.version} at {at:.2f} s, which was "
-                                    "not settled in the whole by then")  # fmt: skip
+                self.verdict.broken(
+                    POLICIES,
+                    f"{runs.name} goes by version {runs.version} at {at:.2f} s, which was "
+                    "not settled in the whole by then",
+                )
             newer = [version for version, then in since.items() if version > runs.version and at > then + self.bound]
             if newer:
-                self.verdict.broken(POLICIES, f"{runs.name} goes by version {runs.version} at {at:.2f} s; {newer[0]} "
-                                    f"is settled since {since[newer[0]]:.2f} s")  # fmt: skip
+                self.verdict.broken(
+                    POLICIES,
+                    f"{runs.name} goes by version {runs.version} at {at:.2f} s; {newer[0]} "
+                    f"is settled since {since[newer[0]]:.2f} s",
+                )
             else:
                 later = [at - then for version, then in since.items() if version > runs.version]
                 self.verdict.used(POLICIES, max(later, default=0.0) / self.bound)
@@ -319,8 +346,10 @@
             for topic, seen in by_topic.items():
                 self.verdict.check("ends")
                 if agreement.pending(seen.record):
-                    self.verdict.broken("ends", f"{accord_of.root}: epoch {seen.record.epoch} of {topic} is "
-                                        f"{seen.record.state} at the end")  # fmt: skip
+                    self.verdict.broken(
+                        "ends",
+                        f"{accord_of.root}: epoch {seen.record.epoch} of {topic} is {seen.record.state} at the end",
+                    )
 
 
 def was_there(rows: list[tuple[float, bool]], since: float, till: float) -> bool:
--- a/driftshed/day/traffic.py
+++ b/driftshed/day/traffic.py
@@ -16,8 +16,18 @@
     """One request and what came back. Times are seconds from the start of the day; `answered_at` is None where no
     whole answer passed, `status` 0."""
 
-    __slots__ = ("connection", "asked_at", "method", "path", "query", "asked", "answered_at", "status", "headers",
-                 "body")  # fmt: skip
+    __slots__ = (
+        "connection",
+        "asked_at",
+        "method",
+        "path",
+        "query",
+        "asked",
+        "answered_at",
+        "status",
+        "headers",
+        "body",
+    )
 
     def __init__(self, connection: Connection, asked_at: float) -> None:
         self.connection, self.asked_at, self.answered_at, self.status = connection, asked_at, None, 0
--- a/driftshed/day/zones.py
+++ b/driftshed/day/zones.py
@@ -62,9 +62,12 @@
             if share <= 0 or since >= till:
                 continue
             verdict.check(RULE)
-            own = {name for name, stretches in judge.listed[owner].items()
-                   if cast.zone_of_server(cast.number_of_server(name)) == number
-                   and any(each.what[0] == "ready" and each.since < till and at < each.till for each in stretches)}
+            own = {
+                name
+                for name, stretches in judge.listed[owner].items()
+                if cast.zone_of_server(cast.number_of_server(name)) == number
+                and any(each.what[0] == "ready" and each.since < till and at < each.till for each in stretches)
+            }
             met = set()
             for name in own:
                 for sent_at, proxy, _ in judge.sent[name]:
@@ -75,6 +78,7 @@
                         met.add(name)
             if len(met) > ceil((1 - share) * len(own) - 1e-6):
                 verdict.broken(
-                    RULE, f"supervisor {owner}'s proxies send to {len(met)} of {len(own)} servers of {zone}, of which "
-                    f"{share:.2f} is left, from {since:.2f} to {till:.2f} s"
-                )  # fmt: skip
+                    RULE,
+                    f"supervisor {owner}'s proxies send to {len(met)} of {len(own)} servers of {zone}, of which "
+                    f"{share:.2f} is left, from {since:.2f} to {till:.2f} s",
+                )
--- a/driftshed/evacuation/command.py
+++ b/driftshed/evacuation/command.py
@@ -38,8 +38,9 @@
         stage = row["stage"] or {"phase": "-", "account": "", "by": None}
         by = f" by {stage['by']}" if stage.get("by") else ""
         seen = f"{row['verdict']} for {row['lasted']} s"
-        table.add_row(row["zone"], f"{row['share']:.0%}", stage["phase"] + by, seen, f"{row['bears']:.0%}",
-                      stage["account"])  # fmt: skip
+        table.add_row(
+            row["zone"], f"{row['share']:.0%}", stage["phase"] + by, seen, f"{row['bears']:.0%}", stage["account"]
+        )
     Console(width=160).print(table)
 
 
--- a/driftshed/evacuation/evidence.py
+++ b/driftshed/evacuation/evidence.py
@@ -80,8 +80,7 @@
             good = sum(row[4] for row in rows)
             mean = sum(row[3] for row in rows) / good if good else None
             usual = self.usual.get(pair)
-            met = Met(tries, errored / tries, mean / usual if mean and usual else 1.0,
-                      (mean or 0.0) / self.objective)  # fmt: skip
+            met = Met(tries, errored / tries, mean / usual if mean and usual else 1.0, (mean or 0.0) / self.objective)
             if mean and (usual is None or not met.ill):  # what is ill does not become usual
                 self.usual[pair] = mean if usual is None else usual + self.learns * (mean - usual)
                 held = good * mean / self.window
@@ -118,8 +117,10 @@
     them have to be ill; of one that is left in part, those that are tried speak for it."""
     if len(zones) == 1:
         return verdict(zones[0], look)
-    said = [verdict(zone, {pair: met for pair, met in look.items() if pair[1] == zone or pair[1] not in zones})
-            for zone in zones]  # fmt: skip
+    said = [
+        verdict(zone, {pair: met for pair, met in look.items() if pair[1] == zone or pair[1] not in zones})
+        for zone in zones
+    ]
     if all(each is Verdict.ILL for each in said) or (left and Verdict.ILL in said):
         return Verdict.ILL
     for what in (Verdict.CUT, Verdict.WELL, Verdict.ALIKE):
--- a/driftshed/evacuation/part.py
+++ b/driftshed/evacuation/part.py
@@ -56,9 +56,14 @@
     that it rests on."""
 
     def __init__(
-        self, loop: Timers, service: Service, agent: Agent, limits: Limits,
-        log: Callable[..., object] = lambda event, **fields: None, regions: dict[str, tuple[str, ...]] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        service: Service,
+        agent: Agent,
+        limits: Limits,
+        log: Callable[..., object] = lambda event, **fields: None,
+        regions: dict[str, tuple[str, ...]] | None = None,
+    ) -> None:
         self.loop, self.service, self.agent, self.limits, self.log = loop, service, agent, limits, log
         self.facts, self.zones = service.instance.facts, service.instance.facts.zones
         self.places = places(self.zones, regions or {})
@@ -159,11 +164,14 @@
             if entry.state == face.READY:
                 servers[entry.zone] += 1
                 capacity[entry.zone] += self._warmth(entry, now) * (
-                    entry.weight if self.facts.listed_weights != "off" else 1.0)  # fmt: skip
+                    entry.weight if self.facts.listed_weights != "off" else 1.0
+                )
         # Each supervisor hears of its own proxies alone: the rest are taken to bring as much each.
         scale = self.facts.proxies / max(1, len(self.service.polls))
-        busy = [scale * sum(held for (_, there), held in self.evidence.busy.items() if there == k)
-                for k in range(len(self.zones))]  # fmt: skip
+        busy = [
+            scale * sum(held for (_, there), held in self.evidence.busy.items() if there == k)
+            for k in range(len(self.zones))
+        ]
         return servers, capacity, busy
 
     def _order(self, place: Place, capacity: list[float]) -> tuple[str, ...]:
@@ -189,12 +197,20 @@
         topic = self.agent.topics.get(place.topic)
         opened = topic.opened if topic is not None and topic.record is not None else now
         return Sight(
-            verdict, min(MOST, self.lasting.lasted(number, verdict, now)), self.lasting.fresh[number],
-            dead(place.zones, self.look), strained, overrun,
-            min(ceiling(servers, left, order or place.zones, self.limits),
-                bearing(busy, capacity, left, order or place.zones, self.limits)),
-            now - self._stands_since(place), any(left), own or "" not in inside or now - opened >= TOLD_WITHIN,
-        )  # fmt: skip
+            verdict,
+            min(MOST, self.lasting.lasted(number, verdict, now)),
+            self.lasting.fresh[number],
+            dead(place.zones, self.look),
+            strained,
+            overrun,
+            min(
+                ceiling(servers, left, order or place.zones, self.limits),
+                bearing(busy, capacity, left, order or place.zones, self.limits),
+            ),
+            now - self._stands_since(place),
+            any(left),
+            own or "" not in inside or now - opened >= TOLD_WITHIN,
+        )
 
     def _said_inside(self, zone: str) -> set[str]:
         """What the other living supervisors that serve a zone's own proxies say that these met there; "" of one that
@@ -208,8 +224,11 @@
         asked = any(self.agent.is_open(place.topic) for place in self.places)
         inside = {}
         if asked or any(met.ill for met in self.look.values()):
-            inside = {zone: "ill" if self.look[n, n].ill else "well" for n, zone in enumerate(self.zones)
-                      if (n, n) in self.look}  # fmt: skip
+            inside = {
+                zone: "ill" if self.look[n, n].ill else "well"
+                for n, zone in enumerate(self.zones)
+                if (n, n) in self.look
+            }
         self.agent.say(inside=inside)
 
     def _turn(self) -> None:
@@ -217,8 +236,9 @@
         now = self.loop.clock()
         self.look = self.evidence.look(now)
         left = [any(self.shares[zone] for zone in place.zones) for place in self.places]
-        self.lasting.take(now, [of_place(place.zones, self.look, partly)
-                                for place, partly in zip(self.places, left, strict=True)])  # fmt: skip
+        self.lasting.take(
+            now, [of_place(place.zones, self.look, partly) for place, partly in zip(self.places, left, strict=True)]
+        )
         self._apply()
         if not self.agent.holds():
             self.wanted.clear()
@@ -290,16 +310,22 @@
         expected = self.agent.roll.expected
 
         def done(proposal) -> None:
-            self.log("stage", zone=place.name, phase=stage.phase, share=stage.share, state=proposal.state,
-                     why=proposal.why)  # fmt: skip
+            self.log(
+                "stage", zone=place.name, phase=stage.phase, share=stage.share, state=proposal.state, why=proposal.why
+            )
             # What was objected to is not asked again at once.
             self.loop.after(self.limits.pace, lambda: self.open.discard(place.topic))
 
         self.open.add(place.topic)
         self.agent.propose(
-            place.topic, msgspec.to_builtins(stage), expected, len(expected) // 2 + 1, PATIENCE * self.limits.pace,
-            done, binds_for,
-        )  # fmt: skip
+            place.topic,
+            msgspec.to_builtins(stage),
+            expected,
+            len(expected) // 2 + 1,
+            PATIENCE * self.limits.pace,
+            done,
+            binds_for,
+        )
 
     def _word(self, record: agreement.Record) -> tuple[bool, str] | None:
         _, place = self.by_topic[record.topic]
@@ -338,8 +364,15 @@
             if standing.share <= SMALL:
                 raise Refused(409, f"nothing of {place.name} is left")
             share = max(0.0, standing.share - self.limits.trickle) if ordered.what == "return" else ordered.share
-            new = Stage(place.name, "returning", share, standing.share, standing.flaps,
-                        account=f"ordered by {ordered.by}", order=standing.order)  # fmt: skip
+            new = Stage(
+                place.name,
+                "returning",
+                share,
+                standing.share,
+                standing.flaps,
+                account=f"ordered by {ordered.by}",
+                order=standing.order,
+            )
         else:
             raise Refused(400, f"{ordered.what[:32]!r}: leave, hold, return or alone is wanted")
         if ordered.what == "alone":
@@ -384,14 +417,24 @@
         rows, fleet = [], self._fleet()
         for place in self.places:
             sight, stage = self.sight(place, fleet), self.stage(place)
-            rows.append({
-                "zone": place.name, "share": max(self.shares[zone] for zone in place.zones), "stage": stage,
-                "zones": [self.zones[zone] for zone in place.zones], "verdict": sight.verdict.value,
-                "lasted": round(min(sight.lasted, 1e6), 1), "bears": round(sight.bears, 3), "strained": sight.strained,
-                "alone": place.topic in self.alone,
-                "met": {f"{self.zones[here]}>{self.zones[there]}": met._asdict()
-                        for (here, there), met in sorted(self.look.items()) if there in place.zones},
-            })  # fmt: skip
+            rows.append(
+                {
+                    "zone": place.name,
+                    "share": max(self.shares[zone] for zone in place.zones),
+                    "stage": stage,
+                    "zones": [self.zones[zone] for zone in place.zones],
+                    "verdict": sight.verdict.value,
+                    "lasted": round(min(sight.lasted, 1e6), 1),
+                    "bears": round(sight.bears, 3),
+                    "strained": sight.strained,
+                    "alone": place.topic in self.alone,
+                    "met": {
+                        f"{self.zones[here]}>{self.zones[there]}": met._asdict()
+                        for (here, there), met in sorted(self.look.items())
+                        if there in place.zones
+                    },
+                }
+            )
         return rows
 
 
--- a/driftshed/evacuation/retrace.py
+++ b/driftshed/evacuation/retrace.py
@@ -11,7 +11,7 @@
 
 
 def decided_again(row: dict) -> str:
-    """"" where a recorded decision (trace/schema.py) comes out as it was recorded, else how it differs."""
+    """ "" where a recorded decision (trace/schema.py) comes out as it was recorded, else how it differs."""
     try:
         if row["what"] == "next":
             said = next_stage(*NEXT.decode(row["given"]))
--- a/driftshed/evacuation/stages.py
+++ b/driftshed/evacuation/stages.py
@@ -76,8 +76,9 @@
     """The share of a place that may be left, by counts of servers that are listed ready and the shares that are left of
     the zones; `zones`: those of the place, as they come back. Guards against a cascade: one zone after the other would
     leave nobody to serve."""
-    spare = limits.ceiling * sum(servers) - sum(n * s for k, (n, s) in enumerate(zip(servers, left, strict=True))
-                                                if k not in zones)  # fmt: skip
+    spare = limits.ceiling * sum(servers) - sum(
+        n * s for k, (n, s) in enumerate(zip(servers, left, strict=True)) if k not in zones
+    )
     own = [servers[zone] for zone in zones]
     return max(0.0, reach(own, spare)) if any(own) else 0.0
 
@@ -90,8 +91,11 @@
     own = [max(0.0, busy[zone]) for zone in zones]
     if not limits.full or not any(own):
         return 1.0
-    spare = sum(max(0.0, limits.full * c * (1 - s) - b)
-                for k, (b, c, s) in enumerate(zip(busy, capacity, left, strict=True)) if k not in zones)  # fmt: skip
+    spare = sum(
+        max(0.0, limits.full * c * (1 - s) - b)
+        for k, (b, c, s) in enumerate(zip(busy, capacity, left, strict=True))
+        if k not in zones
+    )
     return reach(own, spare)
 
 
@@ -142,8 +146,9 @@
     if sight.verdict is Verdict.ILL and sight.fresh and sight.lasted >= limits.lasting / 2:
         if sight.overrun and not sight.dead:
             return None  # ill as it is, it carries what nobody else can
-        return msgspec.structs.replace(stage, phase="left", share=stage.good, flaps=stage.flaps + 1,
-                                       account="the last step was not borne")  # fmt: skip
+        return msgspec.structs.replace(
+            stage, phase="left", share=stage.good, flaps=stage.flaps + 1, account="the last step was not borne"
+        )
     # That the others show strain does not hold a return up: what comes back takes from them.
     if not borne(sight, limits):
         return None
@@ -167,12 +172,14 @@
     share = round(max(0.0, stage.share - limits.step), 6)
     if sight.fresh and sight.verdict is Verdict.ILL:
         phase, flaps = ("left", stage.flaps) if share > SMALL else ("back", stage.flaps + 1)
-        return msgspec.structs.replace(stage, phase=phase, share=share, good=share, dead=False, flaps=flaps,
-                                       account="the rest cannot bear it")  # fmt: skip
+        return msgspec.structs.replace(
+            stage, phase=phase, share=share, good=share, dead=False, flaps=flaps, account="the rest cannot bear it"
+        )
     if stage.flaps and sight.stood < resting(stage.flaps - 1, limits):
         return None
-    return msgspec.structs.replace(stage, phase="returning", share=share, good=stage.share,
-                                   account="the rest cannot bear it")  # fmt: skip
+    return msgspec.structs.replace(
+        stage, phase="returning", share=share, good=stage.share, account="the rest cannot bear it"
+    )
 
 
 def follows(old: Stage | None, new: Stage, limits: Limits) -> None:
--- a/driftshed/lab/command.py
+++ b/driftshed/lab/command.py
@@ -31,7 +31,7 @@
 
 
 def _seeds(text: str) -> list[int]:
-    """"1-5,8" as a list."""
+    """ "1-5,8" as a list."""
     try:
         seeds = []
         for part in text.split(","):
@@ -45,7 +45,7 @@
 
 
 def _variant(text: str) -> Variant:
-    """"NAME:policy=two-drawn,warm-within=4" as a variant."""
+    """ "NAME:policy=two-drawn,warm-within=4" as a variant."""
     name, _, rest = text.partition(":")
     variant = Variant(name)
     for part in filter(None, rest.split(",")):
@@ -79,9 +79,17 @@
 @option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="runs at a time")
 @click.option("--json", "as_json", is_flag=True, help="print one object a run and nothing else")
 def run(
-    scenarios: tuple[str, ...], seeds: str | None, variants: tuple[str, ...], size: str | None, clock: str,
-    file: Path | None, store: Path, label: str, jobs: int, as_json: bool,
-) -> None:  # fmt: skip
+    scenarios: tuple[str, ...],
+    seeds: str | None,
+    variants: tuple[str, ...],
+    size: str | None,
+    clock: str,
+    file: Path | None,
+    store: Path,
+    label: str,
+    jobs: int,
+    as_json: bool,
+) -> None:
     """Runs SCENARIOS (names or files) x variants x seeds and keeps the outcomes. Exit code: 0 when every rule is kept
     and every run counts, 1 otherwise, 2 on bad input."""
     try:
@@ -93,9 +101,12 @@
             own = load_scenario(scenarios[0]).seed if scenarios else 1
             plan = Experiment(
                 label or "+".join([Path(s).stem for s in scenarios] + [f"drawn-{size}"] * bool(size)),
-                _seeds(seeds) if seeds else [own], [_variant(each) for each in variants] or [Variant("driftshed")],
-                list(scenarios), size or "", clock,
-            )  # fmt: skip
+                _seeds(seeds) if seeds else [own],
+                [_variant(each) for each in variants] or [Variant("driftshed")],
+                list(scenarios),
+                size or "",
+                clock,
+            )
         planned = plan.jobs()
     except BadScenario as error:
         raise click.BadParameter(str(error), param_hint="SCENARIOS") from None
@@ -130,8 +141,13 @@
     signal.signal(signal.SIGTERM, end)
 
     console = Console(stderr=True)
-    with Progress(*Progress.get_default_columns()[:2], MofNCompleteColumn(), TimeRemainingColumn(), console=console,
-                  disable=as_json) as progress:  # fmt: skip
+    with Progress(
+        *Progress.get_default_columns()[:2],
+        MofNCompleteColumn(),
+        TimeRemainingColumn(),
+        console=console,
+        disable=as_json,
+    ) as progress:
         task = progress.add_task(label, total=len(store.to_do(label)))
 
         def told(job: Job, outcome: Outcome | None, why: str) -> None:
@@ -139,12 +155,25 @@
             if outcome is None:
                 console.print(f"{job.scenario}, seed {job.seed}, {job.variant}: {why}", markup=False)
             elif as_json:
-                click.echo(json.dumps({
-                    "scenario": job.scenario, "seed": job.seed, "variant": job.variant, "clock": job.clock,
-                    "service": round(outcome.service, 4), "worst": round(outcome.worst, 4), "rules": outcome.rules,
-                    "bound": round(outcome.bound, 4), "breaks": outcome.breaks, "faults": outcome.faults,
-                    "counts": outcome.counts, "digest": outcome.digest, "wall": outcome.wall,
-                }))  # fmt: skip
+                click.echo(
+                    json.dumps(
+                        {
+                            "scenario": job.scenario,
+                            "seed": job.seed,
+                            "variant": job.variant,
+                            "clock": job.clock,
+                            "service": round(outcome.service, 4),
+                            "worst": round(outcome.worst, 4),
+                            "rules": outcome.rules,
+                            "bound": round(outcome.bound, 4),
+                            "breaks": outcome.breaks,
+                            "faults": outcome.faults,
+                            "counts": outcome.counts,
+                            "digest": outcome.digest,
+                            "wall": outcome.wall,
+                        }
+                    )
+                )
 
         return perform(store, label, jobs, told)
 
@@ -160,8 +189,18 @@
             continue
         said = f"{row.broken} broken" if row.broken else "kept"
         said += "" if row.counts else "; does not count: the load tool fell behind"
-        table.add_row(str(row.id), row.scenario, str(row.seed), row.variant, row.clock, f"{row.service:.3f}",
-                      f"{row.worst:.3f}", f"{row.bound:.3f}", said, f"{row.wall:.1f} s")  # fmt: skip
+        table.add_row(
+            str(row.id),
+            row.scenario,
+            str(row.seed),
+            row.variant,
+            row.clock,
+            f"{row.service:.3f}",
+            f"{row.worst:.3f}",
+            f"{row.bound:.3f}",
+            said,
+            f"{row.wall:.1f} s",
+        )
     Console(width=150 if not sys.stdout.isatty() else None).print(table)
 
 
@@ -229,8 +268,9 @@
 @option("gap", type=click.FloatRange(0, 1), default=0.35, help="service lost of what could be had that is a finding")
 @option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="runs at a time")
 @option("out", type=click.Path(file_okay=False, path_type=Path), default=Path("hunt"), help="folder of what is found")
-def hunt(size: str, seed: int, rounds: int, width: int, seconds: float | None, gap: float, jobs: int,
-         out: Path) -> None:  # fmt: skip
+def hunt(
+    size: str, seed: int, rounds: int, width: int, seconds: float | None, gap: float, jobs: int, out: Path
+) -> None:
     """Searches for days on which rules break or service is far under what could be had, and keeps them, made small, as
     scenario files. Exit code: 0 when no rule broke, 1 when one did."""
     with ThreadPoolExecutor(jobs) as pool:
@@ -283,8 +323,10 @@
         loop.run(loop.clock() + 0.05)
     tool.stop()
     loop.close()
-    click.echo(f"{tool.sent} sent, {tool.under_way} not answered; behind: p99 {tool.lag.p99 * 1000:.1f} ms, "
-               f"most {tool.lag.most * 1000:.1f} ms")  # fmt: skip
+    click.echo(
+        f"{tool.sent} sent, {tool.under_way} not answered; behind: p99 {tool.lag.p99 * 1000:.1f} ms, "
+        f"most {tool.lag.most * 1000:.1f} ms"
+    )
     for k, operation in enumerate(operations):
         at = [tool.histograms[k].get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)]
         shown = " ".join(f"p{p} {value:.3f} s" for p, value in zip((50, 90, 99, 99.9), at, strict=True))
@@ -292,5 +334,3 @@
     if not tool.lag.kept_up:
         click.echo("the tool could not keep up: these figures do not count", err=True)
         sys.exit(1)
-
-
--- a/driftshed/lab/compare.py
+++ b/driftshed/lab/compare.py
@@ -53,8 +53,11 @@
     for row in rows:
         if row.variant in (a, b):
             by_day.setdefault((row.scenario, row.clock, row.seed), {})[row.variant] = row
-    good = [(both[a], both[b]) for both in by_day.values()
-            if len(both) == 2 and all(row.state == "done" and row.counts for row in both.values())]  # fmt: skip
+    good = [
+        (both[a], both[b])
+        for both in by_day.values()
+        if len(both) == 2 and all(row.state == "done" and row.counts for row in both.values())
+    ]
     return good, len(by_day) - len(good)
 
 
--- a/driftshed/lab/experiment.py
+++ b/driftshed/lab/experiment.py
@@ -65,8 +65,19 @@
                 for seed in self.seeds:
                     whole = text(seed)
                     _check_flags(whole, variant)
-                    jobs.append(Job(self.name, name, whole, variant.name, variant.policy, variant.flags, variant.build,
-                                    self.clock, seed))  # fmt: skip
+                    jobs.append(
+                        Job(
+                            self.name,
+                            name,
+                            whole,
+                            variant.name,
+                            variant.policy,
+                            variant.flags,
+                            variant.build,
+                            self.clock,
+                            seed,
+                        )
+                    )
         return jobs
 
 
@@ -87,9 +98,13 @@
         environment["PYTHONPATH"] = str(Path(job.build).resolve())
     task = msgspec.json.encode(Task(job.text, job.seed, job.clock, job.policy, job.flags))
     process = subprocess.Popen(
-        [sys.executable, "-m", "driftshed.lab.once"], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE, env=environment, cwd=job.build or None,
-    )  # fmt: skip
+        [sys.executable, "-m", "driftshed.lab.once"],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        env=environment,
+        cwd=job.build or None,
+    )
     started(process)
     try:
         out, said = process.communicate(task, LONGEST)
--- a/driftshed/lab/grounds.py
+++ b/driftshed/lab/grounds.py
@@ -146,23 +146,43 @@
         more = {"brain": self.brain} if self.brain else {}
         instance = Instance(self.facts, seed, f"run{self.runs}", self.whole.now, 0.0, **more)
         service = self.services[number] = Service(
-            seat, instance, (host, SUPERVISOR_PORT), self._log, silence=SILENCE, transport=self.transport(host),
-        )  # fmt: skip
+            seat,
+            instance,
+            (host, SUPERVISOR_PORT),
+            self._log,
+            silence=SILENCE,
+            transport=self.transport(host),
+        )
 
         if fleet.store:
             follower = RosterFollower(
-                seat, [self.store_address], "/driftshed/servers", self.facts.zones, self.facts.kinds,
-                Membership(4.0, 60.0), service.hear_roster, self._log, seed,
-                fleet.session_timeout, self.network.dial(host, lambda: self._talk(STORE, host)),
-            )  # fmt: skip
+                seat,
+                [self.store_address],
+                "/driftshed/servers",
+                self.facts.zones,
+                self.facts.kinds,
+                Membership(4.0, 60.0),
+                service.hear_roster,
+                self._log,
+                seed,
+                fleet.session_timeout,
+                self.network.dial(host, lambda: self._talk(STORE, host)),
+            )
             service.followed, instance.on_answered = "the store", follower.answered
         if fleet.supervisors > 1:
             names = [f"s{k}" for k in range(fleet.supervisors)]
             self.agents[number] = take_part(
-                seat, service, [self.store_address], "/driftshed/fleet", names[number], ",".join(names),
-                fleet.fleet_timeout, self._log, seed=seed,
+                seat,
+                service,
+                [self.store_address],
+                "/driftshed/fleet",
+                names[number],
+                ",".join(names),
+                fleet.fleet_timeout,
+                self._log,
+                seed=seed,
                 dial=self.network.dial(host, lambda: self._talk(STORED, host)),
-            )  # fmt: skip
+            )
         if fleet.leave_zones:
             log = lambda event, **fields: self._log(event, by=number, **fields)  # noqa: E731
             regions = read_regions(fleet.regions, self.facts.zones)
@@ -291,8 +311,9 @@
     def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
         for place, seed in zip(places, seeds, strict=True):
             proxy = ProxyProcess(self.scenario, self.folder, None)
-            proxy.start(place.number, place.zone, place.rate, place.listen, [self.control.address], place.standing,
-                        seed)  # fmt: skip
+            proxy.start(
+                place.number, place.zone, place.rate, place.listen, [self.control.address], place.standing, seed
+            )
             self.proxies.append(proxy)
         for process in (self.process, *self.proxies):
             process.await_listening()
@@ -322,8 +343,10 @@
         else:
             self.cut.remove(link)
         zones = self.facts.zones
-        hosts = {zone: {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(zones) == k}
-                 for k, zone in enumerate(zones)}  # fmt: skip
+        hosts = {
+            zone: {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(zones) == k}
+            for k, zone in enumerate(zones)
+        }
         apart = {(a, b) for each in self.cut for a, b in ((each.here, each.there), (each.there, each.here))}
 
         def cut(here: str, there: str) -> bool:
@@ -351,4 +374,3 @@
     """What a supervisor's log says that its module decided."""
     rows = [msgspec.json.decode(line) for line in log.read_bytes().splitlines() if line.startswith(b"{")]
     return [row["text"] for row in rows if row.get("event") == "decided"]
-
--- a/driftshed/lab/hunt.py
+++ b/driftshed/lab/hunt.py
@@ -73,8 +73,12 @@
     day: Scenario, fails: Callable[[Scenario], bool], told: Callable[[str], object] = lambda text: None
 ) -> Scenario:
     """The fewest troubles and the shortest day that still `fails`."""
-    best = _with(day, troubles=fewest(day.troubles, lambda less: fails(_with(day, troubles=less)),
-                                      lambda left: told(f"{len(left)} troubles")))  # fmt: skip
+    best = _with(
+        day,
+        troubles=fewest(
+            day.troubles, lambda less: fails(_with(day, troubles=less)), lambda left: told(f"{len(left)} troubles")
+        ),
+    )
     low, high = max(SHORTEST, max((t.at for t in best.troubles), default=0.0) + 0.5), best.seconds
     while high - low > 1.0:
         middle = round((low + high) / 2, 1)
@@ -111,8 +115,14 @@
 
 
 def hunt(
-    size: str, seed: int, rounds: int, pool, told: Callable[[str], object] = lambda text: None, gap: float = 0.35,
-    seconds: float | None = None, width: int = 8,
+    size: str,
+    seed: int,
+    rounds: int,
+    pool,
+    told: Callable[[str], object] = lambda text: None,
+    gap: float = 0.35,
+    seconds: float | None = None,
+    width: int = 8,
 ) -> list[Day]:
     """Plays `rounds` x `width` days and gives those that break a rule, raise a fault, or lose more than `gap` of the
     service that could be had, each made small, worst first; one for each kind of failing. `pool` runs them at once."""
--- a/driftshed/lab/load.py
+++ b/driftshed/lab/load.py
@@ -47,9 +47,13 @@
 
 
 def draw(
-    traffic: Traffic, operations: tuple[face.Operation, ...], rates: list[float], surges: list[Surge], seconds: float,
+    traffic: Traffic,
+    operations: tuple[face.Operation, ...],
+    rates: list[float],
+    surges: list[Surge],
+    seconds: float,
     seed: int,
-) -> Iterator[Arrivals]:  # fmt: skip
+) -> Iterator[Arrivals]:
     """The invocations of a day, stretch by stretch; the same for the same arguments, wherever it is drawn. `rates`: by
     proxy, of which only the proportions count."""
     names = [operation.name for operation in operations]
@@ -143,9 +147,16 @@
     None where it got no good answer."""
 
     def __init__(
-        self, loop: Timers, transport: Transport, hosts: list[tuple[str, int]], operations: tuple[face.Operation, ...],
-        arrivals: Iterator[Arrivals], seed: int, repeats: bool, tap: Callable[[tuple[str, int]], object] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        transport: Transport,
+        hosts: list[tuple[str, int]],
+        operations: tuple[face.Operation, ...],
+        arrivals: Iterator[Arrivals],
+        seed: int,
+        repeats: bool,
+        tap: Callable[[tuple[str, int]], object] | None = None,
+    ) -> None:
         self.loop, self.operations, self.arrivals, self.repeats = loop, operations, arrivals, repeats
         self.random = Random(f"clients {seed}")
         self.clients: list[HttpClient] = [
--- a/driftshed/lab/model.py
+++ b/driftshed/lab/model.py
@@ -20,9 +20,11 @@
 
 
 def explore(
-    start: Hashable, moves: Callable[[Hashable], Iterable[tuple[str, Hashable]]], wrong: Callable[[Hashable], str],
+    start: Hashable,
+    moves: Callable[[Hashable], Iterable[tuple[str, Hashable]]],
+    wrong: Callable[[Hashable], str],
     most: int = 2_000_000,
-) -> Found:  # fmt: skip
+) -> Found:
     """Searches from `start` by `moves(state)`, which brings names and next states, until `wrong(state)` says something
     or nothing new comes up; at most `most` states are kept."""
     came: dict[Hashable, tuple[Hashable, str] | None] = {start: None}
--- a/driftshed/lab/record.py
+++ b/driftshed/lab/record.py
@@ -10,8 +10,19 @@
 class Passed:
     """One request and what came back, as `day.traffic.Exchange` has it. Times are seconds from the start."""
 
-    __slots__ = ("connection", "asked_at", "method", "path", "raw", "asked", "answered_at", "status", "headers", "body",
-                 "sent_at")  # fmt: skip
+    __slots__ = (
+        "connection",
+        "asked_at",
+        "method",
+        "path",
+        "raw",
+        "asked",
+        "answered_at",
+        "status",
+        "headers",
+        "body",
+        "sent_at",
+    )
 
     def __init__(
         self, connection: Witness, asked_at: float, method: str, path: str, raw: str, asked: bytes, sent_at: float
--- a/driftshed/lab/report.py
+++ b/driftshed/lab/report.py
@@ -44,8 +44,14 @@
         if named:
             depth = 1.04 + 0.075 * (k % MOST_BANDS)
             axes.text(since, depth, what, transform=axes.get_xaxis_transform(), color=colour, fontsize=7.5)
-            axes.plot([since, min(till, seconds)], [depth - 0.012] * 2, color=colour, lw=2, clip_on=False,
-                      transform=axes.get_xaxis_transform())  # fmt: skip
+            axes.plot(
+                [since, min(till, seconds)],
+                [depth - 0.012] * 2,
+                color=colour,
+                lw=2,
+                clip_on=False,
+                transform=axes.get_xaxis_transform(),
+            )
 
 
 def service_plot(outcomes: list[tuple[str, Outcome]]) -> bytes:
@@ -133,8 +139,15 @@
             for second, work, capacity in outcome.carried[server]:
                 if second <= seconds:
                     picture[row, int(second)] = min(2.0, work / capacity) if capacity > 1e-6 else 2.0
-        image = axes.imshow(picture, aspect="auto", cmap="RdYlBu_r", vmin=0, vmax=2, interpolation="nearest",
-                            extent=(0, seconds + 1, len(servers), 0))  # fmt: skip
+        image = axes.imshow(
+            picture,
+            aspect="auto",
+            cmap="RdYlBu_r",
+            vmin=0,
+            vmax=2,
+            interpolation="nearest",
+            extent=(0, seconds + 1, len(servers), 0),
+        )
         places = {server: row for row, server in enumerate(servers)}
         for server, since, till, _ in outcome.out:
             if server in places:
@@ -205,10 +218,19 @@
     rows = []
     for name, outcome in outcomes:
         broken = [rule for rule, row in outcome.rules.items() if row["broken"]]
-        rows.append([
-            name, f"{outcome.service:.3f}", f"{outcome.worst:.3f}", f"{outcome.bound:.3f}", str(outcome.asked),
-            ", ".join(broken) or "none", outcome.clock, str(outcome.seed), f"{outcome.lag[0] * 1000:.1f} ms",
-        ])  # fmt: skip
+        rows.append(
+            [
+                name,
+                f"{outcome.service:.3f}",
+                f"{outcome.worst:.3f}",
+                f"{outcome.bound:.3f}",
+                str(outcome.asked),
+                ", ".join(broken) or "none",
+                outcome.clock,
+                str(outcome.seed),
+                f"{outcome.lag[0] * 1000:.1f} ms",
+            ]
+        )
     head = ["run", "service", "worst 10 s", "bound", "invocations", "rules broken", "clock", "seed", "lag p99"]
     return _table(head, rows)
 
--- a/driftshed/lab/run.py
+++ b/driftshed/lab/run.py
@@ -122,9 +122,17 @@
 def _judge(world: World, kinds: dict[str, list], unix: float, rows: list) -> Outcome:
     scenario, facts, cast = world.scenario, world.facts, world.cast
     case = Case(
-        facts, cast, lambda number: scenario.machine(cast.kind_of_server(number), facts), scenario.seconds, world.cuts,
-        world.kills, unix, kinds, world.ground.owner, world.pauses,
-    )  # fmt: skip
+        facts,
+        cast,
+        lambda number: scenario.machine(cast.kind_of_server(number), facts),
+        scenario.seconds,
+        world.cuts,
+        world.kills,
+        unix,
+        kinds,
+        world.ground.owner,
+        world.pauses,
+    )
     judge = Judge(case)
     verdict: Verdict = judge.judge()
     if scenario.fleet.supervisors > 1:
@@ -133,19 +141,38 @@
     lag = world.load.lag
     carried, digest = _carried(world, kinds)
     return Outcome(
-        write_scenario(scenario), world.seed, "", "", lag.kept_up, (round(lag.p99, 6), round(lag.most, 6)),
-        verdict.service if verdict.asked else 1.0, worst_of(over_time), bound_of(world, rows), verdict.asked,
+        write_scenario(scenario),
+        world.seed,
+        "",
+        "",
+        lag.kept_up,
+        (round(lag.p99, 6), round(lag.most, 6)),
+        verdict.service if verdict.asked else 1.0,
+        worst_of(over_time),
+        bound_of(world, rows),
+        verdict.asked,
         verdict.operations,
         {
             operation.name: {str(p): histogram.get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)}
             for operation, histogram in zip(facts.operations, world.load.histograms, strict=True)
             if histogram.get_total_count()
         },
-        over_time, verdict.rules, verdict.breaks, verdict.margins,
+        over_time,
+        verdict.rules,
+        verdict.breaks,
+        verdict.margins,
         [(round(band.since, 3), round(band.till, 3), band.what) for band in world.bands],
-        [(round(sample.at, 3), sample.waiting) for sample in world.samples], facts.queue_cap, _out(world), carried, [],
-        [], digest, 0, [], (0.0, 0.0),
-    )  # fmt: skip
+        [(round(sample.at, 3), sample.waiting) for sample in world.samples],
+        facts.queue_cap,
+        _out(world),
+        carried,
+        [],
+        [],
+        digest,
+        0,
+        [],
+        (0.0, 0.0),
+    )
 
 
 def service_over_time(scenario: Scenario, rows: list) -> list[tuple[float, float]]:
--- a/driftshed/lab/scenario.py
+++ b/driftshed/lab/scenario.py
@@ -266,9 +266,25 @@
 
 
 Trouble = (
-    Lapse | StoreDown | StorePause | Sick | Crash | Deploy | Drain | ZoneLost | Link | LateRoster | LyingRoster | Clock
-    | Kill | Pause | Rejoin | Surge | Grow | Shrink
-)  # fmt: skip
+    Lapse
+    | StoreDown
+    | StorePause
+    | Sick
+    | Crash
+    | Deploy
+    | Drain
+    | ZoneLost
+    | Link
+    | LateRoster
+    | LyingRoster
+    | Clock
+    | Kill
+    | Pause
+    | Rejoin
+    | Surge
+    | Grow
+    | Shrink
+)
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
@@ -293,9 +309,13 @@
         given = self.fleet.kinds[kind % len(self.fleet.kinds)]
         marks = max((o.repeat_window or 0.0 for o in facts.operations), default=0.0)
         return Machine(
-            **msgspec.structs.asdict(given), cold_share=facts.cold_share, warm_within=facts.warm_within,
-            tip_multiple=facts.tip_multiple, tip_span=facts.tip_span, marks_for=marks,
-        )  # fmt: skip
+            **msgspec.structs.asdict(given),
+            cold_share=facts.cold_share,
+            warm_within=facts.warm_within,
+            tip_multiple=facts.tip_multiple,
+            tip_span=facts.tip_span,
+            marks_for=marks,
+        )
 
 
 def known_scenarios() -> list[str]:
@@ -367,11 +387,12 @@
             raise BadScenario(f"{what}: which: there are {scenario.fleet.supervisors} supervisors, counted from 0")
         whom = getattr(trouble, "whom", Whom())
         for field, value, known in (
-            ("zone", whom.zone or getattr(trouble, "zone", ""), facts.zones), ("kind", whom.kind, facts.kinds),
+            ("zone", whom.zone or getattr(trouble, "zone", ""), facts.zones),
+            ("kind", whom.kind, facts.kinds),
             ("operation", getattr(trouble, "operation", ""), names),
             ("here", getattr(trouble, "here", ""), (*facts.zones, *controls, "roster")),
             ("there", getattr(trouble, "there", ""), (*facts.zones, *controls, "roster")),
-        ):  # fmt: skip
+        ):
             if value and value not in known:
                 raise BadScenario(f"{what}: {field} {value!r} is none of {', '.join(known)}")
     return scenario
@@ -431,15 +452,29 @@
     scale = rate * mean / load / (servers * sum(cores * speed for cores, speed in machines) / len(machines))
     kinds = [Kind(cores, round(speed * scale, 3), load_noise=0.1, load_lag=0.2) for cores, speed in machines]
     flags = {
-        "zones": "east,west,north", "kinds": "large,small", "proxies": proxies, "load-fields": "in flight",
-        "warm-within": 8.0, "drain-grace": 2.5, "bare-for": 4.0,
-        "queue-cap": float(max(1500, 12 * proxies)), "lines-per-second": float(max(1000, 8 * proxies)),
+        "zones": "east,west,north",
+        "kinds": "large,small",
+        "proxies": proxies,
+        "load-fields": "in flight",
+        "warm-within": 8.0,
+        "drain-grace": 2.5,
+        "bare-for": 4.0,
+        "queue-cap": float(max(1500, 12 * proxies)),
+        "lines-per-second": float(max(1000, 8 * proxies)),
         "report-lines": float(max(250, 3 * (servers + proxies))),
-    }  # fmt: skip
-    return check(Scenario(
-        f"a day of {servers} servers and {proxies} proxies", seconds or length, list(OPERATIONS),
-        Fleet(servers, kinds, cells=4), Traffic(rate, shares, work), Network(), flags, [],
-    ))  # fmt: skip
+    }
+    return check(
+        Scenario(
+            f"a day of {servers} servers and {proxies} proxies",
+            seconds or length,
+            list(OPERATIONS),
+            Fleet(servers, kinds, cells=4),
+            Traffic(rate, shares, work),
+            Network(),
+            flags,
+            [],
+        )
+    )
 
 
 def drawn(seed: int, size: str, seconds: float | None = None) -> Scenario:
@@ -458,36 +493,63 @@
     lasts = round(random.uniform(0.1, 0.4) * length, 2)
     zone, other = random.sample(facts.zones, 2)
     kind, cell = random.choice(facts.kinds), random.randrange(day.fleet.cells)
-    whom = random.choice([
-        Whom(count=1), Whom(count=3), Whom(share=0.1), Whom(share=0.25), Whom(share=0.5, kind=kind),
-        Whom(share=0.5, zone=zone), Whom(share=1.0, cell=cell),
-    ])  # fmt: skip
+    whom = random.choice(
+        [
+            Whom(count=1),
+            Whom(count=3),
+            Whom(share=0.1),
+            Whom(share=0.25),
+            Whom(share=0.5, kind=kind),
+            Whom(share=0.5, zone=zone),
+            Whom(share=1.0, cell=cell),
+        ]
+    )
     few = random.choice([Whom(count=1), Whom(count=2), Whom(share=0.1), Whom(share=0.2)])
     operation = random.choice(["", "", "", *(o.name for o in facts.operations)])
     every = random.choice([0.0, 0.0, 0.0, 3.0])
     size = day.fleet.servers
-    return random.choice([
-        lambda: Sick(at, lasts, "slow", round(random.uniform(1.5, 6), 1), whom, every, operation),
-        lambda: Sick(at, lasts, "hang", 1.0, few, every, operation),
-        lambda: Sick(at, lasts, "errors", round(random.uniform(0.2, 1), 2), few, every, operation),
-        lambda: Sick(at, lasts, "lost-answers", round(random.uniform(0.2, 1), 2), few),
-        lambda: Sick(at, lasts, random.choice(["refuse", "squeeze"]), 0.005, few),
-        lambda: Sick(at, lasts, random.choice(["neighbour", "ageing"]), round(random.uniform(0.2, 0.7), 2), whom),
-        lambda: Crash(at, whom, round(random.uniform(1, 6), 1)),
-        lambda: Deploy(at, Whom(share=random.choice([0.3, 1.0])), round(random.uniform(1.5, 4), 2), max(1, size // 25)),
-        lambda: Drain(at, lasts, few),
-        lambda: ZoneLost(at, lasts, zone),
-        lambda: Link(at, lasts, zone, other, random.choice([0.0, 0.05, 0.2]), random.choice([0.0, 0.02, 0.2]),
-                     random.random() < 0.3, random.random() < 0.6),
-        lambda: Link(at, lasts, "control", random.choice(["", zone]), random.choice([0.05, 0.3]), 0.05,
-                     random.random() < 0.4, random.random() < 0.6),
-        lambda: LateRoster(at, lasts, round(random.uniform(1, 8), 1)),
-        lambda: LyingRoster(at, lasts, random.choice(["draining", "gone", "started just now"]), few),
-        lambda: Clock(at, lasts, random.choice([-30.0, 30.0, 3600.0])),
-        lambda: Kill(at, round(random.uniform(0.5, 4), 1)),
-        lambda: Pause(at, round(random.uniform(0.5, 4), 1), random.choice(["supervisor", "proxies"]), 0.3),
-        lambda: Rejoin(at, random.choice([0.3, 1.0])),
-        lambda: Surge(at, lasts, round(random.uniform(1.3, 2.5), 2), operation),
-        lambda: Grow(at, max(1, size // 8)),
-        lambda: Shrink(at, Whom(share=0.1)),
-    ])()  # fmt: skip
+    return random.choice(
+        [
+            lambda: Sick(at, lasts, "slow", round(random.uniform(1.5, 6), 1), whom, every, operation),
+            lambda: Sick(at, lasts, "hang", 1.0, few, every, operation),
+            lambda: Sick(at, lasts, "errors", round(random.uniform(0.2, 1), 2), few, every, operation),
+            lambda: Sick(at, lasts, "lost-answers", round(random.uniform(0.2, 1), 2), few),
+            lambda: Sick(at, lasts, random.choice(["refuse", "squeeze"]), 0.005, few),
+            lambda: Sick(at, lasts, random.choice(["neighbour", "ageing"]), round(random.uniform(0.2, 0.7), 2), whom),
+            lambda: Crash(at, whom, round(random.uniform(1, 6), 1)),
+            lambda: Deploy(
+                at, Whom(share=random.choice([0.3, 1.0])), round(random.uniform(1.5, 4), 2), max(1, size // 25)
+            ),
+            lambda: Drain(at, lasts, few),
+            lambda: ZoneLost(at, lasts, zone),
+            lambda: Link(
+                at,
+                lasts,
+                zone,
+                other,
+                random.choice([0.0, 0.05, 0.2]),
+                random.choice([0.0, 0.02, 0.2]),
+                random.random() < 0.3,
+                random.random() < 0.6,
+            ),
+            lambda: Link(
+                at,
+                lasts,
+                "control",
+                random.choice(["", zone]),
+                random.choice([0.05, 0.3]),
+                0.05,
+                random.random() < 0.4,
+                random.random() < 0.6,
+            ),
+            lambda: LateRoster(at, lasts, round(random.uniform(1, 8), 1)),
+            lambda: LyingRoster(at, lasts, random.choice(["draining", "gone", "started just now"]), few),
+            lambda: Clock(at, lasts, random.choice([-30.0, 30.0, 3600.0])),
+            lambda: Kill(at, round(random.uniform(0.5, 4), 1)),
+            lambda: Pause(at, round(random.uniform(0.5, 4), 1), random.choice(["supervisor", "proxies"]), 0.3),
+            lambda: Rejoin(at, random.choice([0.3, 1.0])),
+            lambda: Surge(at, lasts, round(random.uniform(1.3, 2.5), 2), operation),
+            lambda: Grow(at, max(1, size // 8)),
+            lambda: Shrink(at, Whom(share=0.1)),
+        ]
+    )()
--- a/driftshed/lab/store.py
+++ b/driftshed/lab/store.py
@@ -70,16 +70,26 @@
             self.file.execute(
                 "insert or ignore into run (label, scenario, text, variant, policy, flags, build, clock, seed) "
                 "values (?, ?, ?, ?, ?, ?, ?, ?, ?)",
-                (job.label, job.scenario, job.text, job.variant, job.policy, msgspec.json.encode(job.flags).decode(),
-                 job.build, job.clock, job.seed),
-            )  # fmt: skip
+                (
+                    job.label,
+                    job.scenario,
+                    job.text,
+                    job.variant,
+                    job.policy,
+                    msgspec.json.encode(job.flags).decode(),
+                    job.build,
+                    job.clock,
+                    job.seed,
+                ),
+            )
         return self.file.total_changes - before
 
     def to_do(self, label: str) -> list[tuple[int, Job]]:
         rows = self.file.execute(
             "select id, label, scenario, text, variant, policy, flags, build, clock, seed from run "
-            "where label = ? and state != 'done' order by id", (label,),
-        )  # fmt: skip
+            "where label = ? and state != 'done' order by id",
+            (label,),
+        )
         return [(row[0], Job(*row[1:6], msgspec.json.decode(row[6]), *row[7:])) for row in rows]
 
     def done(self, number: int, outcome: Outcome, version: str) -> None:
@@ -88,17 +98,28 @@
         self.file.execute(
             "update run set state = 'done', why = '', service = ?, worst = ?, bound = ?, broken = ?, counts = ?, "
             "wall = ?, outcome = ?, version = ? where id = ?",
-            (outcome.service, outcome.worst, outcome.bound, broken, int(outcome.counts), sum(outcome.wall), blob,
-             version, number),
-        )  # fmt: skip
+            (
+                outcome.service,
+                outcome.worst,
+                outcome.bound,
+                broken,
+                int(outcome.counts),
+                sum(outcome.wall),
+                blob,
+                version,
+                number,
+            ),
+        )
 
     def failed(self, number: int, why: str) -> None:
         self.file.execute("update run set state = 'failed', why = ? where id = ?", (why, number))
 
     def rows(self, label: str | None = None) -> list[Row]:
         where, with_ = ("where label = ?", (label,)) if label else ("", ())
-        return [Row(*row) for row in self.file.execute(f"select {', '.join(Row._fields)} from run {where} order by id",
-                                                       with_)]  # fmt: skip
+        return [
+            Row(*row)
+            for row in self.file.execute(f"select {', '.join(Row._fields)} from run {where} order by id", with_)
+        ]
 
     def outcome(self, number: int) -> Outcome | None:
         row = self.file.execute("select outcome from run where id = ?", (number,)).fetchone()
--- a/driftshed/lab/virtual.py
+++ b/driftshed/lab/virtual.py
@@ -142,12 +142,25 @@
     def transport(self, host: str) -> Transport:
         """How a process at `host` speaks HTTP."""
 
-        def server(loop: Seat, address: tuple[str, int], handle, bounds: Bounds = Bounds(), refusal=str.encode,
-                   shared: bool = False) -> VirtualServer:  # fmt: skip
+        def server(
+            loop: Seat,
+            address: tuple[str, int],
+            handle,
+            bounds: Bounds = Bounds(),
+            refusal=str.encode,
+            shared: bool = False,
+        ) -> VirtualServer:
             return VirtualServer(self, loop, address, handle, bounds, refusal)
 
-        def client(loop: Seat, address: tuple[str, int], source: str | None = None, most_body: int = 8 << 20,
-                   tap=None, idle_most: int = 64, idle_for: float = 0.0) -> VirtualClient:  # fmt: skip
+        def client(
+            loop: Seat,
+            address: tuple[str, int],
+            source: str | None = None,
+            most_body: int = 8 << 20,
+            tap=None,
+            idle_most: int = 64,
+            idle_for: float = 0.0,
+        ) -> VirtualClient:
             return VirtualClient(self, loop, address, source or host, idle_most, idle_for)
 
         return Transport(server, client)
@@ -347,8 +360,20 @@
 class VirtualConnection:
     """One stream as its client sees it, with at most one call on it."""
 
-    __slots__ = ("client", "call", "timer", "calls", "sent", "connecting", "sock", "forth", "served", "witness", "seen",
-                 "back")  # fmt: skip
+    __slots__ = (
+        "client",
+        "call",
+        "timer",
+        "calls",
+        "sent",
+        "connecting",
+        "sock",
+        "forth",
+        "served",
+        "witness",
+        "seen",
+        "back",
+    )
 
     def __init__(self, client: VirtualClient) -> None:
         self.client, self.call, self.timer, self.calls, self.sent = client, None, None, 0, False
--- a/driftshed/lab/world.py
+++ b/driftshed/lab/world.py
@@ -112,9 +112,15 @@
         surges = [trouble for trouble in scenario.troubles if isinstance(trouble, says.Surge)]
         arrivals = draw(scenario.traffic, facts.operations, rates, surges, scenario.seconds, self.seed)
         self.load = Load(
-            self.loop, ground.transport(f"127.{self.cast.net}.0.4"), [place.listen for place in self.places],
-            facts.operations, arrivals, self.seed, scenario.traffic.repeats, ground.tap_ask,
-        )  # fmt: skip
+            self.loop,
+            ground.transport(f"127.{self.cast.net}.0.4"),
+            [place.listen for place in self.places],
+            facts.operations,
+            arrivals,
+            self.seed,
+            scenario.traffic.repeats,
+            ground.tap_ask,
+        )
         self.load.begin(self.began)
         transport, address = ground.supervisor_transport()
         self.views = transport.client(self.loop, address, idle_most=2)
@@ -141,9 +147,13 @@
         address = host, int(port)
         machine = self.scenario.machine(self.cast.kind_of_server(number), self.facts)
         self.servers[number] = ServerStandin(
-            self.loop, address, machine, self.random.getrandbits(32), self.ground.tap_work(address),
+            self.loop,
+            address,
+            machine,
+            self.random.getrandbits(32),
+            self.ground.tap_work(address),
             self.ground.transport(host),
-        )  # fmt: skip
+        )
         self.servers[number].start(cold)
         self.states[number] = "ready"
 
@@ -151,9 +161,13 @@
         started, facts, cast = self.servers[number].started, self.facts, self.cast
         unix = None if started == float("-inf") else self.ground.unix(started) + self.step
         return ListedServer(
-            cast.server(number), facts.zones[cast.zone_of_server(number)], facts.kinds[cast.kind_of_server(number)],
-            self.states[number], unix, number // len(facts.zones) % self.scenario.fleet.cells,
-        )  # fmt: skip
+            cast.server(number),
+            facts.zones[cast.zone_of_server(number)],
+            facts.kinds[cast.kind_of_server(number)],
+            self.states[number],
+            unix,
+            number // len(facts.zones) % self.scenario.fleet.cells,
+        )
 
     def _tell(self, number: int, state: str | None = None) -> None:
         """The roster hears of a server, unless it has a lie to tell about it."""
@@ -191,12 +205,14 @@
         """Servers that fit and are listed ready, drawn by chance."""
         facts, cast = self.facts, self.cast
         fit = [
-            n for n, state in self.states.items()
-            if state == "ready" and self.servers[n].up
+            n
+            for n, state in self.states.items()
+            if state == "ready"
+            and self.servers[n].up
             and (not whom.kind or facts.kinds[cast.kind_of_server(n)] == whom.kind)
             and (not whom.zone or facts.zones[cast.zone_of_server(n)] == whom.zone)
             and (whom.cell < 0 or n // len(facts.zones) % self.scenario.fleet.cells == whom.cell)
-        ]  # fmt: skip
+        ]
         count = whom.count or round(whom.share * len(fit)) or 1
         return sorted(self.random.sample(fit, min(count, len(fit))))
 
@@ -204,10 +220,15 @@
         numbers = self._some(trouble.whom)
         hard, operation = trouble.hard, trouble.operation or None
         ill = {
-            "slow": Ill(slower=max(1e-3, hard)), "hang": Ill(hangs=True), "errors": Ill(errors=min(1.0, hard)),
-            "lost-answers": Ill(lost=min(1.0, hard)), "refuse": Ill(refuses=True),
-            "squeeze": Ill(squeezed=min(1.0, hard)), "neighbour": Ill(stolen=min(0.99, hard)), "ageing": Ill(ages=hard),
-        }[trouble.how]._replace(operation=operation)  # fmt: skip
+            "slow": Ill(slower=max(1e-3, hard)),
+            "hang": Ill(hangs=True),
+            "errors": Ill(errors=min(1.0, hard)),
+            "lost-answers": Ill(lost=min(1.0, hard)),
+            "refuse": Ill(refuses=True),
+            "squeeze": Ill(squeezed=min(1.0, hard)),
+            "neighbour": Ill(stolen=min(0.99, hard)),
+            "ageing": Ill(ages=hard),
+        }[trouble.how]._replace(operation=operation)
         self._band(trouble.lasts, f"{trouble.how} x{len(numbers)}" + (f" {trouble.operation}" * bool(operation)))
         until = self.loop.clock() + trouble.lasts
         key = object()
@@ -253,9 +274,7 @@
         for k, batch in enumerate(batches):
             for n in batch:
                 follow = lambda n=n: self.loop.after(trouble.down, lambda: self._succeed(n))  # noqa: E731
-                self.loop.after(
-                    k * trouble.every, lambda n=n, follow=follow: self._drain(n, trouble.drain, follow)
-                )  # fmt: skip
+                self.loop.after(k * trouble.every, lambda n=n, follow=follow: self._drain(n, trouble.drain, follow))
 
     def _drain(self, number: int, drain: float, then: Callable[[], object]) -> None:
         if self.states[number] != "ready":
--- a/driftshed/net/http.py
+++ b/driftshed/net/http.py
@@ -193,9 +193,14 @@
     """Serves `handle(request)` at one address. `refusal(reason)` makes the body of an answer to what is malformed."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], handle: Callable[[Request], object], bounds: Bounds = Bounds(),
-        refusal: Callable[[str], bytes] = lambda reason: reason.encode(), shared: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        handle: Callable[[Request], object],
+        bounds: Bounds = Bounds(),
+        refusal: Callable[[str], bytes] = lambda reason: reason.encode(),
+        shared: bool = False,
+    ) -> None:
         self.loop, self.handle, self.bounds, self.refusal = loop, handle, bounds, refusal
         self.connections: dict[ServerConnection, None] = {}  # in the order of their coming
         self.on_connection_end: Callable[[ServerConnection, str], object] | None = None
@@ -213,8 +218,10 @@
             body = self.refusal("too many connections; come back later")
             stream.write(
                 b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: "
-                + str(len(body)).encode() + b"\r\n\r\n" + body
-            )  # fmt: skip
+                + str(len(body)).encode()
+                + b"\r\n\r\n"
+                + body
+            )
             stream.finish()
             return
         if stream.sock is not None:
@@ -304,9 +311,15 @@
     __slots__ = ("method", "path", "body", "kind", "extra", "host", "on_done", "timer", "connection")
 
     def __init__(
-        self, method: str, path: str, body: bytes, kind: str, extra: str, host: str,
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        kind: str,
+        extra: str,
+        host: str,
         on_done: Callable[[Answer], object],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.method, self.path, self.body, self.kind, self.extra, self.host = method, path, body, kind, extra, host
         self.on_done, self.timer, self.connection = on_done, None, None
 
@@ -333,9 +346,15 @@
     """Calls to one address over kept connections, one call a connection, the connection used last first."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], source: str | None = None, most_body: int = 8 << 20,
-        tap: Callable[[], Tap] | None = None, idle_most: int = 64, idle_for: float = 0.0,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        source: str | None = None,
+        most_body: int = 8 << 20,
+        tap: Callable[[], Tap] | None = None,
+        idle_most: int = 64,
+        idle_for: float = 0.0,
+    ) -> None:
         self.idle_for = idle_for  # seconds after which an idle connection is ended; 0: never
         self.loop, self.address, self.source, self.most_body = loop, address, source, most_body
         self.tap, self.idle_most = tap, idle_most
@@ -344,9 +363,16 @@
         self.host = f"host: {address[0]}:{address[1]}\r\n"
 
     def call(
-        self, method: str, path: str, body: bytes, on_done: Callable[[Answer], object], within: float,
-        extra: str = "", kind: str = "application/json", fresh: bool = False,
-    ) -> Call:  # fmt: skip
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        on_done: Callable[[Answer], object],
+        within: float,
+        extra: str = "",
+        kind: str = "application/json",
+        fresh: bool = False,
+    ) -> Call:
         """Sends a request and tells `on_done(answer)`, once, within `within` seconds. `fresh`: on a new connection."""
         call = Call(method, path, body, kind, extra, self.host, on_done)
         if self.idle and not fresh:
--- a/driftshed/net/stream.py
+++ b/driftshed/net/stream.py
@@ -21,8 +21,24 @@
     is over for whatever reason: "ended", "reset", "stuck" (the peer does not read: the output outgrew its bound)
     or what `abort` was given."""
 
-    __slots__ = ("loop", "sock", "peer", "out", "most_out", "on_data", "on_end", "on_drained", "tap", "paused",
-                 "closing", "connecting", "on_open", "events", "came", "went")  # fmt: skip
+    __slots__ = (
+        "loop",
+        "sock",
+        "peer",
+        "out",
+        "most_out",
+        "on_data",
+        "on_end",
+        "on_drained",
+        "tap",
+        "paused",
+        "closing",
+        "connecting",
+        "on_open",
+        "events",
+        "came",
+        "went",
+    )
 
     def __init__(self, loop: Loop, sock: socket.socket, most_out: int, connecting: bool = False) -> None:
         self.loop, self.sock, self.most_out = loop, sock, most_out
@@ -152,9 +168,13 @@
     """Accepts connections at one address and hands each to `on_stream(stream)`."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], on_stream: Callable[[Stream], object], most_out: int = 1 << 20,
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        on_stream: Callable[[Stream], object],
+        most_out: int = 1 << 20,
         shared: bool = False,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.on_stream, self.most_out = loop, on_stream, most_out
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/driftshed/node/__main__.py
+++ b/driftshed/node/__main__.py
@@ -37,8 +37,9 @@
     except BadInput as error:
         print(f"driftshed: {error}", file=sys.stderr)
         return 2
-    loop.on_error = lambda error: log("fault", level="error", error=f"{type(error).__name__}: {error}",
-                                      place=_place(error))  # fmt: skip
+    loop.on_error = lambda error: log(
+        "fault", level="error", error=f"{type(error).__name__}: {error}", place=_place(error)
+    )
     try:
         service = Service(loop, told, log)
     except OSError as error:
--- a/driftshed/node/codec.py
+++ b/driftshed/node/codec.py
@@ -13,8 +13,14 @@
 
 STATES = {"up": face.READY, "draining": face.DRAINING, "removed": face.GONE}
 # The platform writes load fields by these names, the settings by those of the simulator's wire.
-LOAD_WORDS = {"inflight": "in flight", "queue": "queued", "util": "utilisation", "latency_ms": "service time",
-              "qps": "succeeded rate", "eps": "errored rate"} | LOADS  # fmt: skip
+LOAD_WORDS = {
+    "inflight": "in flight",
+    "queue": "queued",
+    "util": "utilisation",
+    "latency_ms": "service time",
+    "qps": "succeeded rate",
+    "eps": "errored rate",
+} | LOADS
 MOST_NAME = 128  # characters of an id
 MOST_COUNT = 2**32
 GROUPS = 256  # tables that one module may use; the next module's lie behind them
@@ -186,11 +192,14 @@
             raise Bad("an unknown state")
         started = amount(each.get("started_ms", 0) or 0, 1e15)
         return face.Entry(
-            server(each["id"]), self._place(self.zones, each["zone"], "zone"),
+            server(each["id"]),
+            self._place(self.zones, each["zone"], "zone"),
             self._place(self.kinds, each["kind"], "kind"),
             started / 1000 + self.to_clock if started else None,
-            count(each.get("cell", 0)), state, amount(each.get("weight", 1.0), 1e12),
-        )  # fmt: skip
+            count(each.get("cell", 0)),
+            state,
+            amount(each.get("weight", 1.0), 1e12),
+        )
 
     # ---- orders -----------------------------------------------------------------------------------------------
 
--- a/driftshed/node/config.py
+++ b/driftshed/node/config.py
@@ -15,13 +15,41 @@
 MOST_BYTES = 16 << 20  # of a configuration file
 LEAST_SOCKETS = 32  # with fewer descriptors there is no room for collectors beside the rest
 # Facts without which the module cannot decide; the others may be absent.
-NEEDED = ("own_zone", "own_number", "supervisors", "list_is_pushed", "listed_weights", "ask_within", "cold_share",
-          "warm_within", "drain_grace", "tip_multiple", "level_form", "queue_cap", "lines_per_second",
-          "lines_per_message", "transit", "worst_transit", "message_span", "proxies", "standing_lines",
-          "report_period", "report_lines_per_second", "tick")  # fmt: skip
+NEEDED = (
+    "own_zone",
+    "own_number",
+    "supervisors",
+    "list_is_pushed",
+    "listed_weights",
+    "ask_within",
+    "cold_share",
+    "warm_within",
+    "drain_grace",
+    "tip_multiple",
+    "level_form",
+    "queue_cap",
+    "lines_per_second",
+    "lines_per_message",
+    "transit",
+    "worst_transit",
+    "message_span",
+    "proxies",
+    "standing_lines",
+    "report_period",
+    "report_lines_per_second",
+    "tick",
+)
 LISTS = ("zones", "kinds")
-ABOVE_NOTHING = ("supervisors", "tip_multiple", "queue_cap", "lines_per_second", "proxies", "report_period", "tick",
-                 "latency_objective")  # fmt: skip
+ABOVE_NOTHING = (
+    "supervisors",
+    "tip_multiple",
+    "queue_cap",
+    "lines_per_second",
+    "proxies",
+    "report_period",
+    "tick",
+    "latency_objective",
+)
 MOST = 1e12  # of any figure: above it sums of them are no figures any more
 MOST_OPERATIONS = 16  # as many as orders can name
 
@@ -91,8 +119,12 @@
     facts = facts_of(flat(settings))
     _check(facts)
     words = facts.zones, facts.kinds, tuple(each.name for each in facts.operations)
-    names = Names(*(tuple(given) if tuple(map(word, given)) == worded else worded
-                    for given, worded in zip(names_of(settings), words, strict=True)))  # fmt: skip
+    names = Names(
+        *(
+            tuple(given) if tuple(map(word, given)) == worded else worded
+            for given, worded in zip(names_of(settings), words, strict=True)
+        )
+    )
     for path, row in (("zones", names.zones), ("hostTypes", names.kinds), ("lanes[].name", names.operations)):
         if not all(row) or len(set(row)) < len(row):
             raise BadInput(f"settings: {path} is {list(row)}: give each a name of its own")
@@ -101,8 +133,12 @@
         address(environment.get("LB_LISTEN", given.get("listen")), "LB_LISTEN"),
         address(given.get("discovery", environment.get("LB_DISCOVERY")), "the configuration's discovery"),
         address(relay.get("address"), "the configuration's distributor.address"),
-        seed, sockets, facts, names, known if isinstance(known, dict) else {},
-    )  # fmt: skip
+        seed,
+        sockets,
+        facts,
+        names,
+        known if isinstance(known, dict) else {},
+    )
 
 
 def _check(facts: face.StartFacts) -> None:
--- a/driftshed/node/link.py
+++ b/driftshed/node/link.py
@@ -18,9 +18,14 @@
     says that the other side is well: the next pause is short again."""
 
     def __init__(
-        self, loop: Loop, random: Random, address: tuple[str, int], on_open: Callable[[], object],
-        on_data: Callable[[bytes], object], on_lost: Callable[[str], object],
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        random: Random,
+        address: tuple[str, int],
+        on_open: Callable[[], object],
+        on_data: Callable[[bytes], object],
+        on_lost: Callable[[str], object],
+    ) -> None:
         self.loop, self.random, self.address = loop, random, address
         self.on_open, self.on_data, self.on_lost = on_open, on_data, on_lost
         self.stream: Stream | None = None
--- a/driftshed/node/service.py
+++ b/driftshed/node/service.py
@@ -157,8 +157,13 @@
         now, brain = self.loop.clock(), self.host.brain
         # Guards against a new module that takes the channel for empty: what the old one ordered is still in it.
         self.host.channel.add(now, brain._waiting(), 0.0, max(map(len, brain.sent_at.values()), default=0))
-        self.log("module_fault", level="error", error=fault.error, place=fault.place,
-                 last=[repr(event)[:200] for event in fault.turns[-1][1][:20]])  # fmt: skip
+        self.log(
+            "module_fault",
+            level="error",
+            error=fault.error,
+            place=fault.place,
+            last=[repr(event)[:200] for event in fault.turns[-1][1][:20]],
+        )
         self._soon()
 
     # ---- turns ------------------------------------------------------------------------------------------------
@@ -169,10 +174,18 @@
             skipped.clear()
         for event in events:
             if isinstance(event, face.Listing):
-                self._note("list", version=event.version, changed=[
-                    (entry.server.decode(), entry.state, entry.started and round(self.loop.clock() - entry.started, 2))
-                    for entry in event.entries[:8]
-                ])  # fmt: skip
+                self._note(
+                    "list",
+                    version=event.version,
+                    changed=[
+                        (
+                            entry.server.decode(),
+                            entry.state,
+                            entry.started and round(self.loop.clock() - entry.started, 2),
+                        )
+                        for entry in event.entries[:8]
+                    ],
+                )
         if events:
             self.host.take(events)
             self._soon()
@@ -317,17 +330,34 @@
         host, brain = self.host, self.host.brain
         ready = [i for i, state in enumerate(brain.state) if state == face.READY]
         self.log(
-            "second", joined=len(host.joins.held), listed=len(host.roster.entries), version=host.roster.version,
-            out=sum(brain.out_at[i] is not None for i in ready), cold=sum(not brain._warm(i) for i in ready),
-            let_in=round(brain.let_in, 3), tries=brain.tries, waiting=len(host.orders.waiting),
-            unanswered=len(brain.unanswered), channel=round(brain._waiting()),
-            calls=host.orders.calls, repeats=host.orders.repeats, proved=host.orders.proved,
-            refused=host.orders.refused, turned_away=host.orders.turned_away, faults=host.faults,
-            longest=round(self.longest, 4), late=round(self.latest, 4), cpu=round(time.process_time(), 3), rss=memory(),
-            fds=len(os.listdir("/proc/self/fd")), strangers=len(self.strangers), collectors=len(self.collectors),
+            "second",
+            joined=len(host.joins.held),
+            listed=len(host.roster.entries),
+            version=host.roster.version,
+            out=sum(brain.out_at[i] is not None for i in ready),
+            cold=sum(not brain._warm(i) for i in ready),
+            let_in=round(brain.let_in, 3),
+            tries=brain.tries,
+            waiting=len(host.orders.waiting),
+            unanswered=len(brain.unanswered),
+            channel=round(brain._waiting()),
+            calls=host.orders.calls,
+            repeats=host.orders.repeats,
+            proved=host.orders.proved,
+            refused=host.orders.refused,
+            turned_away=host.orders.turned_away,
+            faults=host.faults,
+            longest=round(self.longest, 4),
+            late=round(self.latest, 4),
+            cpu=round(time.process_time(), 3),
+            rss=memory(),
+            fds=len(os.listdir("/proc/self/fd")),
+            strangers=len(self.strangers),
+            collectors=len(self.collectors),
             dials=[self.orders.dials, *(w.link.dials for w in self.watchers), self.discovery.link.dials],
-            dropped=dict(self.dropped), hushed=max(0, self.lines_logged - 20),
-        )  # fmt: skip
+            dropped=dict(self.dropped),
+            hushed=max(0, self.lines_logged - 20),
+        )
         self.longest = self.latest = 0.0
         self.lines_logged = 0
 
@@ -367,9 +397,13 @@
         self.host = f"{address[0]}:{address[1]}"
         self.reader, self.opened_at = self.make(), self.service.loop.clock()
         self.link = Link(
-            self.service.loop, self.service.random, address, self._open, self._data,
+            self.service.loop,
+            self.service.random,
+            address,
+            self._open,
+            self._data,
             lambda reason: self.service._note(f"{self.name}_lost", reason=reason),
-        )  # fmt: skip
+        )
 
     def move(self, address: tuple[str, int]) -> None:
         """Dials a new address; the old one is let go once the new tells, or closes by itself."""
--- a/driftshed/policy/change.py
+++ b/driftshed/policy/change.py
@@ -80,9 +80,14 @@
 
 
 def word(
-    standing: Change | None, change: Change, document: Document, away: dict[str, float | None], despite_after: float,
-    drift: float, cannot: str,
-) -> tuple[bool, str]:  # fmt: skip
+    standing: Change | None,
+    change: Change,
+    document: Document,
+    away: dict[str, float | None],
+    despite_after: float,
+    drift: float,
+    cannot: str,
+) -> tuple[bool, str]:
     """A supervisor's word. `away`: for how long each other supervisor has been silent, None where it lives;
     `despite_after`: of the policy that stands; `cannot`: why its own instance could not go by the document, or ""."""
     try:
--- a/driftshed/policy/command.py
+++ b/driftshed/policy/command.py
@@ -22,8 +22,9 @@
 
 
 def ask(supervisor: str, body: dict | None = None) -> dict:
-    return ask_view(supervisor, "policy", body, "this supervisor takes no part in policies: start it with "
-                    "--policy-folder", bad=2)  # fmt: skip
+    return ask_view(
+        supervisor, "policy", body, "this supervisor takes no part in policies: start it with --policy-folder", bad=2
+    )
 
 
 def load(path: Path) -> tuple[str, Document]:
@@ -115,8 +116,10 @@
     if view.get("whole"):
         whole = view["whole"]
         runs = ", ".join(f"{count} run {version}" for version, count in whole["policies"].items())
-        click.echo(f"the whole: {whole['living']} of {whole['expected']} live, {whole['leaving']} leave, "
-                   f"{whole['silent']} are silent; {runs}")  # fmt: skip
+        click.echo(
+            f"the whole: {whole['living']} of {whole['expected']} live, {whole['leaving']} leave, "
+            f"{whole['silent']} are silent; {runs}"
+        )
     if view["cannot"]:
         click.echo(f"{view['by']}: {view['cannot']}")
     if view["holds_still"]:
@@ -124,8 +127,10 @@
     if view["open"]:
         opened = view["open"]
         words = "; ".join(f"{w['name']}: {'yes' if w['assent'] else w['why']}" for w in opened["words"])
-        click.echo(f"open: epoch {opened['epoch']} of {opened['by']}; no word yet from {', '.join(opened['missing'])}"
-                   + (f" ({words})" if words else ""))  # fmt: skip
+        click.echo(
+            f"open: epoch {opened['epoch']} of {opened['by']}; no word yet from {', '.join(opened['missing'])}"
+            + (f" ({words})" if words else "")
+        )
 
 
 def follow(supervisor: str, token: str, version: int, most: float) -> None:
@@ -146,8 +151,9 @@
             click.echo(f"{mine['state']}: {mine['why']}", err=True)
             sys.exit(ENDS[mine["state"]])
         if mine["state"] == "settled":
-            behind = [name for name, (state, runs) in view["members"].items()
-                      if state == "living" and (runs or 0) < version]  # fmt: skip
+            behind = [
+                name for name, (state, runs) in view["members"].items() if state == "living" and (runs or 0) < version
+            ]
             whole = view.get("whole")
             if whole is not None and behind_in(whole, version):
                 behind.append("others")
@@ -168,9 +174,11 @@
 
 def behind_in(whole: dict, version: int) -> int:
     """How many of the living of a fleet in tiers are not known to run this version yet, by its digest."""
-    return whole["living"] + whole["leaving"] - sum(
-        count for each, count in whole["policies"].items() if int(each) >= version
-    )  # fmt: skip
+    return (
+        whole["living"]
+        + whole["leaving"]
+        - sum(count for each, count in whole["policies"].items() if int(each) >= version)
+    )
 
 
 def _propose(supervisor: str, wait: bool, most: float, body: dict) -> None:
@@ -234,8 +242,13 @@
     while time.monotonic() < end:
         view = ask(supervisor)
         opened = view["open"]
-        now = (view["standing"]["version"] if view["standing"] else 0, view["members"],
-               opened and (opened["epoch"], opened["missing"]), view["holds_still"], view["cannot"])  # fmt: skip
+        now = (
+            view["standing"]["version"] if view["standing"] else 0,
+            view["members"],
+            opened and (opened["epoch"], opened["missing"]),
+            view["holds_still"],
+            view["cannot"],
+        )
         if now != seen:
             runs = ", ".join(f"{name} {state} {version}" for name, (state, version) in view["members"].items())
             waits = f"; open: epoch {opened['epoch']}, waits for {', '.join(opened['missing'])}" if opened else ""
@@ -258,8 +271,10 @@
     for row in rows:
         at = datetime.datetime.fromtimestamp(row["at"], datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
         because = f": {row['why']}" if row["why"] else ""
-        click.echo(f"version {row['version']} {row['state']} {at} by {row['who']}, {row['digest']}, {row['took']:.2f} s"
-                   f"{', words of ' + row['assents'] if row['assents'] else ''}{because}")  # fmt: skip
+        click.echo(
+            f"version {row['version']} {row['state']} {at} by {row['who']}, {row['digest']}, {row['took']:.2f} s"
+            f"{', words of ' + row['assents'] if row['assents'] else ''}{because}"
+        )
         older = next((each for each in settled if each["version"] < row["version"]), None)
         old = policies.parse(older["text"]) if older is not None else None
         if old is not None:
--- a/driftshed/policy/document.py
+++ b/driftshed/policy/document.py
@@ -129,8 +129,11 @@
 def difference(old: Document | None, new: Document) -> list[tuple[str, object, object]]:
     """What a document changes: path, what it was, what it is; None where there was or is nothing."""
     before, after = {} if old is None else flat(old), flat(new)
-    return [(path, before.get(path), after.get(path)) for path in sorted({*before, *after})
-            if path not in before or path not in after or before[path] != after[path]]  # fmt: skip
+    return [
+        (path, before.get(path), after.get(path))
+        for path in sorted({*before, *after})
+        if path not in before or path not in after or before[path] != after[path]
+    ]
 
 
 def of_flags(flags: dict[str, bool | int | float | str], operations: list[str]) -> Document:
@@ -168,8 +171,11 @@
     texts = []
     for each in document.operations:
         fields = msgspec.to_builtins(each)
-        parts = [f"{key}={str(value).lower() if isinstance(value, bool) else value}" for key, value in fields.items()
-                 if key not in ("name", "retired") and value is not None]  # fmt: skip
+        parts = [
+            f"{key}={str(value).lower() if isinstance(value, bool) else value}"
+            for key, value in fields.items()
+            if key not in ("name", "retired") and value is not None
+        ]
         texts.append(f"{each.name}:{','.join(parts)}")
     try:
         return facts_of(flags, texts)
@@ -215,8 +221,10 @@
     # An urgent order waits at most behind a full channel, then takes its way to the proxy.
     worst = start.queue_cap / start.lines_per_second + start.worst_transit + start.tick
     if worst > start.drain_grace:
-        found.append(f"drain-grace {start.drain_grace:g} s is under the channel's worst time of {worst:.2f} s "
-                     "(queue-cap over lines-per-second, worst-transit): raise it or the pace")  # fmt: skip
+        found.append(
+            f"drain-grace {start.drain_grace:g} s is under the channel's worst time of {worst:.2f} s "
+            "(queue-cap over lines-per-second, worst-transit): raise it or the pace"
+        )
     if start.bare_for < start.drain_grace / 2:
         found.append(f"bare-for {start.bare_for:g} s is under half of drain-grace: a drain may take longer")
     for each in document.operations:
@@ -232,8 +240,10 @@
     found = []
     for path, before, after in difference(old, new):
         if path.startswith("settings.") and path.removeprefix("settings.") not in WHILE_RUNNING:
-            found.append(f"{path} is {before!r} and would be {after!r}: it holds from a supervisor's start; give it to "
-                         "each and restart them one by one, then propose it")  # fmt: skip
+            found.append(
+                f"{path} is {before!r} and would be {after!r}: it holds from a supervisor's start; give it to "
+                "each and restart them one by one, then propose it"
+            )
     names, kept = [each.name for each in old.operations], [each.name for each in new.operations]
     for each in old.operations:
         if each.name not in kept and not each.retired:
@@ -250,7 +260,7 @@
 
 
 def _line(text: str, word: str) -> str:
-    """"line N: " where the word stands in the file."""
+    """ "line N: " where the word stands in the file."""
     pattern = re.compile(rf"(^|[\s\[.\"']){re.escape(word)}([\s\].\"'=]|$)")
     for number, line in enumerate(text.splitlines(), 1):
         if pattern.search(line.split("#")[0]):
--- a/driftshed/policy/keep.py
+++ b/driftshed/policy/keep.py
@@ -50,8 +50,10 @@
                 raise sqlite3.DatabaseError("its pages do not fit together")
             self._open(fleet, name)
         except (sqlite3.Error, OSError) as error:
-            raise BadKeep(f"{self.path}: {error}; name a folder that can be written, or move the file away: what was "
-                          "settled is read from the store") from None  # fmt: skip
+            raise BadKeep(
+                f"{self.path}: {error}; name a folder that can be written, or move the file away: what was "
+                "settled is read from the store"
+            ) from None
 
     def _open(self, fleet: str, name: str) -> None:
         with Change(self):
@@ -61,15 +63,19 @@
                 rows = [("form", str(FORM)), ("fleet", fleet), ("name", name)]
                 self.base.executemany("INSERT INTO meta VALUES (?, ?)", rows)
             elif not known.get("form", "").isdigit() or int(known["form"]) > FORM:
-                raise BadKeep(f"{self.path}: form {known.get('form')!r} is newer than this build reads ({FORM}): "
-                              "update driftshed, or name another folder")  # fmt: skip
+                raise BadKeep(
+                    f"{self.path}: form {known.get('form')!r} is newer than this build reads ({FORM}): "
+                    "update driftshed, or name another folder"
+                )
             elif (known.get("fleet"), known.get("name")) != (fleet, name):
-                raise BadKeep(f"{self.path}: it is of supervisor {known.get('name')!r} of fleet {known.get('fleet')!r}"
-                              f", not of {name!r} of {fleet!r}: name a folder of its own")  # fmt: skip
+                raise BadKeep(
+                    f"{self.path}: it is of supervisor {known.get('name')!r} of fleet {known.get('fleet')!r}"
+                    f", not of {name!r} of {fleet!r}: name a folder of its own"
+                )
             self.base.execute(
                 "CREATE TABLE IF NOT EXISTS versions (version INTEGER, epoch INTEGER PRIMARY KEY, state TEXT, "
                 "digest TEXT, text TEXT, who TEXT, why TEXT, at REAL, took REAL, assents TEXT)"
-            )  # fmt: skip
+            )
 
     def put(self, kept: Kept) -> None:
         """Writes one version as it stands now, in place of what was kept under its epoch."""
--- a/driftshed/policy/part.py
+++ b/driftshed/policy/part.py
@@ -58,9 +58,14 @@
     history alone."""
 
     def __init__(
-        self, loop: Timers, service: Service, agent: Agent, keep: Keep,
-        log: Callable[..., object] = lambda event, **fields: None, unix: Callable[[], float] = time.time,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        service: Service,
+        agent: Agent,
+        keep: Keep,
+        log: Callable[..., object] = lambda event, **fields: None,
+        unix: Callable[[], float] = time.time,
+    ) -> None:
         self.loop, self.service, self.agent, self.keep, self.log, self.unix = loop, service, agent, keep, log, unix
         self.instance, self.course = service.instance, Course()
         self.document: Document | None = None  # that it goes by
@@ -121,8 +126,9 @@
         if holds := self.agent.acts() and self.agent.records.whole:
             self.held_until = self.agent.acts_until()
         fenced = self.agent.chair.standing is Standing.FENCED
-        known = Known(holds, self.held_until, fenced, self._doubt(), bool(self.cannot), despite_after,
-                      self.agent.lease.drift)  # fmt: skip
+        known = Known(
+            holds, self.held_until, fenced, self._doubt(), bool(self.cannot), despite_after, self.agent.lease.drift
+        )
         return not may_change_tables(known, self.loop.clock())
 
     def _look_at(self, record: agreement.Record) -> None:
@@ -151,11 +157,14 @@
             return
         if self.newest is not None and change.version < self.newest.version:
             # Guards against a store that was restored from an old copy: nobody goes back by that.
-            self._cannot(f"the store holds version {change.version}, and {self.newest.version} was settled: restore it "
-                         "from a newer copy")  # fmt: skip
+            self._cannot(
+                f"the store holds version {change.version}, and {self.newest.version} was settled: restore it "
+                "from a newer copy"
+            )
             return
-        if change.version > self.course.version() and (self.course.next is None or
-                                                       change.version > self.course.next[0].version):  # fmt: skip
+        if change.version > self.course.version() and (
+            self.course.next is None or change.version > self.course.next[0].version
+        ):
             why = self._unfit(document)
             if why:
                 self._cannot(f"version {change.version} stands, and this supervisor cannot go by it: {why}")
@@ -187,8 +196,11 @@
         evacuation = getattr(self.agent, "evacuation", None)
         if evacuation is not None:
             there = {name: sorted(zones) for name, zones in document.regions.items() if len(zones) > 1}
-            here = {place.name: sorted(self.instance.facts.zones[zone] for zone in place.zones)
-                    for place in evacuation.places if len(place.zones) > 1}  # fmt: skip
+            here = {
+                place.name: sorted(self.instance.facts.zones[zone] for zone in place.zones)
+                for place in evacuation.places
+                if len(place.zones) > 1
+            }
             if here != there:
                 return f"regions: {here} here, {there} there; they hold from a start"
         return self.instance.check_switch(facts)
@@ -292,8 +304,15 @@
         if self.agent.tiers > 1 and self.course.next is not None and not self.cannot:
             return None  # it is asked again once it has taken up what stands: one that returns holds nobody up
         behind = self.cannot or ("" if self.course.next is None else "it is about to go by another version")
-        said, why = word(self._change_of(record.standing), change, document, self._away(), despite_after,
-                         self.agent.lease.drift, behind or self._unfit(document))  # fmt: skip
+        said, why = word(
+            self._change_of(record.standing),
+            change,
+            document,
+            self._away(),
+            despite_after,
+            self.agent.lease.drift,
+            behind or self._unfit(document),
+        )
         if said:
             kept = self._kept(record.epoch, change, "assented")
             try:
@@ -307,8 +326,9 @@
     def _propose(self, change: Change, patience: float) -> None:
         needs = self._needs(change)
         waits = waited_out(self._despite_after(), self.agent.lease.drift) if self.agent.tiers > 1 else UNSET
-        self.mine = self.agent.propose(TOPIC, msgspec.to_builtins(change), needs, len(needs), patience, self._ended,
-                                       waits=waits)  # fmt: skip
+        self.mine = self.agent.propose(
+            TOPIC, msgspec.to_builtins(change), needs, len(needs), patience, self._ended, waits=waits
+        )
 
     def _ended(self, proposal: Proposal) -> None:
         self.log("policy_ended", state=proposal.state, epoch=proposal.epoch, why=proposal.why)
@@ -352,8 +372,12 @@
         except agreement.Barred as error:
             raise Refused(400, str(error)) from None
         was = None if standing is None else policies.parse(standing.text)
-        return {"version": change.version, "digest": change.digest, "token": self.mine.token,
-                "difference": policies.difference(was, document)}  # fmt: skip
+        return {
+            "version": change.version,
+            "digest": change.digest,
+            "token": self.mine.token,
+            "difference": policies.difference(was, document),
+        }
 
     def _version(self, version: int) -> Document:
         kept = self.keep.version(version)
@@ -367,19 +391,31 @@
         record = topic.record if topic is not None else None
         opened = None
         if record is not None and record.state == "open":
-            opened = {"epoch": record.epoch, "by": record.by, "missing": agreement.missing(record, topic.ballots),
-                      "words": list(topic.ballots.values())}  # fmt: skip
+            opened = {
+                "epoch": record.epoch,
+                "by": record.by,
+                "missing": agreement.missing(record, topic.ballots),
+                "words": list(topic.ballots.values()),
+            }
         ahead = self.document.ahead if self.document is not None else 0.0
         mine = self.mine
         return {
-            "by": self.agent.name, "runs": self.course.version(), "holds_still": self._holds_still(),
-            "cannot": self.cannot, "known": self.known, "standing": standing, "open": opened,
+            "by": self.agent.name,
+            "runs": self.course.version(),
+            "holds_still": self._holds_still(),
+            "cannot": self.cannot,
+            "known": self.known,
+            "standing": standing,
+            "open": opened,
             "next": None if self.course.next is None else self.course.next[0].version,
-            "last_proposal": None if mine is None else
-            {"token": mine.token, "state": mine.state, "why": mine.why, "epoch": mine.epoch},
-            "everywhere_within": everywhere_within(self.agent.timeout, ahead, self.agent.lease.drift,
-                                                   self.agent.tiers),
-            "members": {row.name: [row.state, row.member.policy if row.member else None]
-                        for row in self.agent.roll.rows(self.loop.clock())},
-            "history": [kept._asdict() for kept in self.keep.history()], **self.agent.view_whole(),
-        }  # fmt: skip
+            "last_proposal": None
+            if mine is None
+            else {"token": mine.token, "state": mine.state, "why": mine.why, "epoch": mine.epoch},
+            "everywhere_within": everywhere_within(self.agent.timeout, ahead, self.agent.lease.drift, self.agent.tiers),
+            "members": {
+                row.name: [row.state, row.member.policy if row.member else None]
+                for row in self.agent.roll.rows(self.loop.clock())
+            },
+            "history": [kept._asdict() for kept in self.keep.history()],
+            **self.agent.view_whole(),
+        }
--- a/driftshed/proxy/command.py
+++ b/driftshed/proxy/command.py
@@ -23,7 +23,7 @@
 
 
 def addresses(texts: tuple[str, ...], flag: str) -> list[tuple[str, int]]:
-    """"address:port"s; click.BadParameter names the flag."""
+    """ "address:port"s; click.BadParameter names the flag."""
     found = []
     for text in texts:
         try:  # port 0 stands for a free one
@@ -58,11 +58,26 @@
 @option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
 @fact_options
 def proxy(
-    listen: str, shared: bool, number: int, zone: str, rate: float, follows: tuple[str, ...],
-    standing: tuple[str, ...], source: str | None, hears_within: float, seed: int, clients: int, invocations: int,
-    body_bytes: int, server_connections: int, connecting: int, trace: Path | None, log_form: str, log_level: str,
+    listen: str,
+    shared: bool,
+    number: int,
+    zone: str,
+    rate: float,
+    follows: tuple[str, ...],
+    standing: tuple[str, ...],
+    source: str | None,
+    hears_within: float,
+    seed: int,
+    clients: int,
+    invocations: int,
+    body_bytes: int,
+    server_connections: int,
+    connecting: int,
+    trace: Path | None,
+    log_form: str,
+    log_level: str,
     **given: object,
-) -> None:  # fmt: skip
+) -> None:
     """Forwards clients' invocations to servers as supervisors say. Its first line says where it listens."""
     facts = start_facts(given)
     if zone not in facts.zones:
--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -87,10 +87,21 @@
     """Keeps `tables` as the supervisors say. `on_tables()` after each change; `message(at, name, sent)` for a trace."""
 
     def __init__(
-        self, loop: Loop, number: int, zone: str, rate: float, supervisors: list[tuple[str, int]], tables: Tables,
-        sums: Sums, random: Random, log: Log, source: str | None = None, period: float = 0.5,
-        transport: Transport = SOCKETS, hears_within: float = HEARS_WITHIN,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        number: int,
+        zone: str,
+        rate: float,
+        supervisors: list[tuple[str, int]],
+        tables: Tables,
+        sums: Sums,
+        random: Random,
+        log: Log,
+        source: str | None = None,
+        period: float = 0.5,
+        transport: Transport = SOCKETS,
+        hears_within: float = HEARS_WITHIN,
+    ) -> None:
         self.poll = hears_within * (1 - GRACE_SHARE)  # seconds that a poll waits
         self.grace = hears_within - self.poll
         self.given, self.term = supervisors, 0  # the term rises with each join, wherever it goes
@@ -157,8 +168,11 @@
             self._again("its operations are others")
             return
         if joined.policy < self.tables.policy:
-            self.log("turned_down", level="warning", why=f"it goes by policy {joined.policy}; "
-                     f"{self.tables.policy} was heeded")  # fmt: skip
+            self.log(
+                "turned_down",
+                level="warning",
+                why=f"it goes by policy {joined.policy}; {self.tables.policy} was heeded",
+            )
             self._again("its policy is older", elsewhere=True)
             return
         if joined.run != self.tables.run:
@@ -194,8 +208,11 @@
     def _told(self, answer: Answer) -> None:
         if answer.status != 200:
             away = answer.status == 503
-            self._again(answer.error or f"poll: {answer.status}", away or answer.error == "late",
-                        away and answer.headers.get(b"retry-after") == b"0")  # fmt: skip
+            self._again(
+                answer.error or f"poll: {answer.status}",
+                away or answer.error == "late",
+                away and answer.headers.get(b"retry-after") == b"0",
+            )
             return
         try:
             changes = CHANGES.decode(answer.body)
--- a/driftshed/proxy/forward.py
+++ b/driftshed/proxy/forward.py
@@ -15,9 +15,21 @@
 
 # Headers of one connection alone, and those that are made anew.
 HOP = {
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te", b"trailer",
-    b"transfer-encoding", b"upgrade", b"content-length", b"content-type", b"host", b"x-timeout", b"x-operation",
-}  # fmt: skip
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"content-length",
+    b"content-type",
+    b"host",
+    b"x-timeout",
+    b"x-operation",
+}
 MARK = b"idempotency-key"  # the mark of a fingerprinted invocation
 NEVER = b"x-never-ran"
 SHORTEST = 0.005  # seconds: a try that has less is not made
@@ -50,10 +62,20 @@
     """Serves clients at an address by `tables`. `trace(kind, at, **fields)` is told of each invocation."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], number: int, facts: face.StartFacts, tables: Tables, sums: Sums,
-        limits: Limits = Limits(), bounds: Bounds = Bounds(), source: str | None = None, shared: bool = False,
-        transport: Transport = SOCKETS, tag: str = "",
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        number: int,
+        facts: face.StartFacts,
+        tables: Tables,
+        sums: Sums,
+        limits: Limits = Limits(),
+        bounds: Bounds = Bounds(),
+        source: str | None = None,
+        shared: bool = False,
+        transport: Transport = SOCKETS,
+        tag: str = "",
+    ) -> None:
         self.loop, self.number, self.facts, self.tables, self.sums = loop, number, facts, tables, sums
         self.limits, self.source, self.transport = limits, source, transport
         self.tag = tag  # tells the marks of this run from those of any other
@@ -143,9 +165,14 @@
         request, query = inv.request, f"?{inv.request.query}" if inv.request.query else ""
         extra = f"{inv.headers}x-timeout: {inv.due - now:.3f}\r\n"
         inv.call = self._client(server).call(
-            request.method, request.path + query, request.body, lambda answer: self._tried(inv, answer), within, extra,
+            request.method,
+            request.path + query,
+            request.body,
+            lambda answer: self._tried(inv, answer),
+            within,
+            extra,
             request.headers.get(b"content-type", b"application/octet-stream").decode("latin-1"),
-        )  # fmt: skip
+        )
 
     def _has_room(self, server: str) -> bool:
         client = self.clients.get(server)
@@ -161,9 +188,13 @@
         client = self.clients.get(server)
         if client is None:
             host, _, port = server.rpartition(":")
-            client = self.transport.client(self.loop, (host, int(port)), self.source,
-                                           idle_most=self.limits.connections,
-                                           idle_for=self.limits.idle_for)  # fmt: skip
+            client = self.transport.client(
+                self.loop,
+                (host, int(port)),
+                self.source,
+                idle_most=self.limits.connections,
+                idle_for=self.limits.idle_for,
+            )
             self.clients[server] = client
         return client
 
@@ -237,10 +268,20 @@
         value = {"succeeded": 1.0, "late": operation.late_share}.get(outcome, 0.0) * operation.billed_value
         key = dict(parse_qsl(inv.request.query)).get("key", "")
         began, spans, outcomes = ([each[k] for each in inv.tries] for k in range(3))
-        self.trace("invocation", inv.began, proxy=self.number, operation=operation.name, key=key,
-                   took=self.loop.clock() - inv.began, outcome=outcome, value=value,
-                   servers=[tried.server for tried in inv.tried], began=began, spans=spans,
-                   outcomes=outcomes)  # fmt: skip
+        self.trace(
+            "invocation",
+            inv.began,
+            proxy=self.number,
+            operation=operation.name,
+            key=key,
+            took=self.loop.clock() - inv.began,
+            outcome=outcome,
+            value=value,
+            servers=[tried.server for tried in inv.tried],
+            began=began,
+            spans=spans,
+            outcomes=outcomes,
+        )
 
     # ---- tables change ----------------------------------------------------------------------------------------
 
--- a/driftshed/proxy/whole.py
+++ b/driftshed/proxy/whole.py
@@ -31,9 +31,18 @@
     """`tag` tells the marks of this run from those of any other. OSError where it cannot listen."""
 
     def __init__(
-        self, loop: Timers, place: Place, facts: face.StartFacts, seed: int, log: Log, tag: str,
-        limits: Limits = Limits(), bounds: Bounds = Bounds(), shared: bool = False, transport: Transport = SOCKETS,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        place: Place,
+        facts: face.StartFacts,
+        seed: int,
+        log: Log,
+        tag: str,
+        limits: Limits = Limits(),
+        bounds: Bounds = Bounds(),
+        shared: bool = False,
+        transport: Transport = SOCKETS,
+    ) -> None:
         random = Random(seed)
         self.place, self.facts = place, facts
         self.tables = Tables(
@@ -42,13 +51,34 @@
         self.sums = Sums([operation.name for operation in facts.operations])
         limits = limits._replace(idle_for=0.8 * facts.idle_close, connect_timeout=facts.connect_timeout)
         self.forwarder = Forwarder(
-            loop, place.listen, place.number, facts, self.tables, self.sums, limits, bounds, place.source, shared,
-            transport, tag,
-        )  # fmt: skip
+            loop,
+            place.listen,
+            place.number,
+            facts,
+            self.tables,
+            self.sums,
+            limits,
+            bounds,
+            place.source,
+            shared,
+            transport,
+            tag,
+        )
         self.follower = Follower(
-            loop, place.number, place.zone, place.rate, place.supervisors, self.tables, self.sums, random, log,
-            place.source, facts.report_period, transport, place.hears_within,
-        )  # fmt: skip
+            loop,
+            place.number,
+            place.zone,
+            place.rate,
+            place.supervisors,
+            self.tables,
+            self.sums,
+            random,
+            log,
+            place.source,
+            facts.report_period,
+            transport,
+            place.hears_within,
+        )
         self.follower.on_tables = self.forwarder.follow
 
     def stop(self, done) -> None:
--- a/driftshed/roster/announce.py
+++ b/driftshed/roster/announce.py
@@ -45,9 +45,16 @@
     """`node` says who; its epoch is set here. `on_standing(standing)` tells what became of it."""
 
     def __init__(
-        self, loop: Timers, hosts: list[tuple[str, int]], root: str, node: Announced, timeout: float, seed: int,
-        on_standing: Callable[[Standing], object] = lambda standing: None, dial: Callable[..., Stream] = dial,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        hosts: list[tuple[str, int]],
+        root: str,
+        node: Announced,
+        timeout: float,
+        seed: int,
+        on_standing: Callable[[Standing], object] = lambda standing: None,
+        dial: Callable[..., Stream] = dial,
+    ) -> None:
         self.loop, self.hosts, self.root, self.node, self.timeout = loop, hosts, root, node, timeout
         self.random, self.on_standing, self.dial = Random(f"announce {seed}"), on_standing, dial
         self.standing = Standing.JOINING
@@ -66,8 +73,9 @@
         return write_node(self.node._replace(epoch=self.epoch))
 
     def _begin(self) -> None:
-        self.client = RosterClient(self.loop, self.hosts, self.timeout, self.random, self._state, self._event,
-                                   self.dial)  # fmt: skip
+        self.client = RosterClient(
+            self.loop, self.hosts, self.timeout, self.random, self._state, self._event, self.dial
+        )
         self._take_epoch()
 
     def _event(self, event: Event) -> None:
--- a/driftshed/roster/client.py
+++ b/driftshed/roster/client.py
@@ -18,9 +18,15 @@
     """`on_state(state)` and `on_event(event)` as the session's. After EXPIRED it does nothing more: make a new one."""
 
     def __init__(
-        self, loop: Timers, hosts: list[tuple[str, int]], timeout: float, random: Random,
-        on_state: Callable[[State], object], on_event: Callable[[Event], object], dial: Callable[..., Stream] = dial,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        hosts: list[tuple[str, int]],
+        timeout: float,
+        random: Random,
+        on_state: Callable[[State], object],
+        on_event: Callable[[Event], object],
+        dial: Callable[..., Stream] = dial,
+    ) -> None:
         self.loop, self.hosts, self.random, self.on_state, self.dial = loop, hosts, random, on_state, dial
         self.session = ClientSession(timeout)
         self.session.on_state, self.session.on_event = self._state, on_event
--- a/driftshed/roster/command.py
+++ b/driftshed/roster/command.py
@@ -90,9 +90,17 @@
 @option("drain-for", type=click.FloatRange(0, 3600), default=5.0, help="seconds between draining and leaving")
 @option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
 def announce(
-    connect: str, root: str, server: str, zone: str, kind: str, cell: int, weight: float, session_timeout: float,
-    drain_for: float, log_level: str,
-) -> None:  # fmt: skip
+    connect: str,
+    root: str,
+    server: str,
+    zone: str,
+    kind: str,
+    cell: int,
+    weight: float,
+    session_timeout: float,
+    drain_for: float,
+    log_level: str,
+) -> None:
     """Announces a server until SIGTERM, then drains it and leaves. Exit code: 0, 3 when another start of the server has
     taken its address."""
     try:
--- a/driftshed/roster/follow.py
+++ b/driftshed/roster/follow.py
@@ -34,10 +34,19 @@
     """`hear(news)` gets whole lists and their changes. `log(event, **fields)` as the supervisor's."""
 
     def __init__(
-        self, loop: Timers, hosts: list[tuple[str, int]], root: str, zones: tuple[str, ...], kinds: tuple[str, ...],
-        membership: Membership, hear: Callable[[RosterNews], object], log: Callable[..., object], seed: int,
-        timeout: float = 6.0, dial: Callable[..., Stream] = dial,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Timers,
+        hosts: list[tuple[str, int]],
+        root: str,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        membership: Membership,
+        hear: Callable[[RosterNews], object],
+        log: Callable[..., object],
+        seed: int,
+        timeout: float = 6.0,
+        dial: Callable[..., Stream] = dial,
+    ) -> None:
         self.loop, self.hosts, self.root, self.zones, self.kinds = loop, hosts, root, zones, kinds
         self.membership, self.hear, self.log, self.timeout = membership, hear, log, timeout
         self.random, self.dial = Random(f"roster {seed}"), dial
@@ -56,8 +65,9 @@
         """A new session: nothing is watched, and all is read anew."""
         self.names, self.nodes, self.whole_due, self.reading = set(), {}, True, 0
         self.unread.clear()
-        self.client = RosterClient(self.loop, self.hosts, self.timeout, self.random, self._state, self._event,
-                                   self.dial)  # fmt: skip
+        self.client = RosterClient(
+            self.loop, self.hosts, self.timeout, self.random, self._state, self._event, self.dial
+        )
 
     def _state(self, state: State) -> None:
         now = self.loop.clock()
@@ -212,5 +222,3 @@
     def stop(self) -> None:
         self.stopped = True
         self.client.stop()
-
-
--- a/driftshed/roster/jute.py
+++ b/driftshed/roster/jute.py
@@ -278,9 +278,7 @@
     pass
 
 
-Request = (
-    Create | Delete | Exists | GetData | SetData | GetChildren | Sync | Check | Multi | SetWatches | Ping | Close
-)  # fmt: skip
+Request = Create | Delete | Exists | GetData | SetData | GetChildren | Sync | Check | Multi | SetWatches | Ping | Close
 
 WORLD = vector([INT.pack(31) + string("world") + string("anyone")])  # the one list of rights: all, to anyone
 
@@ -290,8 +288,10 @@
 
 
 WRITE: dict[type, tuple[Callable[[NamedTuple], int], Callable[[NamedTuple], bytes]]] = {
-    Create: (lambda r: CREATE2 if r.stat else CREATE,
-             lambda r: string(r.path) + buffer(r.data) + WORLD + INT.pack(r.flags)),
+    Create: (
+        lambda r: CREATE2 if r.stat else CREATE,
+        lambda r: string(r.path) + buffer(r.data) + WORLD + INT.pack(r.flags),
+    ),
     Delete: (lambda r: DELETE, lambda r: string(r.path) + INT.pack(r.version)),
     Exists: (lambda r: EXISTS, lambda r: string(r.path) + bytes([r.watch])),
     GetData: (lambda r: GET_DATA, lambda r: string(r.path) + bytes([r.watch])),
@@ -299,11 +299,13 @@
     GetChildren: (lambda r: GET_CHILDREN2 if r.stat else GET_CHILDREN, lambda r: string(r.path) + bytes([r.watch])),
     Sync: (lambda r: SYNC, lambda r: string(r.path)),
     Check: (lambda r: CHECK, lambda r: string(r.path) + INT.pack(r.version)),
-    SetWatches: (lambda r: SET_WATCHES,
-                 lambda r: LONG.pack(r.zxid) + _paths(r.data) + _paths(r.exist) + _paths(r.children)),
+    SetWatches: (
+        lambda r: SET_WATCHES,
+        lambda r: LONG.pack(r.zxid) + _paths(r.data) + _paths(r.exist) + _paths(r.children),
+    ),
     Ping: (lambda r: PING, lambda r: b""),
     Close: (lambda r: CLOSE, lambda r: b""),
-}  # fmt: skip
+}
 
 
 def _body(request: Request) -> tuple[int, bytes]:
--- a/driftshed/roster/session.py
+++ b/driftshed/roster/session.py
@@ -226,5 +226,3 @@
             self.pinged.append(now)
             self.out += jute.write_request(XID_PING, Ping())
         return True
-
-
--- a/driftshed/roster/store.py
+++ b/driftshed/roster/store.py
@@ -177,5 +177,3 @@
     def commit(self) -> None:
         """Makes all that was answered safe; write what the lines hold only after it."""
         self.log.sync()
-
-
--- a/driftshed/roster/tree.py
+++ b/driftshed/roster/tree.py
@@ -65,8 +65,19 @@
 
     @property
     def stat(self) -> Stat:
-        return Stat(self.czxid, self.mzxid, self.ctime, self.mtime, self.version, self.cversion, 0, self.owner,
-                    len(self.data), len(self.children), self.pzxid)  # fmt: skip
+        return Stat(
+            self.czxid,
+            self.mzxid,
+            self.ctime,
+            self.mtime,
+            self.version,
+            self.cversion,
+            0,
+            self.owner,
+            len(self.data),
+            len(self.children),
+            self.pzxid,
+        )
 
 
 class Session:
--- a/driftshed/standins/client.py
+++ b/driftshed/standins/client.py
@@ -16,9 +16,17 @@
     rate. A client repeats once by itself what may be repeated: its own doing, told apart by `ask`."""
 
     def __init__(
-        self, loop: Loop, proxy: tuple[str, int], operations: tuple[face.Operation, ...], shares: list[float],
-        work: list[tuple[float, float]], rate: float, seed: int, repeats: bool = True, tap=None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        proxy: tuple[str, int],
+        operations: tuple[face.Operation, ...],
+        shares: list[float],
+        work: list[tuple[float, float]],
+        rate: float,
+        seed: int,
+        repeats: bool = True,
+        tap=None,
+    ) -> None:
         self.loop, self.operations, self.shares, self.work, self.rate = loop, operations, shares, work, rate
         self.random, self.repeats, self.surge, self.asked, self.open = Random(seed), repeats, 1.0, 0, True
         self.name = f"{proxy[0]}"
--- a/driftshed/standins/emulator.py
+++ b/driftshed/standins/emulator.py
@@ -71,9 +71,14 @@
     """One server at one address. `started`: when it last started, on the loop's clock; long ago unless cold."""
 
     def __init__(
-        self, loop: Timers, address: tuple[str, int], machine: Machine, seed: int, tap=None,
+        self,
+        loop: Timers,
+        address: tuple[str, int],
+        machine: Machine,
+        seed: int,
+        tap=None,
         transport: Transport = SOCKETS,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.address, self.machine, self.transport = loop, address, machine, transport
         self.random = Random(seed)
         self.tap = tap  # called with each accepted stream
@@ -163,9 +168,11 @@
             if ill.operation is not None:
                 slower, errors, lost, hangs = self.own.get(ill.operation, (1.0, 0.0, 0.0, False))
                 self.own[ill.operation] = (
-                    slower * ill.slower, 1 - (1 - errors) * (1 - ill.errors), 1 - (1 - lost) * (1 - ill.lost),
+                    slower * ill.slower,
+                    1 - (1 - errors) * (1 - ill.errors),
+                    1 - (1 - lost) * (1 - ill.lost),
                     hangs or ill.hangs,
-                )  # fmt: skip
+                )
         if self.up:
             self.http.bounds = self.http.bounds._replace(connections=max(1, round(self.machine.connections * share)))
 
@@ -230,8 +237,9 @@
         if not self.machine.marks_for or b"idempotency-key" not in request.headers:
             return False
         now, mark = self.loop.clock(), request.headers[b"idempotency-key"]
-        while self.marks and (next(iter(self.marks.values())) < now - self.machine.marks_for
-                              or len(self.marks) > MOST_MARKS):  # fmt: skip
+        while self.marks and (
+            next(iter(self.marks.values())) < now - self.machine.marks_for or len(self.marks) > MOST_MARKS
+        ):
             self.marks.popitem(last=False)
         known = mark in self.marks
         if not known and len(self.queue) < self.machine.room:
--- a/driftshed/standins/roster.py
+++ b/driftshed/standins/roster.py
@@ -117,17 +117,20 @@
                 announcer.stop()
             del self.announcers[server.server]
         else:
-            node = Announced(server.server, server.zone, server.kind, "ready", server.started, server.cell,
-                             server.weight, 0)  # fmt: skip
+            node = Announced(
+                server.server, server.zone, server.kind, "ready", server.started, server.cell, server.weight, 0
+            )
             seed = self.random.getrandbits(32)
-            self.announcers[server.server] = Announcer(self.loop, [self.store], ROOT, node, self.timeout, seed,
-                                                       dial=self.dial)  # fmt: skip
+            self.announcers[server.server] = Announcer(
+                self.loop, [self.store], ROOT, node, self.timeout, seed, dial=self.dial
+            )
 
     def end_session(self, server: str) -> None:
         """As if it had lapsed: someone else with its number and password closes it."""
         session = self.announcers[server].client.session
-        closer = RosterClient(self.loop, [self.store], self.timeout, self.random, lambda state: None,
-                              lambda event: None, self.dial)  # fmt: skip
+        closer = RosterClient(
+            self.loop, [self.store], self.timeout, self.random, lambda state: None, lambda event: None, self.dial
+        )
         closer.session.session, closer.session.password, closer.session.zxid = session.session, session.password, 0
         closer.ask(Close(), lambda error, result: closer.stop())
 
--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -55,12 +55,36 @@
 @option("policy-folder", type=click.Path(file_okay=False, path_type=Path), help="go by the fleet's policy, kept here")
 @fact_options
 def supervise(
-    listen: str, seed: int, wait_most: float, silence: float, connections: int, body_bytes: int, log_form: str,
-    log_level: str, trace: Path | None, trace_size: float, trace_age: float, trace_fsync: float, connect: str,
-    root: str, session_timeout: float, lapse_hold: float, lapse_hold_most: float, fleet_connect: str,
-    fleet_root: str, advertise: str, name: str, expected: str, fleet_timeout: float, tiers: Path | None,
-    leave_zones: bool, zone_limits: str, regions: str, policy_folder: Path | None, **given: object,
-) -> None:  # fmt: skip
+    listen: str,
+    seed: int,
+    wait_most: float,
+    silence: float,
+    connections: int,
+    body_bytes: int,
+    log_form: str,
+    log_level: str,
+    trace: Path | None,
+    trace_size: float,
+    trace_age: float,
+    trace_fsync: float,
+    connect: str,
+    root: str,
+    session_timeout: float,
+    lapse_hold: float,
+    lapse_hold_most: float,
+    fleet_connect: str,
+    fleet_root: str,
+    advertise: str,
+    name: str,
+    expected: str,
+    fleet_timeout: float,
+    tiers: Path | None,
+    leave_zones: bool,
+    zone_limits: str,
+    regions: str,
+    policy_folder: Path | None,
+    **given: object,
+) -> None:
     """Runs a supervisor until SIGTERM or SIGINT. Its first line on standard output says where it listens."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -75,9 +99,14 @@
     instance = Instance(facts, seed, run, loop.clock(), wall=time.monotonic() - time.time())
     try:
         service = Service(
-            loop, instance, (host, int(port)), log, wait_most, silence,
+            loop,
+            instance,
+            (host, int(port)),
+            log,
+            wait_most,
+            silence,
             Bounds(body_bytes=body_bytes, connections=connections),
-        )  # fmt: skip
+        )
     except OSError as error:
         raise click.BadParameter(f"{listen}: {error.strerror}; take a free port, or 0", param_hint="--listen") from None
 
@@ -86,9 +115,17 @@
             text = f"{lapse_hold_most}: must not be below --lapse-hold ({lapse_hold})"
             raise click.BadParameter(text, param_hint="--lapse-hold-most")
         follower = RosterFollower(
-            loop, hosts_of(connect, "roster-connect"), check_root(root), facts.zones, facts.kinds,
-            Membership(lapse_hold, lapse_hold_most), service.hear_roster, log, seed, session_timeout,
-        )  # fmt: skip
+            loop,
+            hosts_of(connect, "roster-connect"),
+            check_root(root),
+            facts.zones,
+            facts.kinds,
+            Membership(lapse_hold, lapse_hold_most),
+            service.hear_roster,
+            log,
+            seed,
+            session_timeout,
+        )
         service.followed, instance.on_answered = connect, follower.answered
 
     agent = None
@@ -103,8 +140,17 @@
     elif fleet_connect:
         from driftshed.coordination.taking_part import leave, take_part
 
-        agent = take_part(loop, service, hosts_of(fleet_connect, "fleet-connect"), check_root(fleet_root), name,
-                          expected, fleet_timeout, log, advertise)  # fmt: skip
+        agent = take_part(
+            loop,
+            service,
+            hosts_of(fleet_connect, "fleet-connect"),
+            check_root(fleet_root),
+            name,
+            expected,
+            fleet_timeout,
+            log,
+            advertise,
+        )
     if leave_zones:
         if agent is None:
             raise click.BadParameter("zones are left as a fleet: give --fleet-connect too", param_hint="--leave-zones")
--- a/driftshed/supervisor/flags.py
+++ b/driftshed/supervisor/flags.py
@@ -57,9 +57,17 @@
     if (flag.effect == "fingerprinted") != (flag.window is not None):
         raise click.BadParameter(f"{text!r}: window=SECONDS goes with effect=fingerprinted, and only with it")
     return face.Operation(
-        flag.name, flag.objective, flag.timeout, flag.value, flag.late, flag.effect, flag.scope, flag.window,
-        flag.writes, flag.local,
-    )  # fmt: skip
+        flag.name,
+        flag.objective,
+        flag.timeout,
+        flag.value,
+        flag.late,
+        flag.effect,
+        flag.scope,
+        flag.window,
+        flag.writes,
+        flag.local,
+    )
 
 
 class OperationType(click.ParamType):
@@ -138,15 +146,29 @@
     Flag("connect-timeout", "connect_timeout", SECONDS, 0.25, "seconds that a proxy waits on a connection"),
     Flag("idle-close", "idle_close", SECONDS, 15.0, "seconds after which proxies close idle connections"),
     Flag("full-may-have-run", "full_may_have_run", click.BOOL, False, "full servers may have begun what they refuse"),
-)  # fmt: skip
+)
 
 # Facts that this program has no use for or one way with: the list is pushed, nothing is probed or told to peers, and
 # keys have no slices.
 FIXED = {
-    "own_zone": 0, "list_is_pushed": True, "may_probe": False, "may_tell_peers": False, "only_draining_binds": False,
-    "ask_within": 10.0, "line_price": 0.0, "avoids_after": 0, "slices": 0, "sole_owner": False, "keeps_writing": None,
-    "write_settles": None, "buffer_for": None, "move_price": 0.0, "warm_keys": False, "streams": 1, "tick": 0.02,
-}  # fmt: skip
+    "own_zone": 0,
+    "list_is_pushed": True,
+    "may_probe": False,
+    "may_tell_peers": False,
+    "only_draining_binds": False,
+    "ask_within": 10.0,
+    "line_price": 0.0,
+    "avoids_after": 0,
+    "slices": 0,
+    "sole_owner": False,
+    "keeps_writing": None,
+    "write_settles": None,
+    "buffer_for": None,
+    "move_price": 0.0,
+    "warm_keys": False,
+    "streams": 1,
+    "tick": 0.02,
+}
 
 
 def fact_options(command: Callable) -> Callable:
--- a/driftshed/supervisor/service.py
+++ b/driftshed/supervisor/service.py
@@ -41,9 +41,16 @@
     for so long has ended. `log(event, **fields)` gets one event a thing that happened."""
 
     def __init__(
-        self, loop: Loop, instance: Instance, address: tuple[str, int], log, wait_most: float = 20.0,
-        silence: float = 3.0, bounds: Bounds = Bounds(), transport: Transport = SOCKETS,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        instance: Instance,
+        address: tuple[str, int],
+        log,
+        wait_most: float = 20.0,
+        silence: float = 3.0,
+        bounds: Bounds = Bounds(),
+        transport: Transport = SOCKETS,
+    ) -> None:
         self.loop, self.instance, self.log = loop, instance, log
         self.wait_most, self.silence, self.bounds = wait_most, silence, bounds
         self.polls: dict[int, Poll] = {}
@@ -54,9 +61,12 @@
         self.terms: dict[int, int] = {}  # the highest term that each proxy has joined with
         self.living: Callable[[], list[str]] = lambda: []  # addresses of the supervisors that are there
         self.views: dict[str, Callable[[], object]] = {
-            "tables": self._tables, "servers": self._servers, "proxies": self._proxies, "roster": self._roster,
+            "tables": self._tables,
+            "servers": self._servers,
+            "proxies": self._proxies,
+            "roster": self._roster,
             "channel": self._channel,
-        }  # fmt: skip
+        }
         # POST /v1/NAME: what a body is decoded as, and what is done with it; a Refused says why not.
         self.actions: dict[str, tuple[type, Callable[[object], object]]] = {}
         self.waits: Callable[[], str] = lambda: ""  # why no proxy is taken yet
@@ -107,8 +117,10 @@
         self.timer = self.loop.at(at, self._turn)
 
     def _fault(self, fault) -> None:
-        turns = [{"at": at, "events": [f"{type(e).__name__}{tuple(e)!r}"[:400] for e in events[:50]]}
-                 for at, events in fault.turns]  # fmt: skip
+        turns = [
+            {"at": at, "events": [f"{type(e).__name__}{tuple(e)!r}"[:400] for e in events[:50]]}
+            for at, events in fault.turns
+        ]
         self.log("module_fault", level="error", error=fault.error, place=fault.place, turns=turns)
 
     # ---- requests ---------------------------------------------------------------------------------------------
@@ -196,13 +208,25 @@
         poll.living = self.living()
         self._listen(poll, request.connection)
         self._await_poll(poll)
-        self.log("joined", proxy=proxy, zone=join.zone, version=record.acked, resumed=join.run == self.instance.hub.run,
-                 replaced=replaced)  # fmt: skip
+        self.log(
+            "joined",
+            proxy=proxy,
+            zone=join.zone,
+            version=record.acked,
+            resumed=join.run == self.instance.hub.run,
+            replaced=replaced,
+        )
         self.soon()
         answer = JoinAnswer(
-            self.instance.hub.run, record.stream, record.acked, list(self.instance.operations), self.wait_most,
-            self.instance.facts.report_period, poll.living, self.instance.policy,
-        )  # fmt: skip
+            self.instance.hub.run,
+            record.stream,
+            record.acked,
+            list(self.instance.operations),
+            self.wait_most,
+            self.instance.facts.report_period,
+            poll.living,
+            self.instance.policy,
+        )
         request.answer(200, encode(answer))
 
     def _listen(self, poll: Poll, connection: ServerConnection) -> None:
@@ -317,11 +341,13 @@
         return {
             "run": hub.run,
             "tables": {t: {server: line.weight for server, line in lines.items()} for t, lines in hub.tables.items()},
-            "levels": {table: {list(self.instance.operations)[level.operation]: [level.level, level.tries]
-                               for level in each} for table, each in levels.items()},
+            "levels": {
+                table: {list(self.instance.operations)[level.operation]: [level.level, level.tries] for level in each}
+                for table, each in levels.items()
+            },
             "out": sorted(hub.out),
             "proxies": {table: list(users) for table, users in hub.users.items()},
-        }  # fmt: skip
+        }
 
     def _servers(self) -> list[dict]:
         """Every listed server: its lines, and why it has none or is out."""
@@ -340,16 +366,30 @@
                 why = "listed, and no line ordered yet"
             elif entry.started is not None and now - entry.started < self.instance.facts.warm_within:
                 why = f"in, with less weight: started {now - entry.started:.1f} s ago and may be cold"
-            rows.append({"server": name, "zone": self.instance.facts.zones[entry.zone], "lines": lines,
-                         "state": STATE_NAMES[entry.state], "out": name in hub.out, "why": why})  # fmt: skip
+            rows.append(
+                {
+                    "server": name,
+                    "zone": self.instance.facts.zones[entry.zone],
+                    "lines": lines,
+                    "state": STATE_NAMES[entry.state],
+                    "out": name in hub.out,
+                    "why": why,
+                }
+            )
         return rows
 
     def _proxies(self) -> list[dict]:
         return [
-            {"proxy": record.proxy, "zone": self.instance.facts.zones[record.zone], "joined": record.joined,
-             "tables": sorted(set(record.bound.values())), "version": record.version, "applied": record.acked}
+            {
+                "proxy": record.proxy,
+                "zone": self.instance.facts.zones[record.zone],
+                "joined": record.joined,
+                "tables": sorted(set(record.bound.values())),
+                "version": record.version,
+                "applied": record.acked,
+            }
             for record in self.instance.hub.records.values()
-        ]  # fmt: skip
+        ]
 
     def _roster(self) -> dict:
         return {"version": self.instance.roster.version, "servers": len(self.instance.roster.entries)}
@@ -357,12 +397,17 @@
     def _channel(self) -> dict:
         hub = self.instance.hub
         return {
-            "waiting": hub.channel.waiting, "most_waiting": hub.channel.most_waiting,
+            "waiting": hub.channel.waiting,
+            "most_waiting": hub.channel.most_waiting,
             "cap": self.instance.facts.queue_cap,
-            "messages": hub.messages_sent, "joined": len(self.polls), "connections": len(self.http.connections),
-            "faults": self.instance.faults, "refused": self.refused, "up": self.loop.clock() - self.began,
+            "messages": hub.messages_sent,
+            "joined": len(self.polls),
+            "connections": len(self.http.connections),
+            "faults": self.instance.faults,
+            "refused": self.refused,
+            "up": self.loop.clock() - self.began,
             "cpu": time.process_time(),
-        }  # fmt: skip
+        }
 
     def hand_over(self, pause: Callable[[int], float], done: Callable[[], object]) -> None:
         """Takes no more proxies and sends those that it has elsewhere, one after the other; `pause(lines)`: seconds
--- a/driftshed/trace/command.py
+++ b/driftshed/trace/command.py
@@ -40,7 +40,6 @@
             sys.exit(0)
 
 
-
 @click.group(cls=Group)
 def trace() -> None:
     """Traces: record with `supervise --trace DIR` or `day --trace DIR`, then look at what was."""
@@ -70,8 +69,9 @@
     sets = [frozenset(part) or None for part in (kinds, proxies, servers, operations, instances)]
     wanted = tools.Wanted(
         -tools.NO_BYTES if since is None else base + round(since * 1e6),
-        tools.NO_BYTES if until is None else base + round(until * 1e6), *sets,
-    )  # fmt: skip
+        tools.NO_BYTES if until is None else base + round(until * 1e6),
+        *sets,
+    )
     _say(records=tools.cut(file, out, wanted))
 
 
@@ -84,8 +84,15 @@
     clocks = []
     for name, clock in merged.clocks:
         if isinstance(clock, Offset):
-            clocks.append({"file": name, "offset_s": round(clock.value, 6), "drift_ppm": round(clock.drift * 1e6, 2),
-                           "bound_s": round(clock.bound, 6), "messages": clock.messages})  # fmt: skip
+            clocks.append(
+                {
+                    "file": name,
+                    "offset_s": round(clock.value, 6),
+                    "drift_ppm": round(clock.drift * 1e6, 2),
+                    "bound_s": round(clock.bound, 6),
+                    "messages": clock.messages,
+                }
+            )
         else:
             clocks.append({"file": name, "unknown": clock.why, "order": "unknown against the other files"})
             click.echo(f"{name}: {clock.why}; its order against the others is unknown, its times are its own", err=True)
@@ -214,5 +221,3 @@
     """Reads broken files for a while; nothing but a plain refusal may come of it."""
     with tempfile.TemporaryDirectory() as folder:
         _say(**run_fuzz(Path(folder), seconds, seed)._asdict())
-
-
--- a/driftshed/trace/files.py
+++ b/driftshed/trace/files.py
@@ -32,7 +32,7 @@
     read_index,
     read_meta,
     tail_bytes,
-)  # fmt: skip
+)
 from driftshed.trace.schema import spread, to_rows
 
 CHUNK = 1 << 20
--- a/driftshed/trace/framing.py
+++ b/driftshed/trace/framing.py
@@ -148,11 +148,14 @@
         some = places[start : start + MOST_RECORDS]
         columns = {"at": ("t", make("t", [place.meta.first for place in some]))}
         for name, kind, values_of in (
-            ("last", "t", [place.meta.last for place in some]), ("offset", "i", [place.offset for place in some]),
-            ("length", "i", [place.length for place in some]), ("kind", "s", [place.meta.kind for place in some]),
-            ("source", "s", [place.meta.source for place in some]), ("raw", "i", [place.meta.raw for place in some]),
+            ("last", "t", [place.meta.last for place in some]),
+            ("offset", "i", [place.offset for place in some]),
+            ("length", "i", [place.length for place in some]),
+            ("kind", "s", [place.meta.kind for place in some]),
+            ("source", "s", [place.meta.source for place in some]),
+            ("raw", "i", [place.meta.raw for place in some]),
             ("records", "i", [place.meta.records for place in some]),
-        ):  # fmt: skip
+        ):
             columns[name] = kind, make(kind, values_of)
         batches.append(Batch(INDEX, "", columns))
     return batches
--- a/driftshed/trace/generate.py
+++ b/driftshed/trace/generate.py
@@ -43,14 +43,18 @@
         used, codes = np.unique(key, return_inverse=True)
         value = np.where(outcome == 0, VALUES[operation], np.where(outcome == 1, 0.2 * VALUES[operation], 0.0))
         columns = {
-            "at": ("t", times), "seq": ("i", np.arange(seq[source] + 1, seq[source] + 1 + count)),
+            "at": ("t", times),
+            "seq": ("i", np.arange(seq[source] + 1, seq[source] + 1 + count)),
             "proxy": ("i", source + sources * (chance.pareto(1.2, count) * 3).astype(np.int64) % proxies),
             "operation": ("s", Strings(operation.astype(np.int64), OPERATIONS)),
             "key": ("s", Strings(codes.astype(np.int64), [f"household-{k:04d}" for k in used.tolist()])),
-            "took": ("t", whole), "outcome": ("s", Strings(outcome, OUTCOMES)), "value": ("f", value),
+            "took": ("t", whole),
+            "outcome": ("s", Strings(outcome, OUTCOMES)),
+            "value": ("f", value),
             "servers": ("S", Lists(counts, Strings(chance.integers(0, servers, total), names))),
-            "began": ("T", Lists(counts, began)), "spans": ("T", Lists(counts, took)),
+            "began": ("T", Lists(counts, began)),
+            "spans": ("T", Lists(counts, took)),
             "outcomes": ("S", Lists(counts, Strings(outcome_of_try, TRIES))),
-        }  # fmt: skip
+        }
         seq[source] += count
         yield fold(Batch("invocation", f"proxies-{source}", columns))
--- a/driftshed/trace/recording.py
+++ b/driftshed/trace/recording.py
@@ -37,20 +37,43 @@
 
     def _begin(self, seed: int, now: float) -> None:
         self.begin, self.count = self.begin + 1, 0
-        self.writer.add("start", self.unix(now), run=self.instance.hub.run, begin=self.begin, now=now, seed=seed,
-                        core=self.core, facts=encode_facts(self.instance.facts))  # fmt: skip
+        self.writer.add(
+            "start",
+            self.unix(now),
+            run=self.instance.hub.run,
+            begin=self.begin,
+            now=now,
+            seed=seed,
+            core=self.core,
+            facts=encode_facts(self.instance.facts),
+        )
 
     def _switch(self, now: float) -> None:
         """The instance goes by other facts from its next turn on."""
-        self.writer.add("switch", self.unix(now), run=self.instance.hub.run, begin=self.begin, turn=self.count, now=now,
-                        facts=encode_facts(self.instance.facts))  # fmt: skip
+        self.writer.add(
+            "switch",
+            self.unix(now),
+            run=self.instance.hub.run,
+            begin=self.begin,
+            turn=self.count,
+            now=now,
+            facts=encode_facts(self.instance.facts),
+        )
 
     def _turn(self, now: float, events: list, orders: list) -> None:
         self._add(now, Encoded(events), Encoded(orders))
 
     def _add(self, now: float, events: object, orders: object) -> None:
-        self.writer.add("turn", self.unix(now), run=self.instance.hub.run, begin=self.begin, turn=self.count, now=now,
-                        events=events, orders=orders)  # fmt: skip
+        self.writer.add(
+            "turn",
+            self.unix(now),
+            run=self.instance.hub.run,
+            begin=self.begin,
+            turn=self.count,
+            now=now,
+            events=events,
+            orders=orders,
+        )
         self.count += 1
 
     def _fault(self, fault: Fault) -> None:
@@ -60,8 +83,15 @@
 
     def decided(self, now: float, what: str, topic: str, given: object, said: object) -> None:
         """A decision of one of the parts that supervisors settle together, with all that it rests on."""
-        self.writer.add("decision", self.unix(now), run=self.instance.hub.run, what=what, topic=topic,
-                        given=msgspec.json.encode(given), said=msgspec.json.encode(said))  # fmt: skip
+        self.writer.add(
+            "decision",
+            self.unix(now),
+            run=self.instance.hub.run,
+            what=what,
+            topic=topic,
+            given=msgspec.json.encode(given),
+            said=msgspec.json.encode(said),
+        )
 
     def message(self, now: float, name: str, sent: bool) -> None:
         """A message that a proxy's trace sees from its side."""
--- a/driftshed/trace/replay.py
+++ b/driftshed/trace/replay.py
@@ -72,9 +72,12 @@
     """Hears the records of all instances of a trace in order; `verdicts()` at the end."""
 
     def __init__(
-        self, other_core: bool = False, make: Callable[..., Brain] = Brain, core: str | None = None,
+        self,
+        other_core: bool = False,
+        make: Callable[..., Brain] = Brain,
+        core: str | None = None,
         deciders: dict[str, Callable[[dict], str]] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.make, self.other_core, self.core = make, other_core, core or core_version()
         self.brains: dict[tuple[str, int], Brain | None] = {}
         self.turns: dict[tuple[str, int], int] = {}
--- a/driftshed/trace/schema.py
+++ b/driftshed/trace/schema.py
@@ -14,8 +14,19 @@
 KINDS: dict[str, dict[str, str]] = {
     # One client's request at a proxy: its tries with their servers, when each began after `at`, how long it took and
     # what came of it; `value`: billed value earned.
-    "invocation": BASE | {"proxy": "i", "operation": "s", "key": "s", "took": "t", "outcome": "s", "value": "f",
-                          "servers": "S", "began": "T", "spans": "T", "outcomes": "S"},
+    "invocation": BASE
+    | {
+        "proxy": "i",
+        "operation": "s",
+        "key": "s",
+        "took": "t",
+        "outcome": "s",
+        "value": "f",
+        "servers": "S",
+        "began": "T",
+        "spans": "T",
+        "outcomes": "S",
+    },
     # An instance of the module begins: its facts, and which code decides.
     "start": BASE | {"run": "s", "begin": "i", "now": "f", "seed": "i", "core": "s", "facts": "b"},
     # Before this turn it went over to other facts (core/carrying.py).
@@ -30,7 +41,7 @@
     # Records that could not be written.
     "gap": BASE | {"until": "t", "lost": "i", "why": "s"},
     "note": BASE | {"text": "s"},
-}  # fmt: skip
+}
 
 
 # As it is stored, an invocation says what is new: `gaps`, from the end of the try before (or from `at`) to the
--- a/driftshed/trace/tools.py
+++ b/driftshed/trace/tools.py
@@ -256,13 +256,21 @@
             if batch.kind == "invocation":
                 _add_invocations(spread(batch), operations, servers)
         return {
-            "file": file.path.name, "format": f"1.{file.minor}", "about": file.about, "bytes": file.size,
-            "indexed": file.indexed, "records": sum(kinds.values()), "kinds": dict(kinds), "sources": dict(sources),
-            "from": None if since is None else since / 1e6, "to": None if until is None else until / 1e6,
-            "lost": lost, "damages": [damage._asdict() for damage in file.damages],
+            "file": file.path.name,
+            "format": f"1.{file.minor}",
+            "about": file.about,
+            "bytes": file.size,
+            "indexed": file.indexed,
+            "records": sum(kinds.values()),
+            "kinds": dict(kinds),
+            "sources": dict(sources),
+            "from": None if since is None else since / 1e6,
+            "to": None if until is None else until / 1e6,
+            "lost": lost,
+            "damages": [damage._asdict() for damage in file.damages],
             "operations": {name: _told(row) for name, row in sorted(operations.items())},
             "servers": dict(sorted(servers.items(), key=lambda row: (-row[1], row[0]))[:200]),
-        }  # fmt: skip
+        }
 
 
 def _add_invocations(batch: Batch, operations: dict[str, dict], servers: dict[str, int]) -> None:
@@ -272,8 +280,16 @@
     for place, name in enumerate(table):
         rows = np.flatnonzero(codes == place)
         if len(rows):
-            row = operations.setdefault(name, {"count": 0, "value": 0.0, "tries": 0, "outcomes": defaultdict(int),
-                                               "took": np.zeros(len(EDGES) + 1, dtype=np.int64)})  # fmt: skip
+            row = operations.setdefault(
+                name,
+                {
+                    "count": 0,
+                    "value": 0.0,
+                    "tries": 0,
+                    "outcomes": defaultdict(int),
+                    "took": np.zeros(len(EDGES) + 1, dtype=np.int64),
+                },
+            )
             row["count"] += len(rows)
             row["value"] += float(value[rows].sum())
             row["tries"] += int(counts[rows].sum())
@@ -289,8 +305,13 @@
     edges, whole = np.append(EDGES, EDGES[-1]), np.cumsum(row["took"])
     places = {q: np.searchsorted(whole, q / 100 * whole[-1]) for q in (50, 99)}
     quantiles = {f"p{q}_s": round(float(edges[place]) / 1e6, 4) for q, place in places.items()}
-    return {"count": row["count"], "value": round(row["value"], 6), "outcomes": dict(row["outcomes"]),
-            "tries_each": round(row["tries"] / row["count"], 4), **quantiles}  # fmt: skip
+    return {
+        "count": row["count"],
+        "value": round(row["value"], 6),
+        "outcomes": dict(row["outcomes"]),
+        "tries_each": round(row["tries"] / row["count"], 4),
+        **quantiles,
+    }
 
 
 # ---- verify and repair ----------------------------------------------------------------------------------------------
@@ -349,8 +370,15 @@
         holes = {source: most - least + 1 - count - told for source, (least, most, count, told) in seqs.items()}
         missing = {source: hole for source, hole in holes.items() if hole > 0}
         index = "sound" if indexed else "other" if tail == b"DSTREND\n" else "none"
-        return Verified(records, blocks, [tuple(damage) for damage in file.damages], last, index, missing,
-                        f"{total & (1 << 64) - 1:016x}" if digest else "")  # fmt: skip
+        return Verified(
+            records,
+            blocks,
+            [tuple(damage) for damage in file.damages],
+            last,
+            index,
+            missing,
+            f"{total & (1 << 64) - 1:016x}" if digest else "",
+        )
 
 
 def repair(path: Path, out: Path) -> tuple[int, list]:
--- a/driftshed/trace/writer.py
+++ b/driftshed/trace/writer.py
@@ -67,9 +67,16 @@
     each block."""
 
     def __init__(
-        self, folder: Path, source: str, about: dict | None = None, size: int = 64 << 20, age: float = 3600.0,
-        fsync: float = 1.0, opener: Open = TraceFileWriter, clock: Callable[[], float] = time.time,
-    ) -> None:  # fmt: skip
+        self,
+        folder: Path,
+        source: str,
+        about: dict | None = None,
+        size: int = 64 << 20,
+        age: float = 3600.0,
+        fsync: float = 1.0,
+        opener: Open = TraceFileWriter,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
         self.folder, self.source, self.size, self.age, self.fsync = folder, source, size, age, fsync
         self.about = {"source": source, "core": core_version(), **(about or {})}
         self.opener, self.clock = opener, clock
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -88,9 +88,15 @@
         seat = DriftingSeat(self.loop, name, rate)
         member = Member(name, f"{host}:7000", "test")
         agent = self.agent_class(
-            seat, [STORE], ROOT, member, self.names, TIMEOUT, self.random.getrandbits(30),
+            seat,
+            [STORE],
+            ROOT,
+            member,
+            self.names,
+            TIMEOUT,
+            self.random.getrandbits(30),
             dial=self.network.dial(host),
-        )  # fmt: skip
+        )
         agent.host, agent.seat = host, seat
         agent.judge = lambda record: self.words.get((name, record.topic), (True, ""))
         agent.on_record = lambda record: self.saw[name, id(agent), record.topic].append(record)
@@ -131,9 +137,11 @@
         ways = [(host, STORE[0])] * forth + [(STORE[0], host)] * back
         for way in ways:
             self.network.way(*way).cut = True
+
         def mend() -> None:
             for way in ways:
                 self.network.way(*way).cut = False
+
         self.network.loop_seat.after(seconds, mend)
 
     def lose_answers(self, name: str) -> None:
@@ -152,8 +160,9 @@
 
     # ---- what stands ------------------------------------------------------------------------------------------
 
-    def propose(self, name: str, topic: str, body: object = None, quorum: int | None = None, patience: float = 3.0,
-                **more):  # fmt: skip
+    def propose(
+        self, name: str, topic: str, body: object = None, quorum: int | None = None, patience: float = 3.0, **more
+    ):
         proposal = self.agents[name].propose(topic, body, self.names, quorum or len(self.names), patience, **more)
         self.proposals.append((topic, proposal))
         return proposal
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -39,8 +39,16 @@
 
 
 def listed(number: int, state: str = "up", **more) -> dict:
-    return {"id": f"s-{number}", "addr": "10.0.0.1:1", "zone": "east", "kind": "m1", "cell": 0, "state": state,
-            "weight": 1.0, "started_ms": 0} | more  # fmt: skip
+    return {
+        "id": f"s-{number}",
+        "addr": "10.0.0.1:1",
+        "zone": "east",
+        "kind": "m1",
+        "cell": 0,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": 0,
+    } | more
 
 
 def text_of(address) -> str:
@@ -49,11 +57,15 @@
 
 def told(relay=("127.0.0.1", 1), follow=("127.0.0.1", 1), servers=6, **more) -> dict:
     return {
-        "name": "n1", "listen": "127.0.0.1:1", "discovery": text_of(follow), "seed": "8c1f",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}, "distributor": {"address": text_of(relay)},
+        "name": "n1",
+        "listen": "127.0.0.1:1",
+        "discovery": text_of(follow),
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
+        "distributor": {"address": text_of(relay)},
         "known": {"version": 3, "full": True, "servers": [listed(n) for n in range(servers)]},
         "settings": nested(FACTS + KINDS),
-    } | more  # fmt: skip
+    } | more
 
 
 def chunk(value: object) -> bytes:
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -61,8 +61,18 @@
         log = lambda event, **fields: self.logs.append((loop.now, name, event, fields))  # noqa: E731
         instance = Instance(self.facts, self.starts, f"run{self.starts}", seat.clock(), 0.0)
         service = Service(seat, instance, (host, 7000), log, silence=2.0, transport=self.network.transport(host))
-        agent = take_part(seat, service, [STORE], ROOT, name, ",".join(self.names), TIMEOUT, log,
-                          seed=self.random.getrandbits(30), dial=self.network.dial(host))  # fmt: skip
+        agent = take_part(
+            seat,
+            service,
+            [STORE],
+            ROOT,
+            name,
+            ",".join(self.names),
+            TIMEOUT,
+            log,
+            seed=self.random.getrandbits(30),
+            dial=self.network.dial(host),
+        )
         keep = Keep(self.folder / name, "fleet", name)
         self.parts[name] = PolicyPart(seat, service, agent, keep, log, unix=lambda: loop.now)
         agent.host, agent.seat = host, seat
@@ -96,11 +106,26 @@
     def _proxy(self, number: int) -> Proxy:
         host = f"127.0.2.{number + 1}"
         self.network.zones[host] = host
-        order = [*self.names[number % len(self.names):], *self.names[: number % len(self.names)]]
-        place = Place(number, ("east", "west")[number % 2], 5.0, (host, 8080),
-                      [(self.hosts[name], 7000) for name in order], ["127.0.3.1:8000"], host, 2.0)  # fmt: skip
-        return Proxy(Seat(self.loop, f"proxy {number}"), place, self.facts, number, lambda event, **fields: None,
-                     f"{number}", transport=self.network.transport(host))  # fmt: skip
+        order = [*self.names[number % len(self.names) :], *self.names[: number % len(self.names)]]
+        place = Place(
+            number,
+            ("east", "west")[number % 2],
+            5.0,
+            (host, 8080),
+            [(self.hosts[name], 7000) for name in order],
+            ["127.0.3.1:8000"],
+            host,
+            2.0,
+        )
+        return Proxy(
+            Seat(self.loop, f"proxy {number}"),
+            place,
+            self.facts,
+            number,
+            lambda event, **fields: None,
+            f"{number}",
+            transport=self.network.transport(host),
+        )
 
     def _look(self) -> None:
         for number, proxy in enumerate(self.proxies):
@@ -139,8 +164,11 @@
 
     def settled_at(self) -> dict[int, float]:
         """By version: when the first supervisor read that it is settled, a way later than it was."""
-        versions = {record.epoch: read_change(record.standing.body)[0].version for record in self.history()
-                    if record.topic == TOPIC and record.state == "settled"}  # fmt: skip
+        versions = {
+            record.epoch: read_change(record.standing.body)[0].version
+            for record in self.history()
+            if record.topic == TOPIC and record.state == "settled"
+        }
         found: dict[int, float] = {}
         for at, _, event, fields in self.logs:
             if event == "record" and fields["topic"] == TOPIC and fields["epoch"] in versions:
@@ -151,8 +179,11 @@
 
 def check_policies(fleet: PolicyFleet) -> None:
     """AssertionError names what does not hold."""
-    versions = [read_change(record.standing.body)[0].version for record in fleet.history()
-                if record.topic == TOPIC and record.state == "settled"]  # fmt: skip
+    versions = [
+        read_change(record.standing.body)[0].version
+        for record in fleet.history()
+        if record.topic == TOPIC and record.state == "settled"
+    ]
     assert versions == sorted(set(versions)), f"versions were settled as {versions}"
     at = fleet.settled_at()
     for number, rows in fleet.heeded.items():
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -62,18 +62,26 @@
         self.commands = {"build": ["/bin/sh", "-c", line], "make": ["make", ".venv/.ready"]}
         kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG", "TMPDIR") if name in os.environ}
         self.environment = kept | {
-            "PIP_NO_INDEX": "1", "PIP_FIND_LINKS": str(wheels), "PIP_CONFIG_FILE": os.devnull,
+            "PIP_NO_INDEX": "1",
+            "PIP_FIND_LINKS": str(wheels),
+            "PIP_CONFIG_FILE": os.devnull,
             "PIP_DISABLE_PIP_VERSION_CHECK": "1",
-        }  # fmt: skip
+        }
 
     def write(self, name: str, text: str) -> None:
         (self.folder / name).write_text(text)
 
     def start(self, how: str) -> subprocess.Popen:
         return subprocess.Popen(
-            self.commands[how], cwd=self.folder, env=self.environment, start_new_session=True, text=True,
-            stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
-        )  # fmt: skip
+            self.commands[how],
+            cwd=self.folder,
+            env=self.environment,
+            start_new_session=True,
+            text=True,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        )
 
     def run(self, how: str) -> tuple[int, str]:
         """Exit code and words of a whole build."""
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -66,8 +66,14 @@
 # ---- the exact counts -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", sorted(name for name, part in capacity.PARTS.items()
-                                         if part.counts and any(s.kind == "count" for s in part.slopes.values())))
+@pytest.mark.parametrize(
+    "name",
+    sorted(
+        name
+        for name, part in capacity.PARTS.items()
+        if part.counts and any(s.kind == "count" for s in part.slopes.values())
+    ),
+)
 def test_the_counts_of_the_least_size_come_out_again(name):
     part = capacity.PARTS[name]
     assert name in WITH_ROWS, f"run `python -m benchmarks.capacity {name}`"
@@ -93,8 +99,9 @@
     found = RESULTS["refusals"]
     assert capacity_flat.refused_at() == found["names"]
     assert capacity_process.operations_refused_at() == found["operations"]
-    assert capacity_process.text_refused_at() == {key: found[key] for key in ("text_refused_open",
-                                                                              "text_refused_settled")}
+    assert capacity_process.text_refused_at() == {
+        key: found[key] for key in ("text_refused_open", "text_refused_settled")
+    }
 
 
 def test_a_list_longer_than_may_wait_is_read_to_its_end():
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -22,8 +22,16 @@
 PRINTED = {  # event records of the page, without code and length
     "03000000 29000000 02 02000000 0a124a07931f 00 0000 0000000000000000 0000 02 0000803f"
     "0a9011f2bc1f 01 0000 20145d0000000000 0000 02 0000c03f": (
-        259, face.Listing(41, 2, (face.Entry(b"\x0a\x12\x4a\x07\x93\x1f", 0, 0, None, 0, 2, 1.0),
-                                  face.Entry(b"\x0a\x90\x11\xf2\xbc\x1f", 1, 0, 6.1, 0, 2, 1.5)))),
+        259,
+        face.Listing(
+            41,
+            2,
+            (
+                face.Entry(b"\x0a\x12\x4a\x07\x93\x1f", 0, 0, None, 0, 2, 1.0),
+                face.Entry(b"\x0a\x90\x11\xf2\xbc\x1f", 1, 0, 6.1, 0, 2, 1.5),
+            ),
+        ),
+    ),
     "03000000 0a9011f2bc1f 00 78050000 01 0000e040": (258, face.Probed(b"\x0a\x90\x11\xf2\xbc\x1f", 0, 0.0014, (7.0,))),
     "03000000 00 01 2900 0000d040": (260, face.Joined(0, True, 41, 6.5)),
     "03000000 09000000 2900 80841e00 00000000 0000": (265, face.Demand(9, 41, 2.0, 0, 0)),
@@ -33,7 +41,7 @@
     "03000000 0c000000 2900 544b0600": (256, face.Applied(12, 41, 0.4125)),
     "03000000 02000000 0400 68692037": (262, face.PeerNote(2, b"hi 7")),
     "03000000": (264, face.Killed()),
-}  # fmt: skip
+}
 ORDERED = {
     "0101 0a000000 03000000 0a9011f2bc1f": face.Probe(b"\x0a\x90\x11\xf2\xbc\x1f"),
     "0201 0e000000 03000000 ffffffff 0400 68692037": face.TellPeer(0xFFFFFFFF, b"hi 7"),
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -61,8 +61,10 @@
     fleet.words.clear()
     fleet.run(6)
     for name in fleet.names:
-        if not any(agent.name == name and agent.chair.standing is not Standing.FENCED and not agent.seat.ended
-                   for agent in fleet.all):  # fmt: skip
+        if not any(
+            agent.name == name and agent.chair.standing is not Standing.FENCED and not agent.seat.ended
+            for agent in fleet.all
+        ):
             fleet.start(name)
     fleet.run(25)
     return fleet
@@ -103,7 +105,8 @@
     def holds(self) -> bool:
         session = self.client.session
         return self.chair.standing is Standing.LISTED and self.lease.holds(
-            self.loop.clock(), session.proved_at, session.timeout)  # fmt: skip
+            self.loop.clock(), session.proved_at, session.timeout
+        )
 
     def _member(self, node, data, stat) -> None:
         member = read_member(node, data)
@@ -129,10 +132,14 @@
     return ""
 
 
-@pytest.mark.parametrize("agent, said", [
-    (NoLease, "on a lease whose session was over"), (NoFence, "had acted, then start"),
-    (NoCompare, "epochs fell"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "agent, said",
+    [
+        (NoLease, "on a lease whose session was over"),
+        (NoFence, "had acted, then start"),
+        (NoCompare, "epochs fell"),
+    ],
+)
 def test_a_build_without_lease_fence_or_compare_and_set_is_seen(agent, said):
     assert said in fails(range(400), agent=agent)
 
@@ -283,7 +290,11 @@
     fleet.run(3 * TIMEOUT)
     agent = fleet.agents["a"]
     assert {row.name: row.state for row in agent.roll.rows(agent.loop.clock())} == {
-        "a": "living", "b": "silent", "c": "living", "x": "stranger"}  # fmt: skip
+        "a": "living",
+        "b": "silent",
+        "c": "living",
+        "x": "stranger",
+    }
     assert "x" not in agent.roll.order() and agent.roll.addresses() == ["127.0.1.1:7000", "127.0.1.3:7000"]
 
 
@@ -345,10 +356,17 @@
     assert fleet.agents["a"].roll.order() == ["a"]
 
 
-@pytest.mark.parametrize("given, said", [
-    ({"topic": "a/b"}, "letters"), ({"needs": ()}, "each once"), ({"needs": ("a", "a")}, "each once"),
-    ({"quorum": 3}, "cannot assent"), ({"patience": 0}, "patience"), ({"body": "x" * 70000}, "put less into it"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "given, said",
+    [
+        ({"topic": "a/b"}, "letters"),
+        ({"needs": ()}, "each once"),
+        ({"needs": ("a", "a")}, "each once"),
+        ({"quorum": 3}, "cannot assent"),
+        ({"patience": 0}, "patience"),
+        ({"body": "x" * 70000}, "put less into it"),
+    ],
+)
 def test_a_proposal_that_could_never_be_is_refused_with_the_reason(given, said, fleet):
     given = {"topic": "policy", "body": 1, "needs": ("a", "b"), "quorum": 2, "patience": 1.0} | given
     with pytest.raises(Barred, match=said):
@@ -363,11 +381,18 @@
     assert not lease.holds(0.0, float("-inf"), 10.0)
 
 
-@pytest.mark.parametrize("name, data", [
-    ("a", b"{}"), ("a~x", b"{}"), ("a~1", b"{"), ("a~1", b'{"name":"b","incarnation":1}'),
-    ("a~1", b'{"name":"a","incarnation":2}'), ("a~1", b'{"name":"a","incarnation":1,"proxies":-1}'),
-    ("../a~1", b'{"name":"../a","incarnation":1}'),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "name, data",
+    [
+        ("a", b"{}"),
+        ("a~x", b"{}"),
+        ("a~1", b"{"),
+        ("a~1", b'{"name":"b","incarnation":1}'),
+        ("a~1", b'{"name":"a","incarnation":2}'),
+        ("a~1", b'{"name":"a","incarnation":1,"proxies":-1}'),
+        ("../a~1", b'{"name":"../a","incarnation":1}'),
+    ],
+)
 def test_bad_members_are_told(name, data):
     with pytest.raises(BadMember):
         read_member(name, data)
--- a/tests/test_coordination_model.py
+++ b/tests/test_coordination_model.py
@@ -76,15 +76,22 @@
                 yield f"{k} is told", put(k, s._replace(flight=(), sole=s.sole or sole, **newer))
         if s.up == "up" and 0 < s.number < counter:
             yield f"{k} is fenced", put(k, s._replace(up="fenced", lease=0, flight=(), session=0))
-    behind = [(False, True) if s.up in ("up", "paused") and s.late < DRIFT and (not s.flight or s.flight[2] < DRIFT)
-              else (False,) for s in starts]  # fmt: skip
+    behind = [
+        (False, True)
+        if s.up in ("up", "paused") and s.late < DRIFT and (not s.flight or s.flight[2] < DRIFT)
+        else (False,)
+        for s in starts
+    ]
     for lags in product(*behind):
         aged = []
         for s, lag in zip(starts, lags, strict=True):
             less = 0 if lag else 1
             flight = s.flight and (s.flight[0], max(0, s.flight[1] - less), s.flight[2] + lag, *s.flight[3:])
-            aged.append(s._replace(session=max(0, s.session - 1), lease=max(0, s.lease - less), late=s.late + lag,
-                                   flight=flight))  # fmt: skip
+            aged.append(
+                s._replace(
+                    session=max(0, s.session - 1), lease=max(0, s.lease - less), late=s.late + lag, flight=flight
+                )
+            )
         yield "a tick", Leases(counter, tuple(aged))
 
 
@@ -109,9 +116,14 @@
     assert found.states == 60_000
 
 
-@pytest.mark.parametrize("tamper, said", [
-    ("drift", "acts after"), ("lease", "acts after"), ("fence", "two starts"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "tamper, said",
+    [
+        ("drift", "acts after"),
+        ("lease", "acts after"),
+        ("fence", "two starts"),
+    ],
+)
 def test_the_model_of_leases_fails_without_drift_bound_lease_or_fence(tamper, said):
     start = Leases(0, (Start(), Start()))
     found = explore(start, lambda state: lease_moves(state, tamper), lambda state: lease_wrong(state, tamper))
@@ -162,8 +174,9 @@
     if tamper != "compare" and (version != state.version or (count is not None and count != state.count)):
         return state, ("done",)
     ends = state.ends | {(record.epoch, record.state, record.token)}
-    return state._replace(record=record, version=state.version + 1, count=state.count + (count is not None),
-                          ends=ends), ("done",)  # fmt: skip
+    return state._replace(
+        record=record, version=state.version + 1, count=state.count + (count is not None), ends=ends
+    ), ("done",)
 
 
 def read(peer: Peer, token: str, view: tuple, words: frozenset) -> Peer:
@@ -191,8 +204,10 @@
             done, answer = carry_out(state, peer.flight[1], tamper)
             yield f"{name}'s {peer.flight[1][0]} is done", put(k, peer._replace(flight=answer), done)
             if peer.losses:
-                yield f"{name}'s {peer.flight[1][0]} is lost", put(
-                    k, peer._replace(flight=(), view=None, losses=peer.losses - 1))  # fmt: skip
+                yield (
+                    f"{name}'s {peer.flight[1][0]} is lost",
+                    put(k, peer._replace(flight=(), view=None, losses=peer.losses - 1)),
+                )
         elif peer.flight:
             if peer.flight[0] == "told":
                 yield f"{name} reads", put(k, read(peer, token, *peer.flight[1:]))
@@ -252,17 +267,32 @@
 
 
 def records(peers: int, proposers: int, crashes: int, losses: int) -> Records:
-    return Records(None, 0, 0, frozenset(), frozenset(), frozenset(), tuple(
-        Peer(proposals=int(k < proposers), losses=losses) for k in range(peers)), crashes)  # fmt: skip
-
-
-@pytest.mark.parametrize("peers, proposers, crashes, losses, quorum", [
-    (2, 2, 1, 0, 0), (2, 1, 1, 1, 0), (2, 2, 0, 1, 1), (3, 1, 0, 0, 2),
-])  # fmt: skip
+    return Records(
+        None,
+        0,
+        0,
+        frozenset(),
+        frozenset(),
+        frozenset(),
+        tuple(Peer(proposals=int(k < proposers), losses=losses) for k in range(peers)),
+        crashes,
+    )
+
+
+@pytest.mark.parametrize(
+    "peers, proposers, crashes, losses, quorum",
+    [
+        (2, 2, 1, 0, 0),
+        (2, 1, 1, 1, 0),
+        (2, 2, 0, 1, 1),
+        (3, 1, 0, 0, 2),
+    ],
+)
 def test_one_end_for_each_epoch_and_nothing_settled_is_lost(peers, proposers, crashes, losses, quorum):
     """The shortest ways alone; `benchmarks/coordination.py models` goes on."""
-    found = explore(records(peers, proposers, crashes, losses), lambda state: record_moves(state, "", quorum),
-                    record_wrong, 30_000)  # fmt: skip
+    found = explore(
+        records(peers, proposers, crashes, losses), lambda state: record_moves(state, "", quorum), record_wrong, 30_000
+    )
     assert not found.broken, found
     assert found.states > 5_000
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -300,9 +300,9 @@
 
 def news(version: int, whole: bool, *numbers: int, state: str = "ready", started: float | None = None) -> RosterNews:
     zones = ("east", "west")
-    return RosterNews(version, whole, [
-        ListedServer(f"10.0.0.{n}:80", zones[n % 2], FACTS.kinds[0], state, started) for n in numbers
-    ])  # fmt: skip
+    return RosterNews(
+        version, whole, [ListedServer(f"10.0.0.{n}:80", zones[n % 2], FACTS.kinds[0], state, started) for n in numbers]
+    )
 
 
 def make_instance(**more) -> Instance:
@@ -331,8 +331,10 @@
         for holder in holders:
             instance.ack(holder.record, holder.version, now)
             holder.poll(instance.hub, now)
-            met = [ServerReport(name, 3, 3 * (name in broken), None if name in broken else 0.1)
-                   for name in lines_of(holder.held, 0)]  # fmt: skip
+            met = [
+                ServerReport(name, 3, 3 * (name in broken), None if name in broken else 0.1)
+                for name in lines_of(holder.held, 0)
+            ]
             instance.report(holder.record, Report(holder.record.stream, met, []), now)
         instance.turn(now)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -283,9 +283,14 @@
     platform.until(lambda: not platform.service.host.orders.waiting and not platform.service.host.brain.unanswered)
 
 
-@pytest.mark.parametrize("lose", [
-    ["break", "throttled"], ["silent", "throttled", "throttled", "before"], ["throttled", "spoilt", "throttled"],
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "lose",
+    [
+        ["break", "throttled"],
+        ["silent", "throttled", "throttled", "before"],
+        ["throttled", "spoilt", "throttled"],
+    ],
+)
 def test_what_is_turned_away_after_it_was_in_doubt_goes_once_more(platform, lose):
     platform.start(0)
     platform.answers_marks = False
@@ -444,12 +449,19 @@
     assert platform.service.host.faults == 0
 
 
-@pytest.mark.parametrize("lines", [
-    [change(4, listed(1, "removed"), listed(1, started_ms=1000))], [change(4, listed(77, "removed"))],
-    [change(4, *(listed(n, "draining") for n in range(6)))], [change(4, full=True)],
-    [change(2, listed(1), full=True), change(4, listed(2))], [change(3, listed(1), full=True)], [None, None],
-    [change(4, *(listed(n, "removed") for n in range(6))), change(5, listed(1))],
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "lines",
+    [
+        [change(4, listed(1, "removed"), listed(1, started_ms=1000))],
+        [change(4, listed(77, "removed"))],
+        [change(4, *(listed(n, "draining") for n in range(6)))],
+        [change(4, full=True)],
+        [change(2, listed(1), full=True), change(4, listed(2))],
+        [change(3, listed(1), full=True)],
+        [None, None],
+        [change(4, *(listed(n, "removed") for n in range(6))), change(5, listed(1))],
+    ],
+)
 def test_odd_lists_are_no_fault(platform, lines):
     platform.start(0)
     roster = platform.service.host.roster
--- a/tests/test_crossings_peers.py
+++ b/tests/test_crossings_peers.py
@@ -100,10 +100,19 @@
 HUGE = [listed(number) for number in range(5000)]
 
 
-@pytest.mark.parametrize("servers, away, proxies", [
-    ([], "", range(0)), ([], "", range(8)), (HUGE, "", range(0)), (HUGE[:1000], "", range(3)),
-    (None, "discovery", range(8)), ([], "relay", range(0)), (None, "both", range(0)), ([listed(1)], "", range(8)),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "servers, away, proxies",
+    [
+        ([], "", range(0)),
+        ([], "", range(8)),
+        (HUGE, "", range(0)),
+        (HUGE[:1000], "", range(3)),
+        (None, "discovery", range(8)),
+        ([], "relay", range(0)),
+        (None, "both", range(0)),
+        ([listed(1)], "", range(8)),
+    ],
+)
 def test_it_is_ready_whatever_is_away_or_stands(servers, away, proxies):
     platform = Platform(known={"version": 1, "full": True, "servers": servers or []} if away != "both" else {})
     if away in ("relay", "both"):
--- a/tests/test_day_fleet.py
+++ b/tests/test_day_fleet.py
@@ -150,14 +150,19 @@
         alive = [0.0] * 3
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ("supervisors = 2", "supervisors = 1", "wants more than 1 supervisors"),
-    ("store = true", "store = false", "want fleet.store = true"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ("supervisors = 2", "supervisors = 1", "wants more than 1 supervisors"),
+        ("store = true", "store = false", "want fleet.store = true"),
+    ],
+)
 def test_a_bad_script_of_several_says_why(tmp_path, old, new, said):
     path = tmp_path / "bad.toml"
-    path.write_text(SMALL.replace("servers = 6", FLEET.replace("[fleet]\n", "").replace("roster_lag = 0.3", "").replace(
-        old, new)) + '\n[[troubles]]\ntype = "lose"\nat = 2\nwho = 1\n')  # fmt: skip
+    path.write_text(
+        SMALL.replace("servers = 6", FLEET.replace("[fleet]\n", "").replace("roster_lag = 0.3", "").replace(old, new))
+        + '\n[[troubles]]\ntype = "lose"\nat = 2\nwho = 1\n'
+    )
     result = CliRunner().invoke(main, ["day", str(path)])
     assert result.exit_code == 2 and said in result.output
     assert CliRunner().invoke(day, ["quiet", "--tamper", "leases"]).exit_code == 2
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -45,21 +45,24 @@
     return found
 
 
-@pytest.mark.parametrize("seen, said", [
-    (look(), Verdict.WELL),
-    (look(x1=ILL), Verdict.ILL),
-    (look(x1=SLOW), Verdict.ILL),
-    (look(a1=ILL, c1=ILL), Verdict.CUT),  # those inside see it well
-    (look(bx=ILL), Verdict.WELL),  # the zone's own proxies are ill, and see all zones so
-    (look(b1=ILL), Verdict.WELL),  # inside alone
-    (look(xx=SLOW), Verdict.ALIKE),
-    (look(x1=ILL, x0=SLOW, x2=SLOW), Verdict.ALIKE),
-    (look(x1=ILL, a0=ILL), Verdict.ILL),
-    ({}, Verdict.UNKNOWN),
-    ({(0, 1): ILL}, Verdict.UNKNOWN),  # nothing to tell it from
-    ({(0, 1): ILL, (0, 0): FINE, (0, 2): FINE}, Verdict.ILL),
-    ({(0, 1): ILL, (0, 0): ILL, (0, 2): ILL}, Verdict.ALIKE),  # one supervisor's proxies
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "seen, said",
+    [
+        (look(), Verdict.WELL),
+        (look(x1=ILL), Verdict.ILL),
+        (look(x1=SLOW), Verdict.ILL),
+        (look(a1=ILL, c1=ILL), Verdict.CUT),  # those inside see it well
+        (look(bx=ILL), Verdict.WELL),  # the zone's own proxies are ill, and see all zones so
+        (look(b1=ILL), Verdict.WELL),  # inside alone
+        (look(xx=SLOW), Verdict.ALIKE),
+        (look(x1=ILL, x0=SLOW, x2=SLOW), Verdict.ALIKE),
+        (look(x1=ILL, a0=ILL), Verdict.ILL),
+        ({}, Verdict.UNKNOWN),
+        ({(0, 1): ILL}, Verdict.UNKNOWN),  # nothing to tell it from
+        ({(0, 1): ILL, (0, 0): FINE, (0, 2): FINE}, Verdict.ILL),
+        ({(0, 1): ILL, (0, 0): ILL, (0, 2): ILL}, Verdict.ALIKE),  # one supervisor's proxies
+    ],
+)
 def test_what_a_look_says_of_a_zone(seen, said):
     assert verdict(1, seen) is said is of_place((1,), seen)
     assert verdict(2, look(x1=ILL)) is Verdict.WELL  # the others are not blamed
@@ -105,15 +108,19 @@
 COAST = Place(REGION + "coast", "coast", (0, 1))
 
 
-@pytest.mark.parametrize("seen, said", [
-    (look(), Verdict.WELL),
-    (look(x0=ILL, x1=ILL), Verdict.ILL),
-    (look(x1=ILL), Verdict.WELL),  # one of its zones: that is left by itself
-    (look(x0=ILL, x1=ILL, x2=ILL), Verdict.ALIKE),
-    (look(c0=ILL, c1=ILL), Verdict.CUT),  # those inside both see them well
-    ({(2, 0): ILL, (2, 1): ILL, (2, 2): FINE}, Verdict.ILL),  # nobody inside is heard
-    ({(2, 0): ILL, (2, 2): FINE}, Verdict.UNKNOWN), ({}, Verdict.UNKNOWN),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "seen, said",
+    [
+        (look(), Verdict.WELL),
+        (look(x0=ILL, x1=ILL), Verdict.ILL),
+        (look(x1=ILL), Verdict.WELL),  # one of its zones: that is left by itself
+        (look(x0=ILL, x1=ILL, x2=ILL), Verdict.ALIKE),
+        (look(c0=ILL, c1=ILL), Verdict.CUT),  # those inside both see them well
+        ({(2, 0): ILL, (2, 1): ILL, (2, 2): FINE}, Verdict.ILL),  # nobody inside is heard
+        ({(2, 0): ILL, (2, 2): FINE}, Verdict.UNKNOWN),
+        ({}, Verdict.UNKNOWN),
+    ],
+)
 def test_what_a_look_says_of_a_region(seen, said):
     assert of_place(COAST.zones, seen) is said
     assert verdict(0, look(x0=ILL, x1=ILL)) is Verdict.ALIKE  # zone by zone nobody could leave it
@@ -159,17 +166,36 @@
 LIMITS = Limits()
 
 
-def sight(what=Verdict.ILL, lasted=100.0, fresh=True, dead=False, strained=False, bears=1.0, stood=1e3, others=False,
-          overrun=False):  # fmt: skip
+def sight(
+    what=Verdict.ILL,
+    lasted=100.0,
+    fresh=True,
+    dead=False,
+    strained=False,
+    bears=1.0,
+    stood=1e3,
+    others=False,
+    overrun=False,
+):
     return Sight(what, lasted, fresh, dead, strained, overrun, bears, stood, others)
 
 
 WELL = sight(Verdict.WELL)
 SIGHTS = [
-    WELL, sight(), sight(dead=True), sight(strained=True), sight(bears=0.3), sight(fresh=False),
-    sight(Verdict.UNKNOWN, fresh=False), sight(Verdict.WELL, strained=True), sight(Verdict.CUT), sight(Verdict.ALIKE),
-    sight(overrun=True), sight(Verdict.ALIKE, overrun=True), sight(fresh=False, overrun=True),
-]  # fmt: skip
+    WELL,
+    sight(),
+    sight(dead=True),
+    sight(strained=True),
+    sight(bears=0.3),
+    sight(fresh=False),
+    sight(Verdict.UNKNOWN, fresh=False),
+    sight(Verdict.WELL, strained=True),
+    sight(Verdict.CUT),
+    sight(Verdict.ALIKE),
+    sight(overrun=True),
+    sight(Verdict.ALIKE, overrun=True),
+    sight(fresh=False, overrun=True),
+]
 
 
 def step(stage: Stage | None, seen: Sight) -> Stage | None:
@@ -180,8 +206,11 @@
     """All stages that any order of sights leads to."""
 
     def moves(stage):
-        return [(number, after) for number, seen in enumerate(SIGHTS) if (after := step(stage, seen)) is not None
-                and after.flaps < 4]  # fmt: skip
+        return [
+            (number, after)
+            for number, seen in enumerate(SIGHTS)
+            if (after := step(stage, seen)) is not None and after.flaps < 4
+        ]
 
     def wrong(stage):
         for seen in SIGHTS:
@@ -341,8 +370,12 @@
             news = overlay.take(shares, version, now)
         else:
             number = random.randrange(30)
-            new = entry(number, number % 3, random.choice([face.READY, face.READY, face.DRAINING, face.GONE]),
-                        random.choice([None, now]))  # fmt: skip
+            new = entry(
+                number,
+                number % 3,
+                random.choice([face.READY, face.READY, face.DRAINING, face.GONE]),
+                random.choice([None, now]),
+            )
             kind = face.DELTA if random.random() < 0.9 else face.FULL
             if kind == face.FULL:
                 listed = {}
@@ -382,7 +415,8 @@
     made = bare_day("small", seconds, load)
     made.flags |= {"zones": zones or made.flags["zones"]}
     made.fleet = msgspec.structs.replace(
-        made.fleet, store=True, supervisors=3, leave_zones=leave, zone_limits=limits, regions=regions)  # fmt: skip
+        made.fleet, store=True, supervisors=3, leave_zones=leave, zone_limits=limits, regions=regions
+    )
     made.troubles = list(troubles)
     return check(made)
 
@@ -391,11 +425,16 @@
     return [stage[2]["shares"]["east"] for stage in outcome.stages if stage[1] == "zones" and stage[2]["by"] == 0]
 
 
-@pytest.mark.parametrize("troubles", [
-    [Link(6.0, 12.0, "west", "east", cut=True)],
-    [Link(6.0, 12.0, "west", "east", cut=True), Link(6.0, 12.0, "north", "east", cut=True)],
-    [Sick(6.0, 10.0, "slow", 5.0, Whom(share=1.0))], [Sick(6.0, 12.0, "errors", 0.7, Whom(count=2, zone="east"))],
-], ids=["a way cut", "a zone cut off whose inside is well", "all slow alike", "two servers"])  # fmt: skip
+@pytest.mark.parametrize(
+    "troubles",
+    [
+        [Link(6.0, 12.0, "west", "east", cut=True)],
+        [Link(6.0, 12.0, "west", "east", cut=True), Link(6.0, 12.0, "north", "east", cut=True)],
+        [Sick(6.0, 10.0, "slow", 5.0, Whom(share=1.0))],
+        [Sick(6.0, 12.0, "errors", 0.7, Whom(count=2, zone="east"))],
+    ],
+    ids=["a way cut", "a zone cut off whose inside is well", "all slow alike", "two servers"],
+)
 def test_nobody_leaves_where_nobody_should(troubles):
     outcome = run(day(*troubles), 1)
     assert outcome.kept, outcome.breaks
@@ -465,7 +504,8 @@
     def hooked(self, *given, **more):
         made(self, *given, **more)
         self.on_decided = lambda now, what, topic, given, said: rows.append(
-            {"what": what, "given": msgspec.json.encode(given), "said": msgspec.json.encode(said)})  # fmt: skip
+            {"what": what, "given": msgspec.json.encode(given), "said": msgspec.json.encode(said)}
+        )
 
     monkeypatch.setattr(Evacuation, "__init__", hooked)
     assert run(day(Sick(6.0, 12.0, "hang", 1.0, Whom(share=1.0, zone="east")), seconds=40.0), 2).kept
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -157,17 +157,20 @@
 
 def test_the_command_shows_the_fleet_from_a_supervisor_and_from_the_store(stage):
     def fleet(*flags):
-        return subprocess.run([sys.executable, "-m", "driftshed.cli", "fleet", *flags], capture_output=True, text=True,
-                              timeout=30)  # fmt: skip
+        return subprocess.run(
+            [sys.executable, "-m", "driftshed.cli", "fleet", *flags], capture_output=True, text=True, timeout=30
+        )
 
     host, port = stage.addresses["s0"]
     from_one, store = f"{host}:{port}", ":".join(map(str, stage.store_address))
     shown = fleet("--supervisor", from_one)
     assert shown.returncode == 0 and "s2" in shown.stdout and "living" in shown.stdout
-    views = [json.loads(fleet(*flags, "--json").stdout) for flags in
-             (("--supervisor", from_one), ("--fleet-connect", store))]  # fmt: skip
+    views = [
+        json.loads(fleet(*flags, "--json").stdout) for flags in (("--supervisor", from_one), ("--fleet-connect", store))
+    ]
     assert [[(row["name"], row["state"]) for row in view["members"]] for view in views] == [
-        [(name, "living") for name in stage.names]] * 2  # fmt: skip
+        [(name, "living") for name in stage.names]
+    ] * 2
     stage.supervisors["s2"].kill()
     stage.until(lambda: stage.states("s0")["s2"] == "silent", 20)
     assert fleet("--supervisor", from_one).returncode == 1
@@ -182,15 +185,23 @@
     alone = subprocess.Popen(run, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     try:
         address = alone.stdout.readline().split()[1]
-        shown = subprocess.run([sys.executable, "-m", "driftshed.cli", "fleet", "--supervisor", address],
-                               capture_output=True, text=True, timeout=30)  # fmt: skip
+        shown = subprocess.run(
+            [sys.executable, "-m", "driftshed.cli", "fleet", "--supervisor", address],
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
         assert shown.returncode == 4 and "--fleet-connect" in shown.stderr
     finally:
         alone.terminate()
         alone.wait(10)
         alone.stdout.close()
-    for flags, said in ((("--name", "a"), "--expected"), (("--name", "a/b", "--expected", "a/b"), "--name"),
-                        (("--name", "a", "--expected", "a,b,b"), "--expected")):  # fmt: skip
-        bad = subprocess.run([*run, "--fleet-connect", "127.0.0.1:1", *flags], capture_output=True, text=True,
-                             timeout=30)  # fmt: skip
+    for flags, said in (
+        (("--name", "a"), "--expected"),
+        (("--name", "a/b", "--expected", "a/b"), "--name"),
+        (("--name", "a", "--expected", "a,b,b"), "--expected"),
+    ):
+        bad = subprocess.run(
+            [*run, "--fleet-connect", "127.0.0.1:1", *flags], capture_output=True, text=True, timeout=30
+        )
         assert bad.returncode == 2 and said in bad.stderr
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -176,8 +176,13 @@
     brain = fleet.brain
     for _ in range(60):
         events = [event for event in fleet.news() if not isinstance(event, face.Heard)]
-        reports = [face.Heard(random.randrange(6), name(random.choice(fleet.alive)), 12, 0.5, zone,
-                              random.uniform(0.05, 0.2), None) for zone in (0, 1) for _ in range(30)]  # fmt: skip
+        reports = [
+            face.Heard(
+                random.randrange(6), name(random.choice(fleet.alive)), 12, 0.5, zone, random.uniform(0.05, 0.2), None
+            )
+            for zone in (0, 1)
+            for _ in range(30)
+        ]
         brain.handle(fleet.now, events + reports)
         for zone in (0, 1):
             views = [view for view in brain.view[zone] if view[0] > fleet.now - VIEW]
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -52,9 +52,12 @@
 @pytest.fixture(scope="module")
 def fleets() -> dict:
     """All fleets that are compared, side by side: counts do not go by how busy the machine is."""
-    asked = {"small": ("tiers", *SMALL, CELL * SMALL[0] * SMALL[1]),
-             "large": ("tiers", *LARGE, CELL * LARGE[0] * LARGE[1]), "flat, small": ("flat", 1, 1, 8),
-             "flat, large": ("flat", 1, 1, 32)}  # fmt: skip
+    asked = {
+        "small": ("tiers", *SMALL, CELL * SMALL[0] * SMALL[1]),
+        "large": ("tiers", *LARGE, CELL * LARGE[0] * LARGE[1]),
+        "flat, small": ("flat", 1, 1, 8),
+        "flat, large": ("flat", 1, 1, 32),
+    }
     with ThreadPoolExecutor(len(asked)) as pool:
         futures = {name: pool.submit(costs, *given) for name, given in asked.items()}
         return {name: future.result() for name, future in futures.items()}
@@ -168,8 +171,17 @@
     assert spread([]) is None and spread([3.0, 1.0, 2.0])["p50"] == 2.0
 
 
-@pytest.mark.parametrize("given", [["tiers"], ["flat", "65"], ["agents", "1"], ["tiers", "24", "--rest", "-1"], ["all"],
-                                   ["flat", "9", "--real", "1"]])  # fmt: skip
+@pytest.mark.parametrize(
+    "given",
+    [
+        ["tiers"],
+        ["flat", "65"],
+        ["agents", "1"],
+        ["tiers", "24", "--rest", "-1"],
+        ["all"],
+        ["flat", "9", "--real", "1"],
+    ],
+)
 def test_bad_input_is_refused_with_a_word(given, capsys):
     with pytest.raises(SystemExit) as ended:
         read_arguments(given)
@@ -179,6 +191,11 @@
 @pytest.mark.parametrize("given", [[], ["nothing.json"]])
 def test_a_worker_without_a_plan_says_so(given):
     environment = os.environ | {"PYTHONPATH": str(ROOT)}
-    done = subprocess.run([sys.executable, "-m", "benchmarks.hollow", "worker", *given], capture_output=True, text=True,
-                          env=environment, timeout=60)  # fmt: skip
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.hollow", "worker", *given],
+        capture_output=True,
+        text=True,
+        env=environment,
+        timeout=60,
+    )
     assert done.returncode == 2 and "worker:" in done.stderr and "Traceback" not in done.stderr
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -30,9 +30,12 @@
     if red is not None:
         (folder / "KNOWN-RED.txt").write_text(red)
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args], cwd=folder, capture_output=True,
-        text=True, env={**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
-    )  # fmt: skip
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -60,13 +63,19 @@
     assert code == 1 and "take its line out" in said
 
 
-@pytest.mark.parametrize("red, said", [
-    ("\n".join(f"test_it.py::test_bad{k}: why (issue 1)" for k in range(4)), "test_bad3"),
-    ("test_it.py::test_bad", "'FILE.py::TEST: CAUSE (issue N)' is wanted"), ("test_bad: it does (issue 7)", "wanted"),
-    ("test_it.py::test_bad: it does", "is wanted"), ("test_it.py::test_bad:  (issue 7)", "is wanted"),
-    ("test_it.py::test_gone: it did (issue 7)", "names no test"), (f"{BAD}\n{BAD}", "named twice"),
-    ("test_away.py::test_bad: it did (issue 7)", "names no test"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "red, said",
+    [
+        ("\n".join(f"test_it.py::test_bad{k}: why (issue 1)" for k in range(4)), "test_bad3"),
+        ("test_it.py::test_bad", "'FILE.py::TEST: CAUSE (issue N)' is wanted"),
+        ("test_bad: it does (issue 7)", "wanted"),
+        ("test_it.py::test_bad: it does", "is wanted"),
+        ("test_it.py::test_bad:  (issue 7)", "is wanted"),
+        ("test_it.py::test_gone: it did (issue 7)", "names no test"),
+        (f"{BAD}\n{BAD}", "named twice"),
+        ("test_away.py::test_bad: it did (issue 7)", "names no test"),
+    ],
+)
 def test_a_wrong_line_fails_the_run_and_is_named(tmp_path, red, said):
     code, printed = run(tmp_path, red)
     assert code not in (0, 1) and said in printed and "passed" not in printed
