--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -433,7 +433,8 @@
                         self.verdict.broken(
                             "failback",
                             f"{server}, started at {started:.2f} s, was sent {whole / can:.1f} times what "
-                            f"it could do in the {machine.tip_span} s to {at:.2f} s; {machine.tip_multiple} are allowed",
+                            f"it could do in the {machine.tip_span} s to {at:.2f} s; "
+                            f"{machine.tip_multiple} are allowed",
                         )
                         break
 
