--- a/driftshed/brain.py
+++ b/driftshed/brain.py
@@ -23,15 +23,27 @@
 from driftshed.figures import RunningMedian, fair_rate, median, weighted_median
 
 LONG_AGO = float("-inf")
-ANYWHERE = NOBODY = -1  # the zone of the one part of a small fleet; the part of a server without a line
+ANYWHERE = -1  # the zone of the one part of a small fleet
+NOBODY = -1  # the part of a server without a line
 
 # The design's values. Spans are seconds.
-SLOW_TIMES, ERRED_SHARE = 2.0, 0.10  # what a zone complains of
-LASTING, LAPSE = 6.0, 15.0  # a complaint counts from, and until this long after it was last heard
-ZONES_TO_AGREE, MOST_OUT, MOST_OUT_SHARE = 2, 2, 1 / 3
-BUDGET, BUDGET_SPAN, OUT_FOR = 5, 30.0, 10.0  # withdrawals
-ENTRY_PART, ENTRY_STEP, STEPS_IN = 0.1, 2.0, 4  # of the average weight, doubling every step, whole after four
-SOLVE_EVERY, SOLVE_STEP, LEAST_FACTOR, MOST_FACTOR = 3.0, 0.2, 0.5, 2.0
+SLOW_TIMES = 2.0  # what a zone complains of
+ERRED_SHARE = 0.10  # what a zone complains of
+LASTING = 6.0  # a complaint counts from this long after it was first heard
+LAPSE = 15.0  # a complaint counts until this long after it was last heard
+ZONES_TO_AGREE = 2
+MOST_OUT = 2
+MOST_OUT_SHARE = 1 / 3
+BUDGET = 5  # withdrawals
+BUDGET_SPAN = 30.0
+OUT_FOR = 10.0
+ENTRY_PART = 0.1  # of the average weight
+ENTRY_STEP = 2.0  # the weight doubles every step
+STEPS_IN = 4  # whole after so many steps
+SOLVE_EVERY = 3.0
+SOLVE_STEP = 0.2
+LEAST_FACTOR = 0.5
+MOST_FACTOR = 2.0
 WORTH_SENDING = 0.1  # of the weight that stands
 
 # Ours.
@@ -45,8 +57,10 @@
 EASED = 2 / 3  # of that: no strain
 LONGER = 1.5  # or more than this much of the least it took; of the time at the best part
 BUSY = 0.85  # share of a server's cores in use
-HEADROOM, LEAST_LET_IN = 0.9, 0.1  # what is let in at the most, of what is answered; at the least, of all
-LARGEST_CUT, LARGEST_RISE = 0.6, 1.2  # of what is let in, at a time
+HEADROOM = 0.9  # what is let in at the most, of what is answered
+LEAST_LET_IN = 0.1  # what is let in at the least, of all
+LARGEST_CUT = 0.6  # of what is let in, at a time
+LARGEST_RISE = 1.2  # of what is let in, at a time
 FADE = 0.97  # of the best that was seen, from look to look
 SPARE_TRIES = 0.05  # beyond the first, of what comes
 CHEAP_WITHIN = 2.0  # operations whose value per unit of work is within this of the least are cut together
@@ -55,24 +69,33 @@
 TRIES_TO_JUDGE = 5  # with fewer in its view a zone says nothing
 BASELINE_OVER = 2 * LAPSE  # how slowly a zone's baseline learns
 ORDINARY_SHARE = 1 / 2  # of the message cap and of the lines sent within a grace; the rest is for the urgent
-PART_LINES, PROXIES_A_PART = 2, 5  # standing tables' lines in a part; proxies that share it at the least
+PART_LINES = 2  # standing tables' lines in a part
+PROXIES_A_PART = 5  # proxies that share a part at the least
 CONNECTIONS = 1 / 7  # of what servers accept, as they slow down while filling: proxies with lines to one
-NEAR, UNEVEN = 4.0, 0.2  # what a part of the own zone counts for; beyond its due a part gives proxies away
+NEAR = 4.0  # what a part of the own zone counts for
+UNEVEN = 0.2  # beyond its due a part gives proxies away
 BALANCING = 4  # rounds that bring what zones bring to the parts in line with their weight
 
 
 class Brain:
     def __init__(self, facts: face.StartFacts, seed: int, now: float) -> None:
-        self.random, self.now = Random(seed), now
-        self.ask_again, self.weighs = facts.ask_within / 8, facts.listed_weights != "off"
-        self.cold_share, self.warm_within = facts.cold_share, facts.warm_within
-        self.spare, self.cap = facts.tip_multiple * SPARED, facts.queue_cap
-        self.by_two, self.head = facts.pick == "two", facts.lines_per_message + 1  # and the mark
+        self.random = Random(seed)
+        self.now = now
+        self.ask_again = facts.ask_within / 8
+        self.weighs = facts.listed_weights != "off"
+        self.cold_share = facts.cold_share
+        self.warm_within = facts.warm_within
+        self.spare = facts.tip_multiple * SPARED
+        self.cap = facts.queue_cap
+        self.by_two = facts.pick == "two"
+        self.head = facts.lines_per_message + 1  # and the mark
         self.round_lines = ORDINARY_SHARE * min(self.cap, facts.lines_per_second * facts.drain_grace)
-        self.message_cap, self.message_span = facts.message_cap, facts.message_span
+        self.message_cap = facts.message_cap
+        self.message_span = facts.message_span
         self.gap = facts.message_span / facts.message_cap if facts.message_cap else facts.drain_grace / 10
         self.patience = 4 * facts.worst_transit + 8 * facts.queue_cap / facts.lines_per_second
-        self.tick, self.learns = facts.report_period / 2, facts.report_period / 2 / BASELINE_OVER
+        self.tick = facts.report_period / 2
+        self.learns = facts.report_period / 2 / BASELINE_OVER
         self.objectives = [operation.latency_objective for operation in facts.operations]
         value = [operation.billed_value / operation.latency_objective for operation in facts.operations]
         self.cheap = [each < CHEAP_WITHIN * min(value) for each in value]
@@ -91,38 +114,76 @@
         # Servers: parallel arrays under a dense index. Factor: learnt, beside the listed weight; out_at: out
         # for health since; met: tries, good ones, time of all, fading from solve to solve; strain: the same
         # since the last look, good ones' time alone; line, shut: present weight, present withdrawal.
-        self.place, self.gone = {}, {}  # by id; the places of those that are, the longest gone first
+        self.place = {}  # by id
+        self.gone = {}  # the places of those that are gone, the longest gone first
         self.array = [[] for _ in range(14)]
-        self.ids, self.kind, self.state, self.started, self.entered, self.out_at, self.listed = self.array[:7]
-        self.factor, self.met, self.strain, self.busy, self.part, self.line, self.shut = self.array[7:]
+        self.ids = self.array[0]
+        self.kind = self.array[1]
+        self.state = self.array[2]
+        self.started = self.array[3]
+        self.entered = self.array[4]
+        self.out_at = self.array[5]
+        self.listed = self.array[6]
+        self.factor = self.array[7]
+        self.met = self.array[8]
+        self.strain = self.array[9]
+        self.busy = self.array[10]
+        self.part = self.array[11]
+        self.line = self.array[12]
+        self.shut = self.array[13]
         # What each zone says of each server; view: judged when, times the usual, erred share.
         self.says = [[[] for _ in zones] for _ in range(5)]
-        self.reports, self.baseline, self.since, self.renewed, self.view = self.says
+        self.reports = self.says[0]
+        self.baseline = self.says[1]
+        self.since = self.says[2]
+        self.renewed = self.says[3]
+        self.view = self.says[4]
         # The views of the last while, oldest first, and the medians of what they say: kept up to date as
         # they come and lapse, so that a report costs the same in a fleet of any size.
         self.fresh: list[OrderedDict[int, tuple]] = [OrderedDict() for _ in zones]
-        self.usual_slow, self.usual_erred = [[RunningMedian() for _ in zones] for _ in range(2)]
+        self.usual_slow = [RunningMedian() for _ in zones]
+        self.usual_erred = [RunningMedian() for _ in zones]
         # Parts: the zone of the servers of each, what each zone met there (as in met), withdrawals of late.
-        self.part_zone, self.bears, self.fleeing = [], {}, set()
-        self.seen, self.spent = defaultdict(lambda: [0.0, 0.0, 0.0]), defaultdict(deque)
+        self.part_zone = []
+        self.bears = {}
+        self.fleeing = set()
+        self.seen = defaultdict(lambda: [0.0, 0.0, 0.0])
+        self.spent = defaultdict(deque)
         # Proxies: zone, what comes, when written to and joined, the part it should hold and does hold, the
         # mark that it has yet to answer; and the channel: mark, lines, when.
-        self.home, self.demand, self.rate, self.sent_at, self.joined_at = {}, {}, {}, {}, {}
-        self.due_part, self.held_part, self.unanswered = {}, {}, {}
-        self.channel, self.marks, self.levels_under_way, self.first_list = deque(), 0, False, True
+        self.home = {}
+        self.demand = {}
+        self.rate = {}
+        self.sent_at = {}
+        self.joined_at = {}
+        self.due_part = {}
+        self.held_part = {}
+        self.unanswered = {}
+        self.channel = deque()
+        self.marks = 0
+        self.levels_under_way = False
+        self.first_list = True
         self.mix = [1.0 for _ in self.objectives]
-        self.let_in, self.tries = 1.0, face.ONE_AFTER_PROOF  # the part of all that comes
+        self.let_in = 1.0  # the part of all that comes
+        self.tries = face.ONE_AFTER_PROOF
         # The least that the median server took, rising slowly; the most that a unit of weight answered,
         # fading; that against the tries that come and come again: the worst, for one that starts blind.
-        self.floor, self.unit, self.crowding = float("inf"), 0.0, facts.tip_multiple**-2
-        self.strain_from, self.next_control = now, now + self.control_every
+        self.floor = float("inf")
+        self.unit = 0.0
+        self.crowding = facts.tip_multiple**-2
+        self.strain_from = now
+        self.next_control = now + self.control_every
         self.valves_wanted = [(self.all_in, self.tries) for _ in self.objectives]
         self.valve: dict[tuple[int, int], tuple] = {}  # present, by part and operation: level and tries
-        self.next_ask, self.next_tick, self.next_deal = None if facts.list_is_pushed else now, now, now
-        self.next_solve, self.next_urgent = now + SOLVE_EVERY, LONG_AGO
+        self.next_ask = None if facts.list_is_pushed else now
+        self.next_tick = now
+        self.next_deal = now
+        self.next_solve = now + SOLVE_EVERY
+        self.next_urgent = LONG_AGO
 
     def handle(self, now: float, events: list) -> list:
-        self.now, self.orders = now, []
+        self.now = now
+        self.orders = []
         for event in events:
             getattr(self, f"_hear_{type(event).__name__.lower()}", lambda _: None)(event)
         if self.next_ask is not None and now >= self.next_ask:  # again until answered, each at its own moment
@@ -192,7 +253,8 @@
                 # One that starts now begins with what its kind has learnt, not with an average part.
                 kin = [k for servers in self._members() for k in servers if self.kind[k] == entry.kind]
                 self.factor[i] = median([self.factor[k] for k in kin if k != i]) or 1.0
-        self.state[i], self.started[i] = entry.state, max(started, self.started[i])
+        self.state[i] = entry.state
+        self.started[i] = max(started, self.started[i])
         self.gone.setdefault(i) if entry.state == face.GONE else self.gone.pop(i, None)
         if self.weighs and entry.weight > 0:
             self.listed[i] = entry.weight
@@ -235,14 +297,16 @@
 
     def _enter(self, i: int, at: float) -> None:
         """A new, restarted or returned server begins its steps with nothing held against it."""
-        self.entered[i], self.out_at[i] = at, None
+        self.entered[i] = at
+        self.out_at[i] = None
         for zone in range(len(self.reports)):
             self.reports[zone][i].clear()
             self.since[zone][i] = None
 
     def _hear_joined(self, joined: face.Joined) -> None:
         self._hear_left(joined)
-        self.sent_at[joined.proxy], self.home[joined.proxy] = deque(), joined.zone
+        self.sent_at[joined.proxy] = deque()
+        self.home[joined.proxy] = joined.zone
         self.joined_at[joined.proxy] = self.now
         self.demand[joined.proxy] = [joined.rate * part / sum(self.mix) for part in self.mix]
         self.rate[joined.proxy] = sum(self.demand[joined.proxy])
@@ -432,7 +496,8 @@
 
     def _look_afresh(self) -> None:
         self.strain[:] = [[0.0, 0.0, 0.0] for _ in self.ids]
-        self.strain_from, self.next_control = self.now, self.now + self.control_every
+        self.strain_from = self.now
+        self.next_control = self.now + self.control_every
 
     def _wanted_valves(self) -> list[tuple[float, int]]:
         rates = [sorted(rates[k] for rates in self.demand.values()) for k in range(len(self.cheap))]
