--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -2,7 +2,14 @@
 
 from driftshed import interface as face
 from driftshed.adapter.facts import read_facts
-from driftshed.brain import BUDGET, BUDGET_SPAN, ENTRY_PART, LASTING, OUT_FOR, Brain
+from driftshed.brain import (
+    COMPLAINT_MIN_AGE_S,
+    ENTRY_WEIGHT_SHARE,
+    WITHDRAWAL_BUDGET,
+    WITHDRAWAL_BUDGET_WINDOW_S,
+    WITHDRAWAL_DURATION_S,
+    Brain,
+)
 from tests.helpers import FACTS, World, server
 
 
@@ -18,14 +25,14 @@
 def test_lasting_complaints_of_two_zones_withdraw_and_the_server_returns_in_steps():
     world, sick = World(), {server(3)}
     world.run(4, calm)
-    world.run(LASTING - 1, lambda w: calm(w, sick, errored=5))
+    world.run(COMPLAINT_MIN_AGE_S - 1, lambda w: calm(w, sick, errored=5))
     assert world.sends(server(3))
     world.run(3, lambda w: calm(w, sick, errored=5))
     assert not world.sends(server(3))
-    world.run(OUT_FOR - 3, calm)
+    world.run(WITHDRAWAL_DURATION_S - 3, calm)
     assert not world.sends(server(3))
     world.run(4, calm)
-    assert 0 < world.share(server(3)) <= 4 * ENTRY_PART / 8
+    assert 0 < world.share(server(3)) <= 4 * ENTRY_WEIGHT_SHARE / 8
     world.run(10, calm)
     assert world.share(server(3)) > 0.05
 
@@ -33,7 +40,7 @@
 def test_a_server_that_answers_nothing_is_withdrawn_in_half_the_time():
     world = World()
     world.run(4, calm)
-    world.run(LASTING / 2 + 2, lambda w: calm(w, {server(3)}, errored=10, latency=None))
+    world.run(COMPLAINT_MIN_AGE_S / 2 + 2, lambda w: calm(w, {server(3)}, errored=10, latency=None))
     assert not world.sends(server(3))
 
 
@@ -57,7 +64,9 @@
         )
         times = [at for at, _ in withdrawals(world)]
         assert max(outs) == most
-        assert all(sum(at <= other < at + BUDGET_SPAN for other in times) <= BUDGET for at in times)
+        assert all(
+            sum(at <= other < at + WITHDRAWAL_BUDGET_WINDOW_S for other in times) <= WITHDRAWAL_BUDGET for at in times
+        )
     for symptom in ({"errored": 10, "latency": None}, {"latency": 1.2}):
         world = World()
         world.run(4, calm)
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -10,7 +10,7 @@
 
 from benchmarks.events import make_facts, name
 from driftshed import interface as face
-from driftshed.brain import VIEW, Brain
+from driftshed.brain import VIEW_WINDOW_S, Brain
 from driftshed.figures import median
 from tests.helpers import World, server
 from tests.test_rules import Judge
@@ -95,10 +95,14 @@
     fleet.run(4 * FLEET)
     former = name(0)
     assert former not in brain.place and len(brain.ids) < fleet.listed
-    before = [[list(row) for row in brain.met], [list(row) for row in brain.strain], list(brain.busy)]
+    before = [
+        [list(row) for row in brain.solve_sample],
+        [list(row) for row in brain.strain_sample],
+        list(brain.utilisation),
+    ]
     counts = [[len(reports) for reports in zone] for zone in brain.reports]
     brain._hear_heard(face.Heard(12, former, 12, 0.5, 0, None, None))
-    assert before == [brain.met, brain.strain, brain.busy]
+    assert before == [brain.solve_sample, brain.strain_sample, brain.utilisation]
     assert counts == [[len(reports) for reports in zone] for zone in brain.reports]
     for server_id, i in brain.place.items():
         assert brain.ids[i] == server_id  # nobody shares a place
@@ -185,6 +189,6 @@
         ]
         brain.handle(fleet.now, events + reports)
         for zone in (0, 1):
-            views = [view for view in brain.view[zone] if view[0] > fleet.now - VIEW]
-            assert brain.usual_slow[zone].value() == median([view[1] for view in views])
-            assert brain.usual_erred[zone].value() == median([view[2] for view in views])
+            views = [view for view in brain.view[zone] if view[0] > fleet.now - VIEW_WINDOW_S]
+            assert brain.median_slowness[zone].value() == median([view[1] for view in views])
+            assert brain.median_error_share[zone].value() == median([view[2] for view in views])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -143,14 +143,14 @@
     world.run(3)
     brain = world.brain
     world.news += [face.Joined(0, False, proxy, 3.0) for proxy in (4, 5, 6)]
-    brain._may_write = lambda proxy, share: proxy in (0, 1, 2, 3)
+    brain._may_message = lambda proxy, share: proxy in (0, 1, 2, 3)
     world.turn()
     assert brain.unanswered or set(brain.held_part) == {0, 1, 2, 3}
-    del brain._may_write
+    del brain._may_message
     users = {0: [0, 1, 2, 3], None: [4, 5, 6]}
     messages: dict = {}
-    brain._send([(-1.0, 0, face.Withdraw(True, server(3)))], users, messages, brain.cap, 1.0, [])
-    assert messages == {proxy: brain.head + 1 for proxy in range(7)}
+    brain._select_orders([(-1.0, 0, face.Withdraw(True, server(3)))], users, messages, brain.cap, 1.0, [])
+    assert messages == {proxy: brain.message_overhead + 1 for proxy in range(7)}
 
 
 def test_nobody_is_waited_for_where_a_withdrawal_reaches_nobody():
@@ -299,7 +299,7 @@
     asked = world.now
     world.run(2)
     again = [at for at, order in world.log if isinstance(order, face.Subscribe) and at > asked]
-    assert again and world.brain.ask_again * 0.2 <= again[0] - asked < world.facts.ask_within / 4
+    assert again and world.brain.subscribe_retry_interval * 0.2 <= again[0] - asked < world.facts.ask_within / 4
 
 
 def test_the_same_events_bring_the_same_orders():
@@ -332,13 +332,13 @@
     assert {order.tries for order in valves(world).values()} == {face.ONE_AFTER_PROOF}
     world.run(5, lambda w: strained(w, 8.0))  # most of the tries are further ones
     cuts = [order for _, order in world.log if isinstance(order, face.SetLevel) and order.tries == face.NO_TRY]
-    assert cuts[0].level == world.brain.all_in
+    assert cuts[0].level == world.brain.unlimited_level
     world.run(8, lambda w: strained(w, 100.0))  # and now too much comes
     levels = valves(world)
     assert levels[1].level == levels[4].level < levels[2].level  # the two of like value are cut together
     world.run(40, lambda w: (demand(w), [w.hear(name, 0.05) for name in w.states])[0])
     assert {(order.tries, order.level) for order in valves(world).values()} == {
-        (face.ONE_AFTER_PROOF, world.brain.all_in)
+        (face.ONE_AFTER_PROOF, world.brain.unlimited_level)
     }
 
 
@@ -351,11 +351,11 @@
 def test_levels_hold_still_between_two_looks_at_the_strain():
     world = World(extra="domain.admit=rate\n")
     world.run(10, lambda w: (demand(w, 100.0), [w.hear(name, 0.6, 2) for name in w.states])[0])
-    before, looked = list(world.brain.valves_wanted), world.brain.next_control
+    before, looked = list(world.brain.target_levels), world.brain.next_control
     world.run(1, lambda w: demand(w, 50.0 + 50.0 * (w.now % 1)))
-    assert world.brain.next_control > looked or world.brain.valves_wanted == before
+    assert world.brain.next_control > looked or world.brain.target_levels == before
     cuts = [at for at, order in world.log if isinstance(order, face.SetLevel) and order.operations == 1]
-    assert all(later - at >= world.brain.control_every for at, later in zip(cuts, cuts[1:], strict=False))
+    assert all(later - at >= world.brain.control_interval for at, later in zip(cuts, cuts[1:], strict=False))
 
 
 def test_a_supervisor_that_starts_amid_cold_servers_spares_them_until_it_has_heard():
@@ -408,9 +408,9 @@
     world = large()
     world.run(10, calm)
     part = world.holds[0]
-    assert world.brain._answers(0)[part] > 0.8
+    assert world.brain._part_quality(0)[part] > 0.8
     world.run(5, lambda w: (calm(w), [w.hear(name, None, 10, zones=(0,)) for name in w.tables[part]])[0])
-    assert world.brain._answers(0)[part] < 0.2
+    assert world.brain._part_quality(0)[part] < 0.2
 
 
 def test_busy_proxies_leave_a_part_though_no_other_lacks_as_much_as_one_of_them_brings():
@@ -456,7 +456,7 @@
                 w.hear(name, took, tries=5)
 
         world.run(3, strained)
-        world.brain._look_afresh()
+        world.brain._reset_strain_sample()
         assert least <= world.brain.let_in < 1 and (world.brain.let_in <= 0.61 or took < 0.5)
 
 
@@ -464,10 +464,10 @@
     world = large()
     world.run(10, calm)
     brain, part = world.brain, world.holds[0]
-    lines, out = brain._wanted_lines(), brain._wanted_out()
-    brain.unanswered, brain.bears[part] = {0: 1}, 0.1  # cold servers alone, while answers are awaited
-    brain._deal(lines, out)
-    assert 0 < list(brain.due_part.values()).count(part) <= 0.2 * len(world.holds)  # of two zones
+    lines, out = brain._target_weights(), brain._target_withdrawals()
+    brain.unanswered, brain.bearable_share[part] = {0: 1}, 0.1  # cold servers alone, while answers are awaited
+    brain._assign_parts(lines, out)
+    assert 0 < list(brain.target_part.values()).count(part) <= 0.2 * len(world.holds)  # of two zones
 
 
 def test_tries_that_fail_at_once_are_no_strain_nor_are_late_answers_from_idle_servers():
@@ -482,7 +482,7 @@
                 w.news[-1] = w.news[-1]._replace(load=(0.5,))
 
         world.run(15, trouble)
-        assert {order.level for order in valves(world).values()} == {world.brain.all_in}
+        assert {order.level for order in valves(world).values()} == {world.brain.unlimited_level}
 
 
 def test_in_a_flood_who_joined_lets_go_of_what_drains_within_the_grace():
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.events import batches, make_facts
-from driftshed.brain import VIEW, Brain
+from driftshed.brain import VIEW_WINDOW_S, Brain
 from driftshed.figures import RunningMedian, median
 
 STEADY = 1.5  # by how much the work an event may differ between sizes
@@ -62,10 +62,10 @@
     for view in brain.view[0], brain.view[1]:
         view += [(float("-inf"), 0.0, 0.0)] * servers
     for _ in range(400):
-        now += random.choice([0.0, 0.1, 0.5, random.choice([0.1, 2 * VIEW])])
+        now += random.choice([0.0, 0.1, 0.5, random.choice([0.1, 2 * VIEW_WINDOW_S])])
         brain.now = now
         zone = random.randrange(2)
-        brain._see(zone, random.randrange(servers), random.choice([1.0, random.random()]), random.random())
-        views = [view for view in brain.view[zone] if view[0] > now - VIEW]
-        assert brain.usual_slow[zone].value() == median([view[1] for view in views])
-        assert brain.usual_erred[zone].value() == median([view[2] for view in views])
+        brain._record_view(zone, random.randrange(servers), random.choice([1.0, random.random()]), random.random())
+        views = [view for view in brain.view[zone] if view[0] > now - VIEW_WINDOW_S]
+        assert brain.median_slowness[zone].value() == median([view[1] for view in views])
+        assert brain.median_error_share[zone].value() == median([view[2] for view in views])
