--- a/driftshed/brain.py
+++ b/driftshed/brain.py
@@ -1,18 +1,18 @@
-"""The decisions of one supervisor.
+"""Decides, for one supervisor, which orders go to its proxies.
 
     brain = Brain(facts, seed, now)     # facts: interface.StartFacts
-    orders = brain.handle(now, events)  # the same events always bring the same orders
-
-The types of facts, events and orders are in `driftshed/interface.py`. The design (docs/design.md) decides the
-ordinary table: zones complain, lasting complaints of enough zones withdraw a server under caps, it returns in
-steps, and ONE shared table's weights are steered by latency. Mechanisms beside the design, six at most:
-
- 1. Following the list: a draining or gone server loses its line at once, outside the caps.
- 2. Cold servers: no more weight than they are sure to bear by now, and no more of all tries.
- 3. Never bare: withdrawals for health are lifted when they would leave no warm, ready server.
- 4. Paced orders: ordinary changes go one marked round at a time; room is kept for urgent ones.
- 5. Tries and levels: under strain further tries are cut first, then what is let in, the least worth first.
- 6. Parts: where the shared table is too long, it is laid out in parts that the proxies are dealt to.
+    orders = brain.handle(now, events)  # deterministic: the same events always return the same orders
+
+The types of facts, events and orders are in `driftshed/interface.py`. The design (docs/design.md) covers the
+ordinary table: zones complain, lasting complaints of enough zones withdraw a server under caps, the server returns
+in entry steps, and the weights of ONE shared table follow latency. At most six mechanisms go beyond the design:
+
+ 1. List changes: a draining or gone server loses its line at once, outside the caps.
+ 2. Slow start: a cold server gets no more weight than it can certainly bear by now, and no more of all tries.
+ 3. Minimum availability: withdrawals for health are lifted when they would leave no warm, ready server.
+ 4. Paced orders: ordinary changes go out one marked round at a time; capacity is reserved for urgent ones.
+ 5. Tries and levels: under strain, further tries are cut first, then admission, the lowest value first.
+ 6. Parts: a shared table that is too long is split into parts, and each proxy is assigned one of them.
 """
 
 from collections import OrderedDict, defaultdict, deque
@@ -22,65 +22,77 @@
 from driftshed import interface as face
 from driftshed.figures import RunningMedian, fair_rate, median, weighted_median
 
-LONG_AGO = float("-inf")
-ANY_ZONE = -1  # the zone of the one part of a small fleet
-NO_PART = -1  # the part of a server without a line
-
-# The design's values. Spans are seconds.
-SLOW_LATENCY_RATIO = 2.0  # what a zone complains of
-ERROR_SHARE = 0.10  # what a zone complains of
-COMPLAINT_MIN_AGE_S = 6.0  # a complaint counts from this long after it was first heard
-COMPLAINT_EXPIRY_S = 15.0  # a complaint counts until this long after it was last heard
-MIN_COMPLAINING_ZONES = 2
-MAX_WITHDRAWN = 2
-MAX_WITHDRAWN_SHARE = 1 / 3
-WITHDRAWAL_BUDGET = 5  # withdrawals
+LONG_AGO = float("-inf")  # a time before every other
+ANY_ZONE = -1  # zone of the single part of a small fleet
+NO_PART = -1  # part of a server without a line
+
+# ---- values of the design (docs/design.md) ----
+
+SLOW_LATENCY_RATIO = 2.0  # a zone complains of a latency above this many times its baseline
+ERROR_SHARE = 0.10  # a zone complains of a larger share of errored tries
+COMPLAINT_MIN_AGE_S = 6.0  # a complaint counts from this long after it was first raised
+COMPLAINT_EXPIRY_S = 15.0  # a complaint counts until this long after it was last renewed
+MIN_COMPLAINING_ZONES = 2  # zones that must complain before a server is withdrawn
+MAX_WITHDRAWN = 2  # servers out of service for health at a time
+MAX_WITHDRAWN_SHARE = 1 / 3  # of the servers
+WITHDRAWAL_BUDGET = 5  # withdrawals within WITHDRAWAL_BUDGET_WINDOW_S
 WITHDRAWAL_BUDGET_WINDOW_S = 30.0
 WITHDRAWAL_DURATION_S = 10.0
-ENTRY_WEIGHT_SHARE = 0.1  # of the average weight
-ENTRY_STEP_S = 2.0  # the weight doubles every step
-ENTRY_STEPS = 4  # whole after so many steps
+ENTRY_WEIGHT_SHARE = 0.1  # weight of the first entry step, as a share of the average weight
+ENTRY_STEP_S = 2.0  # the weight doubles after each step
+ENTRY_STEPS = 4  # steps until a server has its full weight
 SOLVE_INTERVAL_S = 3.0
-MAX_SOLVE_STEP = 0.2
+MAX_SOLVE_STEP = 0.2  # largest relative change of a factor in one solve
 MIN_FACTOR = 0.5
 MAX_FACTOR = 2.0
-MIN_RELATIVE_CHANGE = 0.1  # of the weight that stands
-
-# Ours.
-SLOW_START_LIMIT = 2 / 3  # of the tip multiple: what a cold server may be asked for
-REMAINING_WEIGHT_THRESHOLD = (
-    1 / 2
-)  # of the weight that a part should have: with less left of it, its other changes are as urgent
-SOLVE_EXPONENT = 1 / 3  # power of the latency ratio in a step: most of a latency is queueing, which answers late
-FACTOR_DECAY = 1 / 3  # a solve's step back toward the start, as a power, where weights are listed
-RETENTION_PER_SOLVE = 1 / 2  # of what was met, from one solve to the next
-VIEW_WINDOW_S = COMPLAINT_MIN_AGE_S / 2  # a zone's median is over the reports of this long
-STRAIN_THRESHOLD = 2 / 5  # the median server takes more than this of the objective: strain
-RECOVERY_THRESHOLD = 2 / 3  # of that: no strain
-ELEVATED_LATENCY_RATIO = 1.5  # or more than this much of the least it took; of the time at the best part
-BUSY_UTILISATION = 0.85  # share of a server's cores in use
-ADMITTED_PER_ANSWERED = 0.9  # what is let in at the most, of what is answered
-MIN_ADMITTED_SHARE = 0.1  # what is let in at the least, of all
-ADMISSION_CUT_FACTOR = 0.6  # of what is let in, at a time
-ADMISSION_RISE_FACTOR = 1.2  # of what is let in, at a time
-DECAY_PER_EVALUATION = 0.97  # of the best that was seen, from look to look
-RETRY_ALLOWANCE = 0.05  # beyond the first, of what comes
-LOW_VALUE_RATIO = 2.0  # operations whose value per unit of work is within this of the least are cut together
-MAX_MARK = 65534  # as many numbers as marks have
-DEAD_ERROR_SHARE = 0.9  # of the tries err: complaints of it count in half the time
-MIN_TRIES = 5  # with fewer in its view a zone says nothing
-BASELINE_TIME_CONSTANT_S = 2 * COMPLAINT_EXPIRY_S  # how slowly a zone's baseline learns
-ORDINARY_SHARE = 1 / 2  # of the message cap and of the lines sent within a grace; the rest is for the urgent
-STANDING_TABLES_PER_PART = 2  # standing tables' lines in a part
-MIN_PROXIES_PER_PART = 5  # proxies that share a part at the least
-CONNECTION_SHARE = 1 / 7  # of what servers accept, as they slow down while filling: proxies with lines to one
-OWN_ZONE_PREFERENCE = 4.0  # what a part of the own zone counts for
-IMBALANCE_TOLERANCE = 0.2  # beyond its due a part gives proxies away
-BALANCING_ROUNDS = 4  # rounds that bring what zones bring to the parts in line with their weight
+MIN_RELATIVE_CHANGE = 0.1  # of the present weight or level: smaller changes are not sent
+
+# ---- values of the mechanisms beyond the design ----
+
+SLOW_START_LIMIT = 2 / 3  # of the tip multiple: the load that a cold server may be given
+# Of the weight that a part should have: where less of it remains after removals, the part's other changes become
+# urgent too. Also the condition for giving away a proxy that no other part lacks: the giving part's relative excess is
+# above this value, and that of the receiving part ends below this fraction of it.
+REMAINING_WEIGHT_THRESHOLD = 1 / 2
+SOLVE_EXPONENT = 1 / 3  # of the latency ratio in a solve: most latency is queueing, which reacts with a delay
+FACTOR_DECAY = 1 / 3  # exponent of the regression toward the listed weight in a solve, where weights are listed
+RETENTION_PER_SOLVE = 1 / 2  # retention factor of the observed tries and times from one solve to the next
+VIEW_WINDOW_S = COMPLAINT_MIN_AGE_S / 2  # a zone's median covers the reports of this window
+STRAIN_THRESHOLD = 2 / 5  # of the latency objective: strain where the median server's latency is above it
+RECOVERY_THRESHOLD = 2 / 3  # of the strain threshold: no strain below it (hysteresis)
+ELEVATED_LATENCY_RATIO = 1.5  # over the lowest latency of the median server; over the latency of the best part
+BUSY_UTILISATION = 0.85  # share of a server's cores in use that counts as strain
+ADMITTED_PER_ANSWERED = 0.9  # most that is admitted under strain, as a share of the answered rate
+MIN_ADMITTED_SHARE = 0.1  # of all arrivals
+ADMISSION_CUT_FACTOR = 0.6  # largest cut of the admitted share in one evaluation, as a factor
+ADMISSION_RISE_FACTOR = 1.2  # largest rise of the admitted share in one evaluation, as a factor
+DECAY_PER_EVALUATION = 0.97  # exponential decay of the best observed values
+RETRY_ALLOWANCE = 0.05  # further tries, as a share of arrivals, that count as hardly any
+LOW_VALUE_RATIO = 2.0  # operations whose value per unit of work is within this ratio of the lowest are cut together
+MAX_MARK = 65534  # marks run from 1 to this number, then start again
+DEAD_ERROR_SHARE = 0.9  # of the tries errored: complaints count after half the time
+MIN_TRIES = 5  # with fewer tries in its window a zone has no view of a server
+BASELINE_TIME_CONSTANT_S = 2 * COMPLAINT_EXPIRY_S  # of the moving average that is a zone's baseline
+ORDINARY_SHARE = 1 / 2  # of the message cap and of the lines sent within a grace; the rest is reserved for urgent ones
+STANDING_TABLES_PER_PART = 2  # most lines of a part, in lengths of a standing table
+MIN_PROXIES_PER_PART = 5
+# Of the connections that a server accepts: the proxies that may hold a line to it. Servers slow down as their
+# connections fill up.
+CONNECTION_SHARE = 1 / 7
+OWN_ZONE_PREFERENCE = 4.0  # how much more a part of the proxy's own zone counts
+IMBALANCE_TOLERANCE = 0.2  # of its target share: beyond it a part gives proxies away
+BALANCING_ROUNDS = 4  # iterations that bring the demand on each part in line with its weight
 
 
 class Brain:
+    """The decision module of one supervisor.
+
+    Time enters by `now` alone and chance by the seed, so the same calls always return the same orders. Servers live in
+    parallel arrays under a dense slot number; a slot is reused once its server is long gone. All times are seconds.
+    """
+
     def __init__(self, facts: face.StartFacts, seed: int, now: float) -> None:
+        """An instance without servers or proxies; they come with the first events."""
         self.random = Random(seed)
         self.now = now
         self.subscribe_retry_interval = facts.ask_within / 8
@@ -90,7 +102,7 @@
         self.slow_start_limit = facts.tip_multiple * SLOW_START_LIMIT
         self.cap = facts.queue_cap
         self.picks_of_two = facts.pick == "two"
-        self.message_overhead = facts.lines_per_message + 1  # and the mark
+        self.message_overhead = facts.lines_per_message + 1  # in lines, with that of the mark
         self.round_lines = ORDINARY_SHARE * min(self.cap, facts.lines_per_second * facts.drain_grace)
         self.message_cap = facts.message_cap
         self.message_span = facts.message_span
@@ -102,81 +114,83 @@
         value = [operation.billed_value / operation.latency_objective for operation in facts.operations]
         self.low_value = [each < LOW_VALUE_RATIO * min(value) for each in value]
         self.level_form = facts.level_form
-        self.unlimited_level = 1.0 if self.level_form == "share" else float(2**30)  # a level that stops nothing
-        told = facts.load_fields if facts.load_reports_come == "inline" else ()
-        self.utilisation_index = told.index("utilisation") if "utilisation" in told else None
+        self.unlimited_level = 1.0 if self.level_form == "share" else float(2**30)
+        reported_fields = facts.load_fields if facts.load_reports_come == "inline" else ()
+        self.utilisation_index = reported_fields.index("utilisation") if "utilisation" in reported_fields else None
         self.control_interval = facts.report_period * ceil(1 + facts.worst_transit / facts.report_period)
         self.max_part_lines = STANDING_TABLES_PER_PART * max(1, facts.standing_lines)
+        # The share of the servers that each proxy may hold lines to.
         self.connectable_share = CONNECTION_SHARE * (facts.least_connections or 0.0) / max(1, facts.proxies)
         self.max_parts = facts.proxies / max(1, facts.supervisors) / MIN_PROXIES_PER_PART
-        # Guards against steering all to the fastest while nobody is busy: their latency does not answer until
-        # they are swamped. Listed weights say what is due; where there are none, what was learnt stays.
+        # Guards against steering all work to the fastest servers while none is busy: their latency does not react
+        # until they are overloaded. Factors regress toward the listed weights; without those they do not regress.
         self.factor_decay = FACTOR_DECAY if self.weights_listed else 0.0
         zones = range(len(facts.zones))
-        # Servers: parallel arrays under a dense index. Factor: learnt, beside the listed weight; out_at: out
-        # for health since; met: tries, good ones, time of all, fading from solve to solve; strain: the same
-        # since the last look, good ones' time alone; line, shut: present weight, present withdrawal.
-        self.place = {}  # by id
-        self.gone_slots = {}  # the places of those that are gone, the longest gone first
+        self.place = {}  # slot of each server, by id
+        self.gone_slots = {}  # slots of servers that are gone, the longest gone first
+        # Servers: parallel arrays, indexed by slot.
         self.array = [[] for _ in range(14)]
         self.ids = self.array[0]
         self.kind = self.array[1]
         self.state = self.array[2]
-        self.started = self.array[3]
-        self.entered = self.array[4]
-        self.out_at = self.array[5]
+        self.started = self.array[3]  # time
+        self.entered = self.array[4]  # time of the first entry step
+        self.out_at = self.array[5]  # time of the withdrawal for health, or None
         self.listed_weight = self.array[6]
-        self.factor = self.array[7]
+        self.factor = self.array[7]  # learnt; multiplies the listed weight
+        # Tries, succeeded tries and total time, with exponential decay from solve to solve.
         self.solve_sample = self.array[8]
+        # The same since the last evaluation of strain, with the time of succeeded tries alone.
         self.strain_sample = self.array[9]
-        self.utilisation = self.array[10]
+        self.utilisation = self.array[10]  # last reported share of cores in use, or None
         self.part = self.array[11]
-        self.line = self.array[12]
-        self.withdrawn = self.array[13]
-        # What each zone says of each server; view: judged when, times the usual, erred share.
+        self.line = self.array[12]  # weight of the present line, 0 without one
+        self.withdrawn = self.array[13]  # whether a withdrawal is in force
+        # What each zone observes of each server: parallel arrays, indexed by zone and slot.
         self.zone_arrays = [[[] for _ in zones] for _ in range(5)]
-        self.reports = self.zone_arrays[0]
-        self.baseline = self.zone_arrays[1]
-        self.complaint_since = self.zone_arrays[2]
-        self.complaint_renewed = self.zone_arrays[3]
-        self.view = self.zone_arrays[4]
-        # The views of the last while, oldest first, and the medians of what they say: kept up to date as
-        # they come and lapse, so that a report costs the same in a fleet of any size.
+        self.reports = self.zone_arrays[0]  # queues of time, tries, errored tries, latency
+        self.baseline = self.zone_arrays[1]  # latency, or None
+        self.complaint_since = self.zone_arrays[2]  # time, or None without a complaint
+        self.complaint_renewed = self.zone_arrays[3]  # time
+        self.view = self.zone_arrays[4]  # time of evaluation, latency over baseline, error share
+        # The views within the window, oldest first, and the medians of their values. They are updated as views come
+        # and expire, so that the cost of a report does not depend on the size of the fleet.
         self.recent_views: list[OrderedDict[int, tuple]] = [OrderedDict() for _ in zones]
         self.median_slowness = [RunningMedian() for _ in zones]
         self.median_error_share = [RunningMedian() for _ in zones]
-        # Parts: the zone of the servers of each, what each zone met there (as in met), withdrawals of late.
-        self.part_zone = []
+        # Parts of the shared table.
+        self.part_zone = []  # zone of the servers of each part
+        # The share of all arrivals that a part of cold servers alone can bear; infinite with a warm server.
         self.bearable_share = {}
-        self.displaced = set()
-        self.part_sample = defaultdict(lambda: [0.0, 0.0, 0.0])
-        self.withdrawal_times = defaultdict(deque)
-        # Proxies: zone, what comes, when written to and joined, the part it should hold and does hold, the
-        # mark that it has yet to answer; and the channel: mark, lines, when.
+        self.displaced = set()  # proxies that must leave a part that cannot bear them
+        self.part_sample = defaultdict(lambda: [0.0, 0.0, 0.0])  # by zone and part, as solve_sample
+        self.withdrawal_times = defaultdict(deque)  # by part, recent ones
+        # Proxies, by number.
         self.proxy_zone = {}
-        self.demand = {}
-        self.rate = {}
-        self.sent_at = {}
+        self.demand = {}  # arrivals per second, by operation
+        self.rate = {}  # arrivals per second of all operations
+        self.sent_at = {}  # times of recent messages
         self.joined_at = {}
-        self.target_part = {}
-        self.held_part = {}
-        self.unanswered = {}
-        self.channel = deque()
+        self.target_part = {}  # the part that the proxy should hold
+        self.held_part = {}  # the part that the proxy holds
+        self.unanswered = {}  # the mark that the proxy has yet to answer
+        self.channel = deque()  # messages under way: mark, lines, time
         self.last_mark = 0
-        self.levels_pending = False
+        self.levels_pending = False  # levels were sent and not yet answered by all
         self.awaiting_first_list = True
-        self.operation_mix = [1.0 for _ in self.objectives]
-        self.let_in = 1.0  # the part of all that comes
+        self.operation_mix = [1.0 for _ in self.objectives]  # moving average of arrivals
+        self.let_in = 1.0  # admitted share of all arrivals
         self.tries = face.ONE_AFTER_PROOF
-        # The least that the median server took, rising slowly; the most that a unit of weight answered,
-        # fading; that against the tries that come and come again: the worst, for one that starts blind.
-        self.floor = float("inf")
-        self.best_unit_rate = 0.0
+        self.floor = float("inf")  # lowest latency of the median server, rising slowly
+        self.best_unit_rate = 0.0  # most succeeded tries per second and unit of weight, decaying
+        # What the fleet can answer at its best, as a share of the offered tries with their repeats. Starts at the
+        # worst value, since an instance without reports cannot rule it out.
         self.answerable_share = facts.tip_multiple**-2
-        self.strain_since = now
+        self.strain_since = now  # start of the strain sample
         self.next_control = now + self.control_interval
         self.target_levels = [(self.unlimited_level, self.tries) for _ in self.objectives]
-        self.current_levels: dict[tuple[int, int], tuple] = {}  # present, by part and operation: level and tries
+        # Levels in force, by part and operation: level and tries.
+        self.current_levels: dict[tuple[int, int], tuple] = {}
         self.next_subscribe = None if facts.list_is_pushed else now
         self.next_tick = now
         self.next_rebalance = now
@@ -184,18 +198,21 @@
         self.next_urgent = LONG_AGO
 
     def handle(self, now: float, events: list) -> list:
+        """Applies a batch of events and returns the orders that follow, in the order in which they must go out.
+
+        `now` never goes back from call to call. Event types without a handler are ignored.
+        """
         self.now = now
         self.orders = []
         for event in events:
             getattr(self, f"_hear_{type(event).__name__.lower()}", lambda _: None)(event)
-        if (
-            self.next_subscribe is not None and now >= self.next_subscribe
-        ):  # again until answered, each at its own moment
+        # Repeated until answered, with a random delay so that supervisors do not ask at the same moment.
+        if self.next_subscribe is not None and now >= self.next_subscribe:
             self.orders.append(face.Subscribe(True))
             self.next_subscribe = now + self.subscribe_retry_interval * self.random.uniform(2, 3)
         if self.levels_pending and not self.unanswered:
             self.levels_pending = False
-            self._reset_strain_sample()  # what is heard from now on tells of the levels in force
+            self._reset_strain_sample()  # reports from now on reflect the levels in force
         if now >= self.next_tick:
             self.next_tick = now + self.evaluation_interval
             self.orders.append(face.SetTimer(0, self.next_tick))
@@ -205,47 +222,55 @@
             if now >= self.next_solve:
                 self.next_solve = now + SOLVE_INTERVAL_S
                 self._solve()
-        lines, out = self._target_weights(), self._target_withdrawals()
-        self._assign_parts(lines, out)
-        self._reconcile(lines, out)
+        weights, withdrawals = self._target_weights(), self._target_withdrawals()
+        self._assign_parts(weights, withdrawals)
+        self._reconcile(weights, withdrawals)
         return self.orders
 
+    # ---- list of servers ----
+
     def _hear_listing(self, listing: face.Listing) -> None:
+        """Applies a list or a change of it. A server that a full list leaves out is gone."""
         if listing.kind == face.FAILED:
             self.next_subscribe = self.now + self.subscribe_retry_interval * self.random.uniform(0.2, 1)
             return
         if listing.kind != face.CACHED:
-            self.next_subscribe = None  # a subscription's answer, or its changes
+            self.next_subscribe = None  # the answer to a subscription, or its changes
         if listing.kind != face.DELTA:
-            named = {entry.server for entry in listing.entries}
-            for i in [i for server, i in self.place.items() if server not in named]:
+            present = {entry.server for entry in listing.entries}
+            for i in [i for server, i in self.place.items() if server not in present]:
                 self.state[i] = face.GONE
                 self.gone_slots.setdefault(i)
         if self.awaiting_first_list:
             self._create_parts([entry for entry in listing.entries if entry.state == face.READY])
-        # Of each part: its servers by kind, and their weight; kept as the entries are gone through.
+        # Of each part: the number of its servers by kind, and their weight; updated with each entry.
         self.part_tally = [(defaultdict(int), [0.0]) for _ in self.part_zone]
         for i in range(len(self.ids)):
             self._update_tally(i, 1)
         for entry in listing.entries:
             if entry.server in self.place or entry.state != face.GONE:
                 self._apply_entry(entry)
-        self.awaiting_first_list &= face.READY not in self.state  # with nobody ready it tells nothing of the fleet
+        # A list without a ready server says nothing about the size of the fleet.
+        self.awaiting_first_list &= face.READY not in self.state
 
     def _create_parts(self, ready: list) -> None:
-        """The parts of the shared table. Guards against a whole one that no proxy can be sent in time: a line
-        to every server at every proxy costs connections, lines and messages by the product of both."""
-        shorter = max(self.max_part_lines / STANDING_TABLES_PER_PART, self.connectable_share * len(ready))
-        fits = max(min(self.max_part_lines, shorter), len(ready) / max(1.0, self.max_parts))
-        counts = [sum(entry.zone == zone for entry in ready) for zone in range(len(self.reports))]
-        if len(ready) >= max(fits, self.max_part_lines) * max(2, sum(map(bool, counts))):
-            self.part_zone = [z for z, n in enumerate(counts) for _ in range(max(n > 0, int(n / fits)))]
+        """Splits the shared table into parts.
+
+        Guards against a table that cannot be sent to all proxies in time: lines from every proxy to every server cost
+        connections, lines and messages in proportion to the product of both numbers.
+        """
+        line_limit = max(self.max_part_lines / STANDING_TABLES_PER_PART, self.connectable_share * len(ready))
+        part_size = max(min(self.max_part_lines, line_limit), len(ready) / max(1.0, self.max_parts))
+        ready_per_zone = [sum(entry.zone == zone for entry in ready) for zone in range(len(self.reports))]
+        if len(ready) >= max(part_size, self.max_part_lines) * max(2, sum(map(bool, ready_per_zone))):
+            self.part_zone = [z for z, n in enumerate(ready_per_zone) for _ in range(max(n > 0, int(n / part_size)))]
         else:
             self.part_zone = [ANY_ZONE]
 
     def _apply_entry(self, entry) -> None:
+        """Applies the entry of one server; a ready server that is new or restarted begins its entry steps."""
         started = LONG_AGO if entry.started is None else entry.started
-        if new := entry.server not in self.place:
+        if is_new := entry.server not in self.place:
             self._allocate_slot(entry)
         i = self.place[entry.server]
         self._update_tally(i, -1)
@@ -253,10 +278,10 @@
             self.part[i] = self._choose_part(entry)
         if entry.state == face.READY and (self.state[i] != face.READY or started > self.started[i]):
             self._begin_entry(i, LONG_AGO if self.awaiting_first_list else self.now)
-            if (started > self.started[i] or new) and not self.awaiting_first_list:
-                # One that starts now begins with what its kind has learnt, not with an average part.
-                kin = [k for servers in self._ready_by_part() for k in servers if self.kind[k] == entry.kind]
-                self.factor[i] = median([self.factor[k] for k in kin if k != i]) or 1.0
+            if (started > self.started[i] or is_new) and not self.awaiting_first_list:
+                # A server that starts now begins with the factor learnt for its kind, not with an average one.
+                same_kind = [k for servers in self._ready_by_part() for k in servers if self.kind[k] == entry.kind]
+                self.factor[i] = median([self.factor[k] for k in same_kind if k != i]) or 1.0
         self.state[i] = entry.state
         self.started[i] = max(started, self.started[i])
         self.gone_slots.setdefault(i) if entry.state == face.GONE else self.gone_slots.pop(i, None)
@@ -265,21 +290,24 @@
         self._update_tally(i, 1)
 
     def _allocate_slot(self, entry: face.Entry) -> None:
-        """A new server's place. Guards against growth with each ever listed: once they outnumber the rest the
-        longest gone is forgotten. Its late reports go by its id, so the new one is not credited with them."""
-        many = 2 * len(self.gone_slots) > len(self.ids)
-        free = (k for k in self.gone_slots if many and not self.line[k] and not self.withdrawn[k])
-        i = next(free, len(self.ids))
+        """Allocates a slot for a new server.
+
+        Guards against growth with each server ever listed: once the gone servers outnumber the rest, the slot of the
+        longest gone is reused. Late reports are looked up by server id, so none is credited to the new server.
+        """
+        reuse = 2 * len(self.gone_slots) > len(self.ids)
+        reusable = (k for k in self.gone_slots if reuse and not self.line[k] and not self.withdrawn[k])
+        i = next(reusable, len(self.ids))
         if i < len(self.ids):
             del self.place[self.ids[i]], self.gone_slots[i]
         self.place[entry.server] = i
-        blank = entry.server, entry.kind, face.GONE, LONG_AGO, LONG_AGO, None, 1.0, 1.0, [0.0] * 3, [0.0] * 3
-        for array, value in zip(self.array, (*blank, None, 0, 0.0, False), strict=True):
+        initial = entry.server, entry.kind, face.GONE, LONG_AGO, LONG_AGO, None, 1.0, 1.0, [0.0] * 3, [0.0] * 3
+        for array, value in zip(self.array, (*initial, None, 0, 0.0, False), strict=True):
             array[i : i + 1] = [value]
         for zone in range(len(self.reports)):
             self._discard_view(zone, i)
-            unsaid = deque(), None, None, LONG_AGO, (LONG_AGO, 0.0, 0.0)
-            for array, value in zip(self.zone_arrays, unsaid, strict=True):
+            zone_initial = deque(), None, None, LONG_AGO, (LONG_AGO, 0.0, 0.0)
+            for array, value in zip(self.zone_arrays, zone_initial, strict=True):
                 array[zone][i : i + 1] = [value]
 
     def _update_tally(self, i: int, sign: int) -> None:
@@ -288,42 +316,47 @@
         weight[0] += sign * self.listed_weight[i]
 
     def _choose_part(self, entry) -> int:
-        """The part of its zone with the fewest of its kind, then of least weight."""
+        """The part of the server's zone with the fewest servers of its kind, then with the least weight."""
         parts = [p for p, zone in enumerate(self.part_zone) if zone == entry.zone] or range(len(self.part_tally))
         return min(parts, key=lambda p: (self.part_tally[p][0][entry.kind], self.part_tally[p][1][0]))
 
     def _ready_by_part(self) -> list[list[int]]:
-        members: list[list[int]] = [[] for _ in self.part_zone]
+        """The slots of the ready servers of each part."""
+        by_part: list[list[int]] = [[] for _ in self.part_zone]
         for i, state in enumerate(self.state):
             if state == face.READY:
-                members[self.part[i]].append(i)
-        return members
+                by_part[self.part[i]].append(i)
+        return by_part
 
     def _begin_entry(self, i: int, at: float) -> None:
-        """A new, restarted or returned server begins its steps with nothing held against it."""
+        """Starts the entry steps of a new, restarted or returned server and clears the complaints of it."""
         self.entered[i] = at
         self.out_at[i] = None
         for zone in range(len(self.reports)):
             self.reports[zone][i].clear()
             self.complaint_since[zone][i] = None
 
+    # ---- proxies and their answers ----
+
     def _hear_joined(self, joined: face.Joined) -> None:
+        """Adds a proxy and forgets an earlier stay of it; its rate is split by the present mix of operations."""
         self._hear_left(joined)
         self.sent_at[joined.proxy] = deque()
         self.proxy_zone[joined.proxy] = joined.zone
         self.joined_at[joined.proxy] = self.now
-        self.demand[joined.proxy] = [joined.rate * part / sum(self.operation_mix) for part in self.operation_mix]
+        self.demand[joined.proxy] = [joined.rate * weight / sum(self.operation_mix) for weight in self.operation_mix]
         self.rate[joined.proxy] = sum(self.demand[joined.proxy])
 
     def _hear_left(self, left: face.Left) -> None:
-        parts = self.target_part, self.held_part, self.unanswered
-        for known in (self.sent_at, self.joined_at, self.proxy_zone, self.demand, self.rate, *parts):
-            known.pop(left.proxy, None)
+        by_proxy = self.target_part, self.held_part, self.unanswered
+        for mapping in (self.sent_at, self.joined_at, self.proxy_zone, self.demand, self.rate, *by_proxy):
+            mapping.pop(left.proxy, None)
         if not self.unanswered:
-            self.channel.clear()  # nobody is left who would answer for it
+            self.channel.clear()  # no proxy remains that could answer
 
     def _hear_applied(self, applied: face.Applied) -> None:
-        # Messages leave in order: what was ordered before this mark waits no more.
+        """Records a proxy's answer to a mark."""
+        # Messages are delivered in order: this answer covers all messages before this mark too.
         if any(mark == applied.mark for mark, _, _ in self.channel):
             while self.channel[0][0] != applied.mark:
                 self.channel.popleft()
@@ -332,64 +365,79 @@
             if not self.unanswered:
                 self.channel.clear()
 
+    # ---- reports and complaints ----
+
     def _hear_heard(self, heard: face.Heard) -> None:
+        """Adds a report to the samples of its server and part; an errored try counts with the latency objective."""
         i = self.place.get(heard.server)
         if i is None or not heard.tries or heard.zone >= len(self.reports):
             return
-        good = heard.tries - min(heard.errored, heard.tries)
-        took, lost = good * (heard.latency or 0.0), (heard.tries - good) * self._mean_objective()
-        seen = self.part_sample[heard.zone, self.part[i]]
-        for row, time in (self.solve_sample[i], took + lost), (seen, took + lost), (self.strain_sample[i], took):
-            row[0] += heard.tries
-            row[1] += good
-            row[2] += time
+        succeeded = heard.tries - min(heard.errored, heard.tries)
+        success_time, error_time = (
+            succeeded * (heard.latency or 0.0),
+            (heard.tries - succeeded) * self._mean_objective(),
+        )
+        part_sample = self.part_sample[heard.zone, self.part[i]]
+        for sample, duration in (
+            (self.solve_sample[i], success_time + error_time),
+            (part_sample, success_time + error_time),
+            (self.strain_sample[i], success_time),
+        ):
+            sample[0] += heard.tries
+            sample[1] += succeeded
+            sample[2] += duration
         if self.utilisation_index is not None and heard.load:
             self.utilisation[i] = heard.load[self.utilisation_index]
-        self.reports[heard.zone][i].append((self.now, heard.tries, heard.tries - good, heard.latency))
+        self.reports[heard.zone][i].append((self.now, heard.tries, heard.tries - succeeded, heard.latency))
         self._update_complaint(heard.zone, i, self.reports[heard.zone][i])
 
     def _update_complaint(self, zone: int, i: int, reports: deque) -> None:
+        """Updates a zone's view of a server, its complaint and, without one, its baseline."""
         while reports[0][0] < self.now - VIEW_WINDOW_S:
             reports.popleft()
         tries = sum(report[1] for report in reports)
         if tries < MIN_TRIES:
             return
-        erred = sum(report[2] for report in reports) / tries
-        took = weighted_median([(report[3], report[1] - report[2]) for report in reports if report[3]])
-        usual = self.baseline[zone][i]
-        slow = took / usual if took is not None and usual else 0.0
-        self._record_view(zone, i, slow, erred)
-        # Guards against naming the noisiest in a fleet-wide trouble (overload, a slow thing behind all): what
-        # a zone meets at most of its servers names none. It would miss half of a fleet that fails together.
-        # In place of the design's 50 ms: a slow server's answers come too late.
-        late = took is not None and took > self._mean_objective()
-        late = late and slow > SLOW_LATENCY_RATIO * max(1.0, self.median_slowness[zone].value())
-        if late or erred > max(ERROR_SHARE, SLOW_LATENCY_RATIO * self.median_error_share[zone].value()):
-            lapsed = (
+        error_share = sum(report[2] for report in reports) / tries
+        latency = weighted_median([(report[3], report[1] - report[2]) for report in reports if report[3]])
+        baseline = self.baseline[zone][i]
+        slowness = latency / baseline if latency is not None and baseline else 0.0
+        self._record_view(zone, i, slowness, error_share)
+        # Guards against complaints of the noisiest servers in a fleet-wide fault (overload, a slow dependency of all):
+        # what a zone observes at most of its servers raises no complaint. This misses half of a fleet that fails
+        # together. In place of the design's 50 ms: the answers of a slow server exceed the latency objective.
+        is_slow = latency is not None and latency > self._mean_objective()
+        is_slow = is_slow and slowness > SLOW_LATENCY_RATIO * max(1.0, self.median_slowness[zone].value())
+        if is_slow or error_share > max(ERROR_SHARE, SLOW_LATENCY_RATIO * self.median_error_share[zone].value()):
+            expired = (
                 self.complaint_since[zone][i] is None or self.complaint_renewed[zone][i] < self.now - COMPLAINT_EXPIRY_S
             )
-            self.complaint_since[zone][i] = self.now if lapsed else self.complaint_since[zone][i]
+            self.complaint_since[zone][i] = self.now if expired else self.complaint_since[zone][i]
             self.complaint_renewed[zone][i] = self.now
             return
         self.complaint_since[zone][i] = None
-        if took is not None and slow <= SLOW_LATENCY_RATIO and erred <= ERROR_SHARE:
-            self.baseline[zone][i] = took if usual is None else usual + self.baseline_gain * (took - usual)
+        if latency is not None and slowness <= SLOW_LATENCY_RATIO and error_share <= ERROR_SHARE:
+            self.baseline[zone][i] = (
+                latency if baseline is None else baseline + self.baseline_gain * (latency - baseline)
+            )
 
-    def _record_view(self, zone: int, i: int, slow: float, erred: float) -> None:
-        fresh = self.recent_views[zone]
+    def _record_view(self, zone: int, i: int, slowness: float, error_share: float) -> None:
+        """Replaces a zone's view of a server and removes the views that have left the window."""
+        recent = self.recent_views[zone]
         self._discard_view(zone, i)
-        while fresh and fresh[oldest := next(iter(fresh))][0] <= self.now - VIEW_WINDOW_S:
+        while recent and recent[oldest := next(iter(recent))][0] <= self.now - VIEW_WINDOW_S:
             self._discard_view(zone, oldest)
-        self.median_slowness[zone].swap(None, slow)
-        self.median_error_share[zone].swap(None, erred)
-        self.view[zone][i] = fresh[i] = self.now, slow, erred
+        self.median_slowness[zone].swap(None, slowness)
+        self.median_error_share[zone].swap(None, error_share)
+        self.view[zone][i] = recent[i] = self.now, slowness, error_share
 
     def _discard_view(self, zone: int, i: int) -> None:
-        _, slow, erred = self.recent_views[zone].pop(i, (None, None, None))
-        self.median_slowness[zone].swap(slow, None)
-        self.median_error_share[zone].swap(erred, None)
+        _, slowness, error_share = self.recent_views[zone].pop(i, (None, None, None))
+        self.median_slowness[zone].swap(slowness, None)
+        self.median_error_share[zone].swap(error_share, None)
 
     def _hear_demand(self, demand: face.Demand) -> None:
+        """Updates the arrival rates of a proxy and the mix of operations, both as moving averages."""
         if demand.proxy in self.sent_at and demand.window > 0 and demand.operation < len(self.operation_mix):
             rates = self.demand[demand.proxy]
             rates[demand.operation] += (demand.arrived / demand.window - rates[demand.operation]) / 2
@@ -397,343 +445,415 @@
             self.operation_mix[demand.operation] = 0.99 * self.operation_mix[demand.operation] + 0.01 * demand.arrived
 
     def _mean_objective(self) -> float:
-        return sum(a * b for a, b in zip(self.objectives, self.operation_mix, strict=True)) / sum(self.operation_mix)
+        """The latency objective in seconds, averaged over the present mix of operations."""
+        return sum(
+            objective * weight for objective, weight in zip(self.objectives, self.operation_mix, strict=True)
+        ) / sum(self.operation_mix)
 
     def _warm(self, i: int) -> bool:
+        """Whether a server is ready and past its warm-up."""
         return self.state[i] == face.READY and self.now - self.started[i] >= self.warm_within
 
+    # ---- health, factors and admission ----
+
     def _evaluate_health(self) -> None:
-        """The design's withdrawals and returns."""
-        members = self._ready_by_part()
-        ready = [i for servers in members for i in servers]
+        """Withdraws servers and returns them to service, as in the design."""
+        by_part = self._ready_by_part()
+        ready = [i for servers in by_part for i in servers]
         for i in ready:
             if self.out_at[i] is not None and self.now - self.out_at[i] >= WITHDRAWAL_DURATION_S:
                 self._begin_entry(i, self.now)
-        named = []
+        complained_of = []
         for i in ready:
             if self.out_at[i] is None:
-                # Its zones are those that have judged it of late: a part may be known to one zone alone.
-                zones = [zone for zone, view in enumerate(self.view) if view[i][0] > self.now - COMPLAINT_EXPIRY_S]
-                naming = [zone for zone in zones if self._complaint_counts(zone, i)]
-                if naming and len(naming) >= min(MIN_COMPLAINING_ZONES, len(zones)):
-                    named.append((min(self.complaint_since[zone][i] for zone in naming), i))
-        for _, i in sorted(named):  # the longest complained of first
-            # A part is what a whole small fleet is: the design's caps hold in each.
-            part, spent = members[self.part[i]], self.withdrawal_times[self.part[i]]
-            out = sum(self.out_at[k] is not None for k in part)
-            while spent and spent[0] <= self.now - WITHDRAWAL_BUDGET_WINDOW_S:
-                spent.popleft()
-            others = any(self._warm(k) and self.out_at[k] is None for k in part if k != i)
+                # Only zones with a recent view of the server count: a part may be in use by a single zone.
+                viewing_zones = [
+                    zone for zone, view in enumerate(self.view) if view[i][0] > self.now - COMPLAINT_EXPIRY_S
+                ]
+                complaining = [zone for zone in viewing_zones if self._complaint_counts(zone, i)]
+                if complaining and len(complaining) >= min(MIN_COMPLAINING_ZONES, len(viewing_zones)):
+                    complained_of.append((min(self.complaint_since[zone][i] for zone in complaining), i))
+        for _, i in sorted(complained_of):  # the longest complaint first
+            # The design's caps apply to each part as they do to a small fleet.
+            part_servers, recent_withdrawals = by_part[self.part[i]], self.withdrawal_times[self.part[i]]
+            out_count = sum(self.out_at[k] is not None for k in part_servers)
+            while recent_withdrawals and recent_withdrawals[0] <= self.now - WITHDRAWAL_BUDGET_WINDOW_S:
+                recent_withdrawals.popleft()
+            warm_remains = any(self._warm(k) and self.out_at[k] is None for k in part_servers if k != i)
             if (
-                out + 1 > min(MAX_WITHDRAWN, int(len(part) * MAX_WITHDRAWN_SHARE))
-                or len(spent) >= WITHDRAWAL_BUDGET
-                or not others
+                out_count + 1 > min(MAX_WITHDRAWN, int(len(part_servers) * MAX_WITHDRAWN_SHARE))
+                or len(recent_withdrawals) >= WITHDRAWAL_BUDGET
+                or not warm_remains
             ):
                 continue
             self.out_at[i] = self.now
-            spent.append(self.now)
+            recent_withdrawals.append(self.now)
             views = [view[i] for view in self.view if view[i][0] > LONG_AGO]
-            said = "; ".join(f"{slow:.1f} x usual, {erred:.0%} erred" for _, slow, erred in views)
-            self.orders.append(face.Log(f"withdrawn {self.ids[i].hex()}, {out} were out: {said}"))
+            summary = "; ".join(
+                f"{slowness:.1f} x usual, {error_share:.0%} erred" for _, slowness, error_share in views
+            )
+            self.orders.append(face.Log(f"withdrawn {self.ids[i].hex()}, {out_count} were out: {summary}"))
 
     def _complaint_counts(self, zone: int, i: int) -> bool:
-        # Guards against a server that answers next to nothing and holds what it takes until clients give
-        # up: it needs less patience than a late one. Not under strain, when weak servers look dead.
+        """Whether a zone's complaint of a server is old enough and has not expired."""
+        # Guards against a server that answers almost nothing and holds its requests until clients time out: its
+        # complaints count earlier than those of a slow one. Not under strain, when weak servers look dead.
         dead = self.view[zone][i][2] >= DEAD_ERROR_SHARE and self.tries != face.NO_TRY
-        since, lapsed = self.complaint_since[zone][i], self.complaint_renewed[zone][i] < self.now - COMPLAINT_EXPIRY_S
-        return since is not None and not lapsed and self.now - since >= COMPLAINT_MIN_AGE_S * (1 / 2 if dead else 1)
+        since, expired = self.complaint_since[zone][i], self.complaint_renewed[zone][i] < self.now - COMPLAINT_EXPIRY_S
+        return since is not None and not expired and self.now - since >= COMPLAINT_MIN_AGE_S * (1 / 2 if dead else 1)
 
     def _solve(self) -> None:
-        """The companion: each weight one step toward equal latency."""
-        # Guards against a server that keeps or draws work by failing: an errored try adds a whole objective.
-        # It also turns work from a weak server whose answers come too late.
-        enough = {i: row for i, row in enumerate(self.solve_sample) if row[0] >= MIN_TRIES and row[2] > 0}
-        latency = {i: took / max(1.0, good) for i, (_, good, took) in enough.items()}
-        for row in [*self.solve_sample, *self.part_sample.values()]:
-            row[:] = [part * RETENTION_PER_SOLVE for part in row]
-        open_ones = [i for i in latency if self.state[i] == face.READY and self.out_at[i] is None]
-        usual = median([latency[i] for i in open_ones])
-        for i in open_ones:
-            step = min(1 + MAX_SOLVE_STEP, max(1 - MAX_SOLVE_STEP, (usual / latency[i]) ** SOLVE_EXPONENT))
+        """Moves each factor one step toward equal latency of all servers."""
+        # Guards against a server that keeps or attracts work by failing fast: an errored try counts with the full
+        # latency objective. It also moves work away from a weak server whose answers exceed the objective.
+        samples = {i: sample for i, sample in enumerate(self.solve_sample) if sample[0] >= MIN_TRIES and sample[2] > 0}
+        latency = {i: total_time / max(1.0, succeeded) for i, (_, succeeded, total_time) in samples.items()}
+        for sample in [*self.solve_sample, *self.part_sample.values()]:
+            sample[:] = [value * RETENTION_PER_SOLVE for value in sample]
+        in_service = [i for i in latency if self.state[i] == face.READY and self.out_at[i] is None]
+        median_latency = median([latency[i] for i in in_service])
+        for i in in_service:
+            step = min(1 + MAX_SOLVE_STEP, max(1 - MAX_SOLVE_STEP, (median_latency / latency[i]) ** SOLVE_EXPONENT))
             self.factor[i] = min(MAX_FACTOR, max(MIN_FACTOR, self.factor[i] ** (1 - self.factor_decay) * step))
 
     def _control_admission(self) -> None:
-        """Guards against a fleet that is asked for more than it can do, or is jammed by what it repeats. The
-        median server's good answers tell, so that single sick servers, and tries that fail at once, move
-        nothing. Harm: a slow thing behind all that would pass by itself."""
-        took = weighted_median([(total / good, good) for _, good, total in self.strain_sample if good])
-        tries, good = sum(row[0] for row in self.strain_sample), sum(row[1] for row in self.strain_sample)
-        # Guards against levels cut since proxies have joined whose tries no report tells of yet.
-        known = [r for proxy, r in self.rate.items() if self.joined_at[proxy] <= self.strain_since - VIEW_WINDOW_S]
-        span, come = self.now - self.strain_since, max(1.0, sum(known))
+        """Evaluates strain and sets the tries and the admitted share.
+
+        Guards against a fleet with more demand than capacity, or one that is overloaded by its own repeats. The
+        latency of succeeded tries at the median server decides, so that single sick servers, and tries that fail at
+        once, change nothing. Harm: it also cuts for a slow dependency of all servers that would recover by itself.
+        """
+        latency = weighted_median(
+            [(total_time / succeeded, succeeded) for _, succeeded, total_time in self.strain_sample if succeeded]
+        )
+        tries, succeeded = (
+            sum(sample[0] for sample in self.strain_sample),
+            sum(sample[1] for sample in self.strain_sample),
+        )
+        # Guards against cut levels due to proxies that have just joined and whose tries no report includes yet.
+        known_rates = [
+            rate for proxy, rate in self.rate.items() if self.joined_at[proxy] <= self.strain_since - VIEW_WINDOW_S
+        ]
+        elapsed, arrival_rate = self.now - self.strain_since, max(1.0, sum(known_rates))
         self._reset_strain_sample()
         if not tries:
-            return  # silence is neither strain nor ease
+            return  # no reports: neither strain nor recovery
         objective = self._mean_objective()
-        took = objective if took is None else took
-        # Work that takes long when nobody waits is no strain: what the fleet takes at its best counts too.
-        pressure = took / min(
+        latency = objective if latency is None else latency
+        # Work that takes long without queueing is no strain: the lowest latency of the fleet raises the threshold.
+        pressure = latency / min(
             2 * STRAIN_THRESHOLD * objective, max(STRAIN_THRESHOLD * objective, ELEVATED_LATENCY_RATIO * self.floor)
         )
-        busy, eased = median([share for share in self.utilisation if share is not None]), RECOVERY_THRESHOLD
+        utilisation, recovery = median([share for share in self.utilisation if share is not None]), RECOVERY_THRESHOLD
         if pressure <= 1:
-            self.floor = min(took, self.floor / DECAY_PER_EVALUATION)
-        if busy is not None:  # late answers from servers with cores to spare are not for want of servers
-            pressure, eased = min(pressure, busy / BUSY_UTILISATION), 1.0
-        # The best that a unit of weight was seen to answer tells what a cold one bears, also in a jam.
-        full = self._full_weight()
-        self.best_unit_rate = max(self.best_unit_rate * DECAY_PER_EVALUATION, good / span / (full or 1.0))
-        self.answerable_share = min(1.0, self.best_unit_rate * full * span / (2 * tries - good))
+            self.floor = min(latency, self.floor / DECAY_PER_EVALUATION)
+        # High latency of servers with idle cores is not for lack of servers.
+        if utilisation is not None:
+            pressure, recovery = min(pressure, utilisation / BUSY_UTILISATION), 1.0
+        # The best observed rate per unit of weight gives what a cold server can bear, also in an overload.
+        full_weight = self._full_weight()
+        self.best_unit_rate = max(
+            self.best_unit_rate * DECAY_PER_EVALUATION, succeeded / elapsed / (full_weight or 1.0)
+        )
+        self.answerable_share = min(1.0, self.best_unit_rate * full_weight * elapsed / (2 * tries - succeeded))
         if self.levels_pending:
             return
         if pressure > 1:
-            # Cutting tries is known not to help where hardly any are made beyond the first.
-            spare = self.tries != face.NO_TRY and tries / span > (1 + RETRY_ALLOWANCE) * come
+            # Cutting tries does not help where hardly any are made beyond the first.
+            retries_to_cut = self.tries != face.NO_TRY and tries / elapsed > (1 + RETRY_ALLOWANCE) * arrival_rate
             self.tries = face.NO_TRY
-            if not spare and self.level_form != "off":
-                # What a strained fleet answers is what it can do: let in a little less, in few large steps.
-                # What comes is known by reports of other moments: a slight strain goes by its own look alone.
-                slight = self.let_in * good / tries / pressure**2
-                bearable = ADMITTED_PER_ANSWERED * max(good / span / come, slight)
-                self.let_in = min(self.let_in, max(self.let_in * ADMISSION_CUT_FACTOR, bearable, MIN_ADMITTED_SHARE))
-        elif pressure < eased and self.let_in < 1:
-            self.let_in = min(1.0, self.let_in * eased / max(pressure, eased / ADMISSION_RISE_FACTOR))
-        elif pressure < eased:
+            if not retries_to_cut and self.level_form != "off":
+                # What a strained fleet answers is its capacity: admit a little less, in few large steps. The arrival
+                # rate is from reports of other moments, so a slight strain is measured by this sample alone.
+                by_sample = self.let_in * succeeded / tries / pressure**2
+                sustainable = ADMITTED_PER_ANSWERED * max(succeeded / elapsed / arrival_rate, by_sample)
+                self.let_in = min(self.let_in, max(self.let_in * ADMISSION_CUT_FACTOR, sustainable, MIN_ADMITTED_SHARE))
+        elif pressure < recovery and self.let_in < 1:
+            self.let_in = min(1.0, self.let_in * recovery / max(pressure, recovery / ADMISSION_RISE_FACTOR))
+        elif pressure < recovery:
             self.tries = face.ONE_AFTER_PROOF
-        # Only now: levels that follow every swing of demand would be under way for ever, and never judged.
+        # Only here: levels that followed every swing of demand would always be pending and never be evaluated.
         self.target_levels = self._target_levels()
 
     def _full_weight(self) -> float:
+        """The weight of all ready servers, without slow start."""
         return sum(self.listed_weight[i] * self.factor[i] for servers in self._ready_by_part() for i in servers)
 
     def _reset_strain_sample(self) -> None:
+        """Starts a new strain sample and puts the next evaluation of strain one interval from now."""
         self.strain_sample[:] = [[0.0, 0.0, 0.0] for _ in self.ids]
         self.strain_since = self.now
         self.next_control = self.now + self.control_interval
 
     def _target_levels(self) -> list[tuple[float, int]]:
+        """The level and tries of each operation that give the admitted share; low-value operations are cut first."""
         rates = [sorted(rates[k] for rates in self.demand.values()) for k in range(len(self.low_value))]
-        come = sum(map(sum, rates))
-        cheap = sum(sum(rates[k]) for k, is_cheap in enumerate(self.low_value) if is_cheap) or 1.0
-        cheap_part = max(MIN_ADMITTED_SHARE, 1 - (1 - self.let_in) * come / cheap)
-        dear_part = max(MIN_ADMITTED_SHARE, (self.let_in * come - cheap_part * cheap) / (come - cheap or 1.0))
-        valves = []
-        for k, part in enumerate(cheap_part if is_cheap else dear_part for is_cheap in self.low_value):
-            level = part if self.level_form == "share" else fair_rate(rates[k], part)
-            valves.append((level if self.let_in < 1 and part < 1 else self.unlimited_level, self.tries))
-        return valves
+        total = sum(map(sum, rates))
+        low_value_rate = sum(sum(rates[k]) for k, is_low in enumerate(self.low_value) if is_low) or 1.0
+        low_value_share = max(MIN_ADMITTED_SHARE, 1 - (1 - self.let_in) * total / low_value_rate)
+        high_value_share = max(
+            MIN_ADMITTED_SHARE,
+            (self.let_in * total - low_value_share * low_value_rate) / (total - low_value_rate or 1.0),
+        )
+        levels = []
+        for k, share in enumerate(low_value_share if is_low else high_value_share for is_low in self.low_value):
+            level = share if self.level_form == "share" else fair_rate(rates[k], share)
+            levels.append((level if self.let_in < 1 and share < 1 else self.unlimited_level, self.tries))
+        return levels
+
+    # ---- target state ----
 
     def _target_weights(self) -> list[float]:
-        """The weight that each server's line should have now; 0 for no line."""
-        wanted = [0.0] * len(self.ids)
-        members = self._ready_by_part()
-        ready = [i for servers in members for i in servers]
-        entry = sum(self.listed_weight[i] for i in ready) / max(1, len(ready)) * ENTRY_WEIGHT_SHARE
-        full, brought = self._full_weight(), [0.0] * len(members)
+        """The weight that the line of each server should have now; 0 for no line. Also sets `bearable_share`."""
+        weights = [0.0] * len(self.ids)
+        by_part = self._ready_by_part()
+        ready = [i for servers in by_part for i in servers]
+        entry_weight = sum(self.listed_weight[i] for i in ready) / max(1, len(ready)) * ENTRY_WEIGHT_SHARE
+        full_weight, part_rate = self._full_weight(), [0.0] * len(by_part)
         for proxy, part in self.target_part.items():
-            brought[part] += self.rate[proxy]
-        for part, servers in enumerate(members):
+            part_rate[part] += self.rate[proxy]
+        for part, servers in enumerate(by_part):
             steps = {i: min(99.0, (self.now - self.entered[i]) // ENTRY_STEP_S) for i in servers}
-            settled = sum(self.listed_weight[i] for i in servers if steps[i] >= ENTRY_STEPS and self.out_at[i] is None)
-            entering = settled < sum(self.listed_weight[i] for i in servers) / 2
+            settled_weight = sum(
+                self.listed_weight[i] for i in servers if steps[i] >= ENTRY_STEPS and self.out_at[i] is None
+            )
+            entering = settled_weight < sum(self.listed_weight[i] for i in servers) / 2
             for i in servers:
-                wanted[i] = self.listed_weight[i] * self.factor[i]
-                # Steps presume others that carry the rest. With most of the part still entering they would
-                # push over the few that are in, so then only what a cold one is sure to bear holds it back.
+                weights[i] = self.listed_weight[i] * self.factor[i]
+                # Entry steps assume that other servers carry the rest. While most of the part is still entering they
+                # would overload the few that are in service, so then only the limit of a cold server applies.
                 if not entering:
-                    wanted[i] = min(wanted[i], entry * 2 ** steps[i])
-            # Guards against queues at a server that is half warm: no more than it is sure to do by now.
-            cold, self.bearable_share[part] = {}, 0.0
+                    weights[i] = min(weights[i], entry_weight * 2 ** steps[i])
+            # Guards against queues at a server that is half warm: no more weight than it can certainly serve by now.
+            cold_limit, self.bearable_share[part] = {}, 0.0
             for i in servers:
                 age = (self.now - self.started[i]) // ENTRY_STEP_S * ENTRY_STEP_S
                 if age < self.warm_within:
-                    grown = self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.warm_within
-                    wanted[i] = min(wanted[i], self.listed_weight[i] * grown)
-                    bears = (
-                        grown
+                    warmth = self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.warm_within
+                    weights[i] = min(weights[i], self.listed_weight[i] * warmth)
+                    bearable = (
+                        warmth
                         * self.slow_start_limit
                         * self.answerable_share
                         * self.listed_weight[i]
                         * self.factor[i]
-                        / full
+                        / full_weight
                     )
-                    self.bearable_share[part] += bears
-                    share = bears * (sum(brought) / brought[part] if brought[part] else len(brought))
-                    # Guards against a cold server that alone answers: of two drawn, proxies take the one with
-                    # less out, so among servers that hold what they take it gets what either draw brings.
-                    cold[i] = 1 - max(0.0, 1 - share) ** 0.5 if self.picks_of_two else share
-            # Guards against pushing a cold server over: however much comes, its share of all tries stays
-            # within what it bears; warm ones do not fall. Harm: in a deep overload it idles.
-            warm = sum(wanted[i] for i in servers if i not in cold and self.out_at[i] is None)
-            self.bearable_share[part] = float("inf") if warm else self.bearable_share[part]
-            if warm and sum(cold.values()) < 1:
-                for i, share in cold.items():
-                    wanted[i] = min(wanted[i], share * warm / (1 - sum(cold.values())))
-        return wanted
+                    self.bearable_share[part] += bearable
+                    share = bearable * (sum(part_rate) / part_rate[part] if part_rate[part] else len(part_rate))
+                    # Guards against a cold server that alone answers. Of two candidates a proxy picks the one with
+                    # fewer open requests, so among servers that do not answer it gets the requests of both draws.
+                    cold_limit[i] = 1 - max(0.0, 1 - share) ** 0.5 if self.picks_of_two else share
+            # Guards against overloading a cold server: whatever the demand, its share of all tries stays within what
+            # it can bear, while warm servers do not fail. Harm: in a deep overload it is underused.
+            warm_weight = sum(weights[i] for i in servers if i not in cold_limit and self.out_at[i] is None)
+            self.bearable_share[part] = float("inf") if warm_weight else self.bearable_share[part]
+            if warm_weight and sum(cold_limit.values()) < 1:
+                for i, share in cold_limit.items():
+                    weights[i] = min(weights[i], share * warm_weight / (1 - sum(cold_limit.values())))
+        return weights
 
     def _target_withdrawals(self) -> list[bool]:
-        out = [at is not None and self.state[i] == face.READY for i, at in enumerate(self.out_at)]
-        # Guards against a part without a server: with no other warm one, nobody is withdrawn for health.
-        safe = {self.part[i] for i in range(len(out)) if self._warm(i) and not out[i]}
-        return [shut and self.part[i] in safe for i, shut in enumerate(out)]
-
-    def _assign_parts(self, lines: list[float], out: list[bool]) -> None:
-        """Which part each proxy should hold. Guards against a part asked for more than it does, or empty."""
-        weight = self.part_weight = [0.0] * len(self.part_zone)
-        for i, line in enumerate(lines):
-            weight[self.part[i]] += 0.0 if out[i] else line
-        lost = {p for p in self.proxy_zone if p not in self.target_part or not weight[self.target_part[p]]}
-        rate, come = self.rate, sum(self.rate.values())
-        # Guards against pushing over a part of cold servers alone: what they do not bear leaves at once.
-        left = {part: most * come for part, most in self.bearable_share.items() if most < float("inf")}
+        """Whether each server should be withdrawn now."""
+        withdrawn = [at is not None and self.state[i] == face.READY for i, at in enumerate(self.out_at)]
+        # Guards against a part without a usable server: without another warm one, no server is withdrawn for health.
+        parts_with_warm = {self.part[i] for i in range(len(withdrawn)) if self._warm(i) and not withdrawn[i]}
+        return [is_withdrawn and self.part[i] in parts_with_warm for i, is_withdrawn in enumerate(withdrawn)]
+
+    def _assign_parts(self, weights: list[float], withdrawn: list[bool]) -> None:
+        """Decides which part each proxy should hold. Guards against overloaded parts and parts without a server."""
+        part_weight = self.part_weight = [0.0] * len(self.part_zone)
+        for i, weight in enumerate(weights):
+            part_weight[self.part[i]] += 0.0 if withdrawn[i] else weight
+        unplaced = {p for p in self.proxy_zone if p not in self.target_part or not part_weight[self.target_part[p]]}
+        rate, total_rate = self.rate, sum(self.rate.values())
+        # Guards against overloading a part of cold servers alone: proxies beyond what it can bear leave at once.
+        remaining = {part: share * total_rate for part, share in self.bearable_share.items() if share < float("inf")}
         self.displaced = set()
-        bearing = (p for p, part in self.target_part.items() if part in left and p not in lost)
-        for proxy in sorted(bearing, key=lambda p: (rate[p], p)):
-            left[self.target_part[proxy]] -= rate[proxy]
-            if left[self.target_part[proxy]] < 0:
+        in_cold_parts = (p for p, part in self.target_part.items() if part in remaining and p not in unplaced)
+        for proxy in sorted(in_cold_parts, key=lambda p: (rate[p], p)):
+            remaining[self.target_part[proxy]] -= rate[proxy]
+            if remaining[self.target_part[proxy]] < 0:
                 self.displaced.add(proxy)
-        lost |= self.displaced
-        even = self.now >= self.next_rebalance and not self.unanswered and len(weight) > 1
-        if not any(weight) or not (lost or even):
+        unplaced |= self.displaced
+        rebalance = self.now >= self.next_rebalance and not self.unanswered and len(part_weight) > 1
+        if not any(part_weight) or not (unplaced or rebalance):
             return
-        self.next_rebalance = self.now + self.evaluation_interval if even else self.next_rebalance
-        due = self._target_shares(weight, rate)
+        self.next_rebalance = self.now + self.evaluation_interval if rebalance else self.next_rebalance
+        target = self._target_shares(part_weight, rate)
         for zone in sorted(set(self.proxy_zone.values())):
-            mine = sorted((p for p, home in self.proxy_zone.items() if home == zone), key=lambda p: (-rate[p], p))
-            over = [-each for each in due[zone]]
-            for proxy in set(mine) - lost:
-                over[self.target_part[proxy]] += rate[proxy]
-            for proxy in mine:
-                giver = self.target_part.get(proxy)
-                if proxy in lost:
-                    filled = (p for p, w in enumerate(weight) if w)
-                    taker = min(filled, key=lambda p: over[p] / (due[zone][p] or 1.0))
+            zone_proxies = sorted(
+                (p for p, proxy_zone in self.proxy_zone.items() if proxy_zone == zone), key=lambda p: (-rate[p], p)
+            )
+            excess = [-each for each in target[zone]]
+            for proxy in set(zone_proxies) - unplaced:
+                excess[self.target_part[proxy]] += rate[proxy]
+            for proxy in zone_proxies:
+                source = self.target_part.get(proxy)
+                if proxy in unplaced:
+                    non_empty = (p for p, w in enumerate(part_weight) if w)
+                    destination = min(non_empty, key=lambda p: excess[p] / (target[zone][p] or 1.0))
                 else:
-                    if not even or rate[proxy] > over[giver] or over[giver] <= IMBALANCE_TOLERANCE * due[zone][giver]:
+                    if (
+                        not rebalance
+                        or rate[proxy] > excess[source]
+                        or excess[source] <= IMBALANCE_TOLERANCE * target[zone][source]
+                    ):
                         continue
-                    taker = over.index(min(over))
-                    # Guards against a part that keeps the busiest proxies since no other lacks as much as one
-                    # brings: far over its due, it gives one to a part that ends less than half as far over.
-                    far = over[giver] / (due[zone][giver] or 1.0)
-                    ends = (over[taker] + rate[proxy]) / (due[zone][taker] or 1.0)
-                    if ends > 0 and (far <= REMAINING_WEIGHT_THRESHOLD or ends >= REMAINING_WEIGHT_THRESHOLD * far):
+                    destination = excess.index(min(excess))
+                    # Guards against a part that keeps the busiest proxies because no other part lacks as much as one
+                    # of them brings: far over its target, it gives one to a part that ends less than half as far over.
+                    source_excess = excess[source] / (target[zone][source] or 1.0)
+                    destination_excess = (excess[destination] + rate[proxy]) / (target[zone][destination] or 1.0)
+                    if destination_excess > 0 and (
+                        source_excess <= REMAINING_WEIGHT_THRESHOLD
+                        or destination_excess >= REMAINING_WEIGHT_THRESHOLD * source_excess
+                    ):
                         continue
-                    over[giver] -= rate[proxy]
-                self.target_part[proxy] = taker
-                over[taker] += rate[proxy]
+                    excess[source] -= rate[proxy]
+                self.target_part[proxy] = destination
+                excess[destination] += rate[proxy]
 
     def _part_quality(self, zone: int) -> list[float]:
-        """How well each part answers a zone, up to 1; what is not heard of counts as well again. Guards
-        against one that a zone reaches badly: a building lost before the list tells, a sick way, trouble of
-        our own."""
+        """How well each part answers a zone, up to 1; a part with few reports moves toward 1.
+
+        Guards against a part that a zone reaches badly: a building lost before the list shows it, a faulty network
+        path, a fault of the proxies' own zone.
+        """
         rows = [self.part_sample[zone, part] for part in range(len(self.part_zone))]
-        best = min((took / good for _, good, took in rows if good >= MIN_TRIES), default=0.0)
+        best = min((total_time / succeeded for _, succeeded, total_time in rows if succeeded >= MIN_TRIES), default=0.0)
         if not best:
             return [1.0 for _ in rows]
-        costs = [(took + MIN_TRIES * best) / (good + MIN_TRIES) for _, good, took in rows]
+        costs = [(total_time + MIN_TRIES * best) / (succeeded + MIN_TRIES) for _, succeeded, total_time in rows]
         return [min(1.0, ELEVATED_LATENCY_RATIO * best / cost) ** 2 for cost in costs]
 
     def _target_shares(self, weight: list[float], rate: dict[int, float]) -> list[list[float]]:
-        """What each zone's proxies should bring to each part: in all as the parts weigh, near ones first. A
-        zone that none of the own proxies is in is taken to bring what is usual to its own servers."""
+        """The arrivals per second that the proxies of each zone should bring to each part, by zone and part.
+
+        In total they are proportional to the weight of the parts, with parts of the own zone preferred. A zone without
+        a proxy of this supervisor is assumed to bring the usual rate per weight to its own servers.
+        """
         zones = range(len(self.reports))
-        come = [sum(each for proxy, each in rate.items() if self.proxy_zone[proxy] == zone) for zone in zones]
-        held = [sum(w for w, at in zip(weight, self.part_zone, strict=True) if at == zone) for zone in zones]
-        usual = sum(come) / (sum(h for h, c in zip(held, come, strict=True) if c) or 1.0)
-        come = [each or usual * held[zone] for zone, each in enumerate(come)]
-        near = [[OWN_ZONE_PREFERENCE if place == zone else 1.0 for place in self.part_zone] for zone in zones]
-        rows = [zip(weight, near[zone], self._part_quality(zone), strict=True) for zone in zones]
-        pull = [[w * n * answers for w, n, answers in row] for row in rows]
+        arrivals = [sum(each for proxy, each in rate.items() if self.proxy_zone[proxy] == zone) for zone in zones]
+        zone_weight = [
+            sum(w for w, part_zone in zip(weight, self.part_zone, strict=True) if part_zone == zone) for zone in zones
+        ]
+        rate_per_weight = sum(arrivals) / (
+            sum(weight_here for weight_here, arrivals_here in zip(zone_weight, arrivals, strict=True) if arrivals_here)
+            or 1.0
+        )
+        arrivals = [each or rate_per_weight * zone_weight[zone] for zone, each in enumerate(arrivals)]
+        preference = [
+            [OWN_ZONE_PREFERENCE if part_zone == zone else 1.0 for part_zone in self.part_zone] for zone in zones
+        ]
+        factors = [zip(weight, preference[zone], self._part_quality(zone), strict=True) for zone in zones]
+        attraction = [[w * near * quality for w, near, quality in row] for row in factors]
         for _ in range(BALANCING_ROUNDS):
-            due = [[come[zone] * each / sum(row) for each in row] for zone, row in enumerate(pull)]
-            brought = [sum(column) or 1.0 for column in zip(*due, strict=True)]
-            fair = [w / sum(weight) * sum(brought) / b for w, b in zip(weight, brought, strict=True)]
-            pull = [[each * f for each, f in zip(row, fair, strict=True)] for row in pull]
-        return [[min(each, come[zone] * self.bearable_share[p]) for p, each in enumerate(due[zone])] for zone in zones]
-
-    def _reconcile(self, lines: list[float], out: list[bool]) -> None:
+            target = [[arrivals[zone] * each / sum(row) for each in row] for zone, row in enumerate(attraction)]
+            part_total = [sum(column) or 1.0 for column in zip(*target, strict=True)]
+            correction = [
+                w / sum(weight) * sum(part_total) / total for w, total in zip(weight, part_total, strict=True)
+            ]
+            attraction = [[each * factor for each, factor in zip(row, correction, strict=True)] for row in attraction]
+        return [
+            [min(each, arrivals[zone] * self.bearable_share[p]) for p, each in enumerate(target[zone])]
+            for zone in zones
+        ]
+
+    # ---- orders ----
+
+    def _reconcile(self, weights: list[float], withdrawals: list[bool]) -> None:
+        """Appends the orders that lead from the present state to the target state, as far as the caps allow."""
         while self.channel and self.now - self.channel[0][2] > self.patience:
-            self.channel.popleft()  # a lost answer must not stall the rest
-            kept = {mark for mark, _, _ in self.channel}
-            self.unanswered = {p: mark for p, mark in self.unanswered.items() if mark in kept}
+            self.channel.popleft()  # a lost answer must not block later rounds
+            pending_marks = {mark for mark, _, _ in self.channel}
+            self.unanswered = {p: mark for p, mark in self.unanswered.items() if mark in pending_marks}
         urgent, ordinary = [], []
-        for i, weight in enumerate(lines):
+        for i, weight in enumerate(weights):
             part, present = self.part[i], self.line[i]
-            line = (part, face.SetLine(self.ids[i], weight, part))
+            order = (part, face.SetLine(self.ids[i], weight, part))
             restarted = self.entered[i] == self.now or self.now - self.started[i] < self.warm_within
             if present and (not weight or (restarted and weight < present * (1 - MAX_SOLVE_STEP))):
-                urgent.append((weight, *line))
+                urgent.append((weight, *order))
             elif weight and (not present or abs(weight - present) >= MIN_RELATIVE_CHANGE * present):
-                ordinary.append((-abs(weight - present) / (weight + present), *line))  # the largest first
-            if out[i] != self.withdrawn[i]:
-                ordinary.append((-1.0, part if present else NO_PART, face.Withdraw(out[i], self.ids[i])))
-        stays = [0.0] * len(self.part_zone)
-        for part, line, present, gone in zip(self.part, lines, self.line, out, strict=True):
-            stays[part] += 0.0 if gone else min(line, present)
+                ordinary.append((-abs(weight - present) / (weight + present), *order))  # the largest first
+            if withdrawals[i] != self.withdrawn[i]:
+                ordinary.append((-1.0, part if present else NO_PART, face.Withdraw(withdrawals[i], self.ids[i])))
+        remaining = [0.0] * len(self.part_zone)
+        for part, weight, present, withdrawn in zip(self.part, weights, self.line, withdrawals, strict=True):
+            remaining[part] += 0.0 if withdrawn else min(weight, present)
         for part in {part for weight, part, _ in urgent if not weight}:
-            if stays[part] <= self.part_weight[part] * REMAINING_WEIGHT_THRESHOLD:
-                # Guards against a moment without a server, and against cold ones left with the part of the
-                # warm ones that end: what replaces most of a table goes with its end.
+            if remaining[part] <= self.part_weight[part] * REMAINING_WEIGHT_THRESHOLD:
+                # Guards against a moment without a server, and against cold servers that inherit the share of warm
+                # ones that leave: what replaces most of a table goes out together with the removals.
                 urgent = [row for row in ordinary if row[1] == part] + urgent
                 ordinary = [row for row in ordinary if row[1] != part]
         for k, (level, tries) in enumerate(self.target_levels):
             for part in range(len(self.part_zone)):
-                present, how = self.current_levels.get((part, k), (0.0, None))
-                if how != tries or abs(level - present) >= MIN_RELATIVE_CHANGE * present:
+                present, present_tries = self.current_levels.get((part, k), (0.0, None))
+                if present_tries != tries or abs(level - present) >= MIN_RELATIVE_CHANGE * present:
                     ordinary.append((-1.0, part, face.SetLevel(part, level, 1 << k, tries)))
-        users: dict[int, list[int]] = defaultdict(list)
+        holders: dict[int, list[int]] = defaultdict(list)
         for proxy in self.proxy_zone:
-            users[self.held_part.get(proxy)].append(proxy)  # under None those that hold tables of others
-        go, messages, free = [], {}, not self.unanswered
-        if self.now >= self.next_urgent and self._select_orders(urgent, users, messages, self.cap, 1.0, go):
+            holders[self.held_part.get(proxy)].append(proxy)  # None: those that hold tables of other supervisors
+        selected, messages, round_answered = [], {}, not self.unanswered
+        if self.now >= self.next_urgent and self._select_orders(urgent, holders, messages, self.cap, 1.0, selected):
             self.next_urgent = self.now + self.urgent_interval
-        rows = [row for row in ordinary if free or row[1] not in users]
-        self._select_orders(rows, users, messages, self.round_lines, ORDINARY_SHARE, go)
-        ours = [0] * len(self.part_zone)
-        for part, line, shut in zip(self.part, self.line, self.withdrawn, strict=True):
-            ours[part] += bool(line) + shut
+        rows = [row for row in ordinary if round_answered or row[1] not in holders]
+        self._select_orders(rows, holders, messages, self.round_lines, ORDINARY_SHARE, selected)
+        part_lines = [0] * len(self.part_zone)
+        for part, line, withdrawn in zip(self.part, self.line, self.withdrawn, strict=True):
+            part_lines[part] += bool(line) + withdrawn
         for proxy, part in self.target_part.items():
             held = self.held_part.get(proxy)
-            moves = held is not None and self.part_weight[held] and proxy not in self.displaced  # the rest must
-            if held == part or (moves and not free):
+            # Any other change of part is mandatory.
+            is_move = held is not None and self.part_weight[held] and proxy not in self.displaced
+            if held == part or (is_move and not round_answered):
                 continue
             size, share = (
-                1 + ours[part] + len(self.objectives) + self.message_overhead,
-                ORDINARY_SHARE if moves else 1.0,
+                1 + part_lines[part] + len(self.objectives) + self.message_overhead,
+                ORDINARY_SHARE if is_move else 1.0,
             )
             waiting = self._waiting() + sum(messages.values())
-            most = self.cap * (ORDINARY_SHARE if waiting and held is None else share)  # room for drains
-            if waiting + size > most or not self._may_message(proxy, share):
+            limit = self.cap * (ORDINARY_SHARE if waiting and held is None else share)  # reserves capacity for drains
+            if waiting + size > limit or not self._may_message(proxy, share):
                 continue
-            go.append(face.UseTable(0, part, proxy))
+            selected.append(face.UseTable(0, part, proxy))
             self.held_part[proxy] = part
             messages[proxy] = messages.get(proxy, 0) + size
         if messages:
             self.last_mark = self.last_mark % MAX_MARK + 1
-            go.append(face.Mark(False, self.last_mark))
-            self.levels_pending |= any(isinstance(order, face.SetLevel) for order in go)
+            selected.append(face.Mark(False, self.last_mark))
+            self.levels_pending |= any(isinstance(order, face.SetLevel) for order in selected)
             self.channel.append((self.last_mark, sum(messages.values()), self.now))
             for proxy in messages:
                 self.unanswered[proxy] = self.last_mark
                 self.sent_at[proxy].append(self.now)
-        self.orders += go
-
-    def _select_orders(self, rows: list, users: dict, messages: dict, most: float, share: float, go: list) -> bool:
-        """Takes the orders that fit, the least key first: so many lines, and this share of the caps."""
-        waiting, used, sent, may = self._waiting(), sum(messages.values()), False, {}
+        self.orders += selected
+
+    def _select_orders(
+        self, rows: list, holders: dict, messages: dict, max_lines: float, cap_share: float, selected: list
+    ) -> bool:
+        """Selects the orders that fit, the lowest key first, and records them as the present state.
+
+        `rows` are sort key, part and order; `holders` are the proxies of each part. `messages`, the lines of each
+        proxy's message, and `selected` are extended. They fit within `max_lines` and `cap_share` of the caps. Returns
+        whether any order was selected.
+        """
+        waiting, used, sent, may_write = self._waiting(), sum(messages.values()), False, {}
         for _, part, order in sorted(rows, key=lambda row: row[0]):
-            proxies = users.get(part, []) + users.get(None, []) * isinstance(order, face.Withdraw)
-            if part not in may:
-                may[part] = all(proxy in messages or self._may_message(proxy, share) for proxy in proxies)
-            more = sum(1 if proxy in messages else 1 + self.message_overhead for proxy in proxies)
-            first = not sent and share < 1  # one line a round goes even if it is more than a round's part
-            over = waiting + used + more > self.cap * share or (used + more > most and not first)
-            if more and (over or not may[part]):
+            proxies = holders.get(part, []) + holders.get(None, []) * isinstance(order, face.Withdraw)
+            if part not in may_write:
+                may_write[part] = all(proxy in messages or self._may_message(proxy, cap_share) for proxy in proxies)
+            cost = sum(1 if proxy in messages else 1 + self.message_overhead for proxy in proxies)
+            is_first = not sent and cap_share < 1  # one order per round goes out even if it exceeds the round's lines
+            over_cap = waiting + used + cost > self.cap * cap_share or (used + cost > max_lines and not is_first)
+            if cost and (over_cap or not may_write[part]):
                 continue
             for proxy in proxies:
                 messages[proxy] = messages.get(proxy, self.message_overhead) + 1
-            used, sent = used + more, True
-            go.append(order)  # an order that goes out is the present state from now on
+            used, sent = used + cost, True
+            selected.append(order)
             if isinstance(order, face.SetLine):
                 self.line[self.place[order.server]] = order.weight
             elif isinstance(order, face.Withdraw):
@@ -743,10 +863,12 @@
         return sent
 
     def _may_message(self, proxy: int, share: float) -> bool:
+        """Whether a proxy may be sent a message within this share of the message cap."""
         sent = self.sent_at[proxy]
         while sent and sent[0] <= self.now - self.message_span:
             sent.popleft()
         return not self.message_cap or len(sent) < self.message_cap * share - 1
 
     def _waiting(self) -> float:
+        """Lines of the messages under way in the channel."""
         return sum(lines for _, lines, _ in self.channel)
