--- a/driftshed/brain.py
+++ b/driftshed/brain.py
@@ -427,14 +427,14 @@
         self._discard_view(zone, i)
         while recent and recent[oldest := next(iter(recent))][0] <= self.now - VIEW_WINDOW_S:
             self._discard_view(zone, oldest)
-        self.median_slowness[zone].swap(None, slowness)
-        self.median_error_share[zone].swap(None, error_share)
+        self.median_slowness[zone].replace(None, slowness)
+        self.median_error_share[zone].replace(None, error_share)
         self.view[zone][i] = recent[i] = self.now, slowness, error_share
 
     def _discard_view(self, zone: int, i: int) -> None:
         _, slowness, error_share = self.recent_views[zone].pop(i, (None, None, None))
-        self.median_slowness[zone].swap(slowness, None)
-        self.median_error_share[zone].swap(error_share, None)
+        self.median_slowness[zone].replace(slowness, None)
+        self.median_error_share[zone].replace(error_share, None)
 
     def _hear_demand(self, demand: face.Demand) -> None:
         """Updates the arrival rates of a proxy and the mix of operations, both as moving averages."""
--- a/driftshed/figures.py
+++ b/driftshed/figures.py
@@ -1,10 +1,13 @@
-"""Plain arithmetic on figures; it decides nothing and knows nothing of servers."""
+"""Medians and fair shares of plain numbers; independent of servers and proxies."""
 
 from bisect import bisect_left, insort
 
 
 def weighted_median(pairs: list[tuple[float, float]]) -> float | None:
-    """The value at which half of the weight is reached; None without weight."""
+    """The value at which half of the total weight is reached; None without a positive weight.
+
+    `pairs` are value and weight; pairs without a positive weight are ignored.
+    """
     pairs = sorted(pair for pair in pairs if pair[1] > 0)
     half = sum(weight for _, weight in pairs) / 2
     for value, weight in pairs:
@@ -15,29 +18,35 @@
 
 
 def median(values: list[float]) -> float | None:
+    """The median, which is always one of the values: the lower of two middle ones; None without values."""
     return weighted_median([(value, 1.0) for value in values])
 
 
 class RunningMedian:
-    """The median of figures that come and go one by one; the same as `median` of those that are there."""
+    """The median of a changing set of numbers; equal to `median` of the present ones."""
 
     def __init__(self) -> None:
-        self.rising: list[float] = []
+        """An empty set."""
+        self.ascending: list[float] = []
 
-    def swap(self, old: float | None, new: float | None) -> None:
-        """Takes one out and puts one in; None stands for none."""
+    def replace(self, old: float | None, new: float | None) -> None:
+        """Removes `old` and adds `new`; None for either means no such step. `old` must be in the set."""
         if old is not None:
-            del self.rising[bisect_left(self.rising, old)]
+            del self.ascending[bisect_left(self.ascending, old)]
         if new is not None:
-            insort(self.rising, new)
+            insort(self.ascending, new)
 
     def value(self) -> float:
-        return self.rising[(len(self.rising) - 1) // 2]
+        """The median. IndexError on an empty set."""
+        return self.ascending[(len(self.ascending) - 1) // 2]
+
 
+def fair_rate(rates: list[float], share: float) -> float:
+    """The common cap at which the rates, each cut to it, add up to this share of their sum.
 
-def fair_rate(rates: list[float], part: float) -> float:
-    """The rate that lets this part of all in when none may have more; the rates come in rising order."""
-    left = part * sum(rates)
+    `rates` must be in ascending order. 0 without rates.
+    """
+    left = share * sum(rates)
     for k, rate in enumerate(rates):
         if rate * (len(rates) - k) >= left:
             return left / (len(rates) - k)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -46,7 +46,7 @@
     for _ in range(300):
         old = random.choice(there) if there and random.random() < 0.5 else None
         new = random.choice([random.random(), 0.5]) if old is None or random.random() < 0.6 else None
-        running.swap(old, new)
+        running.replace(old, new)
         if old is not None:
             there.remove(old)
         if new is not None:
