--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: start facts of an invented deployment, and a plain model of what orders bring about."""
+"""Shared by the tests: start facts of a made-up deployment and a simple model of the effect of orders."""
 
 from random import Random
 
@@ -26,57 +26,57 @@
 
 
 class World:
-    """One supervisor, proxies that do as told, and a channel with a pace of its own: plain, slow, no chance."""
+    """One supervisor, proxies that apply all orders, and a channel of limited rate; slow, simple and deterministic."""
 
     def __init__(self, servers: int = 9, proxies: int = 4, extra: str = "", seed: int = 1) -> None:
         self.facts = read_facts(FACTS + extra)
-        self.now, self.pace, self.answers = 100.0, self.facts.lines_per_second, True
+        self.now, self.channel_rate, self.proxies_answer = 100.0, self.facts.lines_per_second, True
         self.brain = Brain(self.facts, seed, self.now)
         self.random = Random(seed)
         self.tables: dict[int, dict[bytes, float]] = {}
-        self.holds: dict[int, int] = {}
-        self.out: set[bytes] = set()
-        self.bound: dict[int, float | None] = {}  # joined proxies: when they were put on the table
-        self.written: dict[int, list[float]] = {}
+        self.held_table: dict[int, int] = {}
+        self.withdrawn: set[bytes] = set()
+        self.assigned_at: dict[int, float | None] = {}  # joined proxies: when they were assigned a table
+        self.message_times: dict[int, list[float]] = {}
         self.queue: list[list] = []  # messages in the channel: lines left, proxy, mark
-        self.news: list = []
-        self.log: list = []
+        self.events: list = []
+        self.order_log: list = []
         self.states = {server(n): (face.READY, None) for n in range(servers)}
-        self.news.append(face.Listing(1, face.CACHED, tuple(self.entry(name) for name in self.states)))
-        self.news += [face.Joined(p % 2, True, p, 5.0) for p in range(proxies)]
-        self.turn()
+        self.events.append(face.Listing(1, face.CACHED, tuple(self.entry(name) for name in self.states)))
+        self.events += [face.Joined(p % 2, True, p, 5.0) for p in range(proxies)]
+        self.handle_events()
 
     def entry(self, name: bytes) -> face.Entry:
         state, started = self.states[name]
         return face.Entry(name, name[3] // 2 % 2, name[3] % 2, started, 0, state, 1.0)  # two zones, two kinds
 
-    def list(self, name: bytes, state: int, started: float | None = None) -> None:
+    def list_server(self, name: bytes, state: int, started: float | None = None) -> None:
         self.states[name] = (state, started)
-        self.news.append(face.Listing(1, face.DELTA, (self.entry(name),)))
+        self.events.append(face.Listing(1, face.DELTA, (self.entry(name),)))
 
-    def hear(self, name: bytes, latency: float | None = 0.1, errored: int = 0, tries: int = 10, zones=(0, 1)) -> None:
-        self.news += [face.Heard(errored, name, tries, 0.5, zone, latency, None) for zone in zones]
+    def report(self, name: bytes, latency: float | None = 0.1, errored: int = 0, tries: int = 10, zones=(0, 1)) -> None:
+        self.events += [face.Heard(errored, name, tries, 0.5, zone, latency, None) for zone in zones]
 
-    def turn(self) -> list:
-        """One batch: the module hears the news and its orders come to pass."""
-        for event in self.news:
+    def handle_events(self) -> list:
+        """Passes the waiting events to the module as one batch and applies its orders."""
+        for event in self.events:
             if isinstance(event, face.Joined):
-                self.bound[event.proxy], self.written[event.proxy] = None, []
+                self.assigned_at[event.proxy], self.message_times[event.proxy] = None, []
             elif isinstance(event, face.Left):
-                self.bound.pop(event.proxy, None)
-                self.holds.pop(event.proxy, None)
+                self.assigned_at.pop(event.proxy, None)
+                self.held_table.pop(event.proxy, None)
                 self.queue = [message for message in self.queue if message[1] != event.proxy]
-        news, self.news = self.news, []
-        orders = self.brain.handle(self.now, news)
-        lines = {proxy: 0 for proxy in self.bound}
+        events, self.events = self.events, []
+        orders = self.brain.handle(self.now, events)
+        lines = {proxy: 0 for proxy in self.assigned_at}
         for order in orders:
-            self.log.append((self.now, order))
+            self.order_log.append((self.now, order))
             if isinstance(order, face.UseTable):
-                self.bound[order.proxy], self.holds[order.proxy] = self.now, order.table
+                self.assigned_at[order.proxy], self.held_table[order.proxy] = self.now, order.table
                 table = self.tables.get(order.table, {})
-                lines[order.proxy] += 1 + len(table) + len(self.out & set(table)) + len(self.facts.operations)
+                lines[order.proxy] += 1 + len(table) + len(self.withdrawn & set(table)) + len(self.facts.operations)
             elif isinstance(order, face.SetLine | face.Withdraw | face.SetLevel):
-                for proxy, held in self.holds.items():
+                for proxy, held in self.held_table.items():
                     withdraws = isinstance(order, face.Withdraw)
                     lines[proxy] += order.server in self.tables[held] if withdraws else held == order.table
             if isinstance(order, face.SetLine):
@@ -84,47 +84,49 @@
                 if not order.weight:
                     del self.tables[order.table][order.server]
             elif isinstance(order, face.Withdraw):
-                (self.out.add if order.on else self.out.discard)(order.server)
+                (self.withdrawn.add if order.on else self.withdrawn.discard)(order.server)
         marks = [order.mark for order in orders if isinstance(order, face.Mark)]
         for proxy, count in lines.items():
             if count:
                 self.queue.append([count + self.facts.lines_per_message + len(marks), proxy, marks])
-                self.written[proxy].append(self.now)
+                self.message_times[proxy].append(self.now)
         return orders
 
-    def run(self, span: float, each=None, check=None, step: float = 0.25) -> None:
-        """Turns for a while; `each` adds news before every one, `check` looks after it."""
+    def run(self, span: float, before=None, check=None, step: float = 0.25) -> None:
+        """Handles batches for `span` seconds; `before` adds events before each batch, `check` runs after it."""
         for _ in range(round(span / step)):
             self.now += step
-            room = self.pace * step
-            while self.queue and room > 0:
-                used = min(room, self.queue[0][0])
-                room -= used
+            capacity = self.channel_rate * step
+            while self.queue and capacity > 0:
+                used = min(capacity, self.queue[0][0])
+                capacity -= used
                 self.queue[0][0] -= used
                 if self.queue[0][0] <= 0:
                     _, proxy, marks = self.queue.pop(0)
-                    if self.answers:
-                        self.news += [face.Applied(mark, proxy, step) for mark in marks]
-            if each:
-                each(self)
-            self.news.append(face.TimerDue(0))
-            self.turn()
+                    if self.proxies_answer:
+                        self.events += [face.Applied(mark, proxy, step) for mark in marks]
+            if before:
+                before(self)
+            self.events.append(face.TimerDue(0))
+            self.handle_events()
             if check:
                 check(self)
 
     @property
-    def table(self) -> dict[bytes, float]:
-        """All lines, whatever part of the table they are in."""
+    def lines(self) -> dict[bytes, float]:
+        """The weight of each line, of all parts of the table."""
         return {name: weight for table in self.tables.values() for name, weight in table.items()}
 
-    def sends(self, name: bytes) -> bool:
-        return name in self.table and name not in self.out
+    def is_usable(self, name: bytes) -> bool:
+        """Whether a server has a line and is not withdrawn."""
+        return name in self.lines and name not in self.withdrawn
 
-    def open_to(self, proxy: int) -> dict[bytes, float]:
-        table = self.tables.get(self.holds.get(proxy), {})
-        return {name: weight for name, weight in table.items() if name not in self.out}
+    def usable_lines(self, proxy: int) -> dict[bytes, float]:
+        """The lines of the proxy's table whose servers are not withdrawn."""
+        table = self.tables.get(self.held_table.get(proxy), {})
+        return {name: weight for name, weight in table.items() if name not in self.withdrawn}
 
-    def share(self, name: bytes) -> float:
-        """Of all that comes, when the same comes to every proxy."""
-        tables = [self.open_to(proxy) for proxy in self.holds]
+    def traffic_share(self, name: bytes) -> float:
+        """The share of all arrivals that a server gets, if arrivals are the same at every proxy."""
+        tables = [self.usable_lines(proxy) for proxy in self.held_table]
         return sum(table.get(name, 0.0) / sum(table.values()) for table in tables if table) / max(1, len(tables))
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""What the design page says of the ordinary path."""
+"""The ordinary path, as the design page (docs/design.md) describes it."""
 
 from driftshed import interface as face
 from driftshed.adapter.facts import read_facts
@@ -13,54 +13,54 @@
 from tests.helpers import FACTS, World, server
 
 
-def calm(world: World, sick=(), **symptom) -> None:
+def report_all(world: World, sick=(), **symptom) -> None:
     for name in [name for name, (state, _) in world.states.items() if state == face.READY]:
-        world.hear(name, **(symptom if name in sick else {}))
+        world.report(name, **(symptom if name in sick else {}))
 
 
 def withdrawals(world: World) -> list:
-    return [(at, order.server) for at, order in world.log if isinstance(order, face.Withdraw) and order.on]
+    return [(at, order.server) for at, order in world.order_log if isinstance(order, face.Withdraw) and order.on]
 
 
 def test_lasting_complaints_of_two_zones_withdraw_and_the_server_returns_in_steps():
     world, sick = World(), {server(3)}
-    world.run(4, calm)
-    world.run(COMPLAINT_MIN_AGE_S - 1, lambda w: calm(w, sick, errored=5))
-    assert world.sends(server(3))
-    world.run(3, lambda w: calm(w, sick, errored=5))
-    assert not world.sends(server(3))
-    world.run(WITHDRAWAL_DURATION_S - 3, calm)
-    assert not world.sends(server(3))
-    world.run(4, calm)
-    assert 0 < world.share(server(3)) <= 4 * ENTRY_WEIGHT_SHARE / 8
-    world.run(10, calm)
-    assert world.share(server(3)) > 0.05
+    world.run(4, report_all)
+    world.run(COMPLAINT_MIN_AGE_S - 1, lambda w: report_all(w, sick, errored=5))
+    assert world.is_usable(server(3))
+    world.run(3, lambda w: report_all(w, sick, errored=5))
+    assert not world.is_usable(server(3))
+    world.run(WITHDRAWAL_DURATION_S - 3, report_all)
+    assert not world.is_usable(server(3))
+    world.run(4, report_all)
+    assert 0 < world.traffic_share(server(3)) <= 4 * ENTRY_WEIGHT_SHARE / 8
+    world.run(10, report_all)
+    assert world.traffic_share(server(3)) > 0.05
 
 
 def test_a_server_that_answers_nothing_is_withdrawn_in_half_the_time():
     world = World()
-    world.run(4, calm)
-    world.run(COMPLAINT_MIN_AGE_S / 2 + 2, lambda w: calm(w, {server(3)}, errored=10, latency=None))
-    assert not world.sends(server(3))
+    world.run(4, report_all)
+    world.run(COMPLAINT_MIN_AGE_S / 2 + 2, lambda w: report_all(w, {server(3)}, errored=10, latency=None))
+    assert not world.is_usable(server(3))
 
 
 def test_one_zone_alone_never_withdraws_and_latency_counts_against_the_baseline():
     world = World()
-    world.run(4, calm)
-    world.run(20, lambda w: (calm(w), w.hear(server(1), errored=10, zones=(1,)))[0])
+    world.run(4, report_all)
+    world.run(20, lambda w: (report_all(w), w.report(server(1), errored=10, zones=(1,)))[0])
     assert not withdrawals(world)
-    world.run(10, lambda w: calm(w, {server(2)}, latency=0.95))
+    world.run(10, lambda w: report_all(w, {server(2)}, latency=0.95))
     assert [name for _, name in withdrawals(world)] == [server(2)]
 
 
-def test_caps_hold_when_many_fail_and_fleet_wide_trouble_names_nobody():
+def test_caps_hold_when_many_fail_and_a_fleet_wide_fault_withdraws_no_server():
     for servers, most in ((9, 2), (5, 1)):
         world, outs = World(servers=servers), []
         sick = {server(n) for n in range((servers - 1) // 2)}
         world.run(
             60,
-            lambda w, sick=sick: calm(w, sick, errored=10, latency=None),
-            lambda w, outs=outs: outs.append(len(w.out)),
+            lambda w, sick=sick: report_all(w, sick, errored=10, latency=None),
+            lambda w, outs=outs: outs.append(len(w.withdrawn)),
         )
         times = [at for at, _ in withdrawals(world)]
         assert max(outs) == most
@@ -69,35 +69,35 @@
         )
     for symptom in ({"errored": 10, "latency": None}, {"latency": 1.2}):
         world = World()
-        world.run(4, calm)
-        world.run(30, lambda w, symptom=symptom: calm(w, set(w.states), **symptom))
+        world.run(4, report_all)
+        world.run(30, lambda w, symptom=symptom: report_all(w, set(w.states), **symptom))
         assert not withdrawals(world)
 
 
 def test_weights_follow_latency_within_half_to_double_and_only_changes_are_sent():
     world = World(extra="weightSource=off\n")
-    world.run(60, lambda w: calm(w, {server(0)}, latency=0.15))
-    assert 0.5 <= world.table[server(0)] / world.table[server(1)] <= 0.6
-    lines = [order.server for _, order in world.log if isinstance(order, face.SetLine)]
+    world.run(60, lambda w: report_all(w, {server(0)}, latency=0.15))
+    assert 0.5 <= world.lines[server(0)] / world.lines[server(1)] <= 0.6
+    lines = [order.server for _, order in world.order_log if isinstance(order, face.SetLine)]
     assert lines.count(server(1)) == 1 and 4 <= lines.count(server(0)) <= 8
 
 
 def test_where_weights_are_listed_a_factor_rests_at_the_latency_ratio():
     world = World()
-    world.run(60, lambda w: calm(w, {server(0)}, latency=0.15))
-    assert 0.6 <= world.table[server(0)] / world.table[server(1)] <= 0.75
-    world.run(60, calm)
-    assert world.table[server(0)] / world.table[server(1)] > 0.9
+    world.run(60, lambda w: report_all(w, {server(0)}, latency=0.15))
+    assert 0.6 <= world.lines[server(0)] / world.lines[server(1)] <= 0.75
+    world.run(60, report_all)
+    assert world.lines[server(0)] / world.lines[server(1)] > 0.9
 
 
 def test_a_server_that_fails_fast_or_never_answers_loses_weight_in_the_solve():
     for symptom in ({"errored": 5, "latency": 0.01}, {"errored": 10, "latency": None}):
         world = World()
-        world.run(8, lambda w, symptom=symptom: calm(w, {server(0)}, **symptom))
-        assert world.table[server(0)] < 0.9 * world.table[server(1)]
+        world.run(8, lambda w, symptom=symptom: report_all(w, {server(0)}, **symptom))
+        assert world.lines[server(0)] < 0.9 * world.lines[server(1)]
 
 
-def test_a_list_with_nobody_ready_does_not_settle_the_parts():
+def test_a_list_without_a_ready_server_does_not_create_the_parts():
     facts = read_facts(FACTS + "domain.proxies=100\n")
     ready = tuple(face.Entry(server(n), n % 2, 0, None, 0, face.READY, 1.0) for n in range(60))
     draining = tuple(entry._replace(state=face.DRAINING) for entry in ready[:3])
@@ -108,7 +108,7 @@
         for now, listing in enumerate((*early, *later)):
             brain.handle(100.0 + now, [listing])
         parts.append(brain.part_zone)
-        # A proxy is not sent all 60 servers: its table is one part.
+        # A proxy does not receive all 60 servers: its table is one part.
         orders = brain.handle(105.0, [face.Joined(0, True, 0, 5.0)])
         part = next(order.table for order in orders if isinstance(order, face.UseTable))
         assert sum(brain.part[i] == part and brain.line[i] > 0 for i in range(len(brain.ids))) < 20
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -1,4 +1,4 @@
-"""The module forgets servers that are gone: its memory and its work a turn go by those that are there."""
+"""The module forgets servers that are gone: its memory and its work per batch depend on the present servers alone."""
 
 import gc
 import sys
@@ -15,24 +15,24 @@
 from tests.helpers import World, server
 from tests.test_rules import Judge
 
-FLEET, A_TURN, EVER = 40, 10, 20_000
-BYTES_EACH = 600  # of growth, for each server ever listed
+FLEET, REPLACED_PER_BATCH, EVER_LISTED = 40, 10, 20_000  # servers
+BYTES_PER_SERVER = 600  # of growth, for each server ever listed
 
 
 def size_of(brain: Brain) -> int:
-    """Bytes of all that an instance alone holds on to."""
+    """Bytes of all objects reachable from an instance, without classes, functions and modules."""
     seen, queue, total = {id(brain)}, [brain], 0
     while queue:
-        thing = queue.pop()
-        total += sys.getsizeof(thing)
-        for held in gc.get_referents(thing):
-            if id(held) not in seen and not isinstance(held, type | FunctionType | ModuleType):
-                seen.add(id(held))
-                queue.append(held)
+        item = queue.pop()
+        total += sys.getsizeof(item)
+        for referent in gc.get_referents(item):
+            if id(referent) not in seen and not isinstance(referent, type | FunctionType | ModuleType):
+                seen.add(id(referent))
+                queue.append(referent)
     return total
 
 
-def lines_of_a_turn(brain: Brain, now: float, events: list) -> int:
+def lines_of_a_batch(brain: Brain, now: float, events: list) -> int:
     counted = [0]
 
     def trace(frame, kind, _):
@@ -49,12 +49,12 @@
     return counted[0]
 
 
-class Replacing:
-    """A fleet whose oldest servers are replaced, turn by turn; each new one and each that left is reported."""
+class ReplacedFleet:
+    """A fleet whose oldest servers are replaced in each batch; reports come for each new one and each that has left."""
 
     def __init__(self) -> None:
         self.brain, self.now = Brain(make_facts(8), 1, 0.0), 0.0
-        self.alive, self.listed = deque(range(FLEET)), FLEET
+        self.alive, self.listed_count = deque(range(FLEET)), FLEET
         entries = tuple(self.entry(n, started=None) for n in self.alive)
         joins = [face.Joined(p % 2, True, p, 3.0) for p in range(8)]
         self.brain.handle(self.now, [face.Listing(1, face.CACHED, entries), *joins])
@@ -62,11 +62,11 @@
     def entry(self, n: int, state: int = face.READY, started: float | None = None) -> face.Entry:
         return face.Entry(name(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
 
-    def news(self) -> list:
+    def next_events(self) -> list:
         self.now += 0.5
-        gone = [self.alive.popleft() for _ in range(A_TURN)]
-        new = list(range(self.listed, self.listed + A_TURN))
-        self.listed += A_TURN
+        gone = [self.alive.popleft() for _ in range(REPLACED_PER_BATCH)]
+        new = list(range(self.listed_count, self.listed_count + REPLACED_PER_BATCH))
+        self.listed_count += REPLACED_PER_BATCH
         self.alive.extend(new)
         changes = [self.entry(n, face.GONE) for n in gone] + [self.entry(n, started=self.now - 1) for n in new]
         answers = [face.Applied(mark, proxy, 0.1) for proxy, mark in self.brain.unanswered.items()]
@@ -74,27 +74,27 @@
         return [face.TimerDue(0), *answers, face.Listing(2, face.DELTA, tuple(changes)), *reports]
 
     def run(self, until: int) -> int:
-        """Turns until so many servers were ever listed, and the lines that four more turns run."""
-        while self.listed < until:
-            self.brain.handle(self.now, self.news())
-        return sum(lines_of_a_turn(self.brain, self.now, self.news()) for _ in range(4))
+        """Handles batches until `until` servers were listed; returns the lines that four more batches run."""
+        while self.listed_count < until:
+            self.brain.handle(self.now, self.next_events())
+        return sum(lines_of_a_batch(self.brain, self.now, self.next_events()) for _ in range(4))
 
 
-def test_twenty_thousand_replacements_leave_memory_and_work_a_turn_as_they_were():
-    fleet = Replacing()
-    early, small = fleet.run(EVER // 20), size_of(fleet.brain)
-    late, large = fleet.run(EVER), size_of(fleet.brain)
-    assert (large - small) / (EVER - EVER // 20) < BYTES_EACH / 100, (small, large)
+def test_twenty_thousand_replacements_increase_neither_memory_nor_work_per_batch():
+    fleet = ReplacedFleet()
+    early, small = fleet.run(EVER_LISTED // 20), size_of(fleet.brain)
+    late, large = fleet.run(EVER_LISTED), size_of(fleet.brain)
+    assert (large - small) / (EVER_LISTED - EVER_LISTED // 20) < BYTES_PER_SERVER / 100, (small, large)
     assert late <= early * 1.1, (early, late)
-    assert len(fleet.brain.ids) <= 2 * FLEET + A_TURN
+    assert len(fleet.brain.ids) <= 2 * FLEET + REPLACED_PER_BATCH
 
 
-def test_a_place_taken_again_holds_nothing_of_the_former_server_and_hears_nothing_of_it():
-    fleet = Replacing()
+def test_a_reused_slot_holds_no_state_and_gets_no_reports_of_the_former_server():
+    fleet = ReplacedFleet()
     brain = fleet.brain
     fleet.run(4 * FLEET)
     former = name(0)
-    assert former not in brain.place and len(brain.ids) < fleet.listed
+    assert former not in brain.place and len(brain.ids) < fleet.listed_count
     before = [
         [list(row) for row in brain.solve_sample],
         [list(row) for row in brain.strain_sample],
@@ -105,81 +105,81 @@
     assert before == [brain.solve_sample, brain.strain_sample, brain.utilisation]
     assert counts == [[len(reports) for reports in zone] for zone in brain.reports]
     for server_id, i in brain.place.items():
-        assert brain.ids[i] == server_id  # nobody shares a place
+        assert brain.ids[i] == server_id  # each slot has one server
     assert len(set(brain.place.values())) == len(brain.place)
 
 
-def test_one_that_comes_back_soon_is_remembered_and_one_long_gone_begins_anew():
+def test_a_server_that_returns_soon_keeps_its_factor_and_one_long_gone_is_forgotten():
     world = World()
-    world.run(10, lambda w: [w.hear(each, 0.3 if each == server(3) else 0.1) for each in w.states])
+    world.run(10, lambda w: [w.report(each, 0.3 if each == server(3) else 0.1) for each in w.states])
     learnt = world.brain.factor[world.brain.place[server(3)]]
     assert learnt < 0.95
-    world.list(server(3), face.GONE)
+    world.list_server(server(3), face.GONE)
     world.run(1)
-    world.list(server(20), face.READY, world.now)
+    world.list_server(server(20), face.READY, world.now)
     world.run(1)
-    world.list(server(3), face.READY)
+    world.list_server(server(3), face.READY)
     world.run(1)
     assert world.brain.factor[world.brain.place[server(3)]] == pytest.approx(learnt, rel=0.2)
     place = world.brain.place[server(3)]
-    world.list(server(3), face.GONE)
+    world.list_server(server(3), face.GONE)
     for n in range(20, 60):
-        world.list(server(n), face.READY, world.now)
-        world.list(server(n), face.GONE)
+        world.list_server(server(n), face.READY, world.now)
+        world.list_server(server(n), face.GONE)
         world.run(1)
     assert server(3) not in world.brain.place
     assert world.brain.ids[place] != server(3)
 
 
-def test_news_that_an_unknown_server_is_gone_takes_no_place():
+def test_an_entry_for_an_unknown_server_that_is_gone_allocates_no_slot():
     world = World()
     known = len(world.brain.ids)
-    world.list(server(77), face.GONE)
+    world.list_server(server(77), face.GONE)
     world.run(1)
     assert len(world.brain.ids) == known
 
 
-def test_a_place_whose_line_still_stands_is_not_taken():
-    """Else the line would pass to the new server, and nobody would ever take the former's away."""
+def test_a_slot_with_a_present_line_is_not_reused():
+    """Otherwise the line would pass to the new server, and the line of the former one would never be removed."""
     world = World()
     for n in range(8):
         world.states[server(n)] = face.GONE, None
         world.states[server(n + 20)] = face.READY, None
-    told = tuple(world.entry(each) for each in sorted(world.states))
-    world.news.append(face.Listing(1, face.DELTA, told))
-    world.turn()
+    entries = tuple(world.entry(each) for each in sorted(world.states))
+    world.events.append(face.Listing(1, face.DELTA, entries))
+    world.handle_events()
     world.run(10)
-    assert set(world.table) == {each for each, (state, _) in world.states.items() if state == face.READY}
+    assert set(world.lines) == {each for each, (state, _) in world.states.items() if state == face.READY}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_rules_hold_while_places_are_taken_again(seed):
-    """One that took a place whose line still stands would leave a line to the former server for ever."""
+def test_the_rules_hold_while_slots_are_reused(seed):
+    """A reused slot with a present line would leave a line to the former server for ever."""
     world, chance = World(seed=seed), Random(seed)
     judge, newest = Judge(world), iter(range(20, 256))
 
     def replace(w: World) -> None:
-        up = [each for each, (state, _) in w.states.items() if state == face.READY]
-        for each in up:
-            w.hear(each, 0.1, chance.choice([0, 0, 0, 10]))
+        ready = [each for each, (state, _) in w.states.items() if state == face.READY]
+        for each in ready:
+            w.report(each, 0.1, chance.choice([0, 0, 0, 10]))
         if chance.random() < 0.3:
             n = next(newest, None)
             if n is not None:
-                w.list(chance.choice(up), face.GONE)
-                w.list(server(n), face.READY, w.now - 30)
+                w.list_server(chance.choice(ready), face.GONE)
+                w.list_server(server(n), face.READY, w.now - 30)
 
-    world.run(120, replace, judge.look)
+    world.run(120, replace, judge.check)
     assert len(world.brain.ids) < 40
     left = {each for table in world.tables.values() for each in table}
     assert left == {each for each, (state, _) in world.states.items() if state == face.READY}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_a_zone_usually_meets_forgets_those_whose_places_are_taken(seed):
-    random, fleet = Random(seed), Replacing()
+def test_the_medians_of_a_zone_drop_servers_whose_slots_are_reused(seed):
+    random, fleet = Random(seed), ReplacedFleet()
     brain = fleet.brain
     for _ in range(60):
-        events = [event for event in fleet.news() if not isinstance(event, face.Heard)]
+        events = [event for event in fleet.next_events() if not isinstance(event, face.Heard)]
         reports = [
             face.Heard(
                 random.randrange(6), name(random.choice(fleet.alive)), 12, 0.5, zone, random.uniform(0.05, 0.2), None
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -1,5 +1,5 @@
-"""The work of the module by the size of the fleet, counted and not timed; and figures kept up to date against plain
-ones made anew."""
+"""The work of the module by the size of the fleet, in lines run and not in time; and running medians against medians
+computed anew."""
 
 import sys
 from bisect import insort
@@ -11,11 +11,11 @@
 from driftshed.brain import VIEW_WINDOW_S, Brain
 from driftshed.figures import RunningMedian, median
 
-STEADY = 1.5  # by how much the work an event may differ between sizes
+MAX_WORK_RATIO = 1.5  # most by which the work per event may differ between fleet sizes
 
 
 def lines_run(servers: int, proxies: int) -> float:
-    """Lines of the module that are run for each event, after the joins; comprehensions count with each round."""
+    """Lines of the module that run for each event, after the joins; comprehensions count once per iteration."""
     brain, counted, events = Brain(make_facts(proxies), 1, 100.0), [0], 0
 
     def trace(frame, kind, _):
@@ -37,26 +37,26 @@
 
 def test_an_event_costs_the_same_in_a_fleet_of_any_size():
     work = [lines_run(servers, proxies) for servers, proxies in ((26, 37), (118, 349), (400, 1500))]
-    assert max(work) <= STEADY * min(work), work
+    assert max(work) <= MAX_WORK_RATIO * min(work), work
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_running_median_is_the_median(seed):
-    random, running, there = Random(seed), RunningMedian(), []
+    random, running, present = Random(seed), RunningMedian(), []
     for _ in range(300):
-        old = random.choice(there) if there and random.random() < 0.5 else None
+        old = random.choice(present) if present and random.random() < 0.5 else None
         new = random.choice([random.random(), 0.5]) if old is None or random.random() < 0.6 else None
         running.replace(old, new)
         if old is not None:
-            there.remove(old)
+            present.remove(old)
         if new is not None:
-            insort(there, new)
-        if there:
-            assert running.value() == median(there)
+            insort(present, new)
+        if present:
+            assert running.value() == median(present)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_what_a_zone_usually_meets_is_the_median_of_its_views_of_late(seed):
+def test_the_running_medians_of_a_zone_equal_the_medians_of_its_recent_views(seed):
     random, brain, now = Random(seed), Brain(make_facts(8), 1, 0.0), 0.0
     servers = 12
     for view in brain.view[0], brain.view[1]:
