--- a/driftshed/brain.py
+++ b/driftshed/brain.py
@@ -250,7 +250,7 @@
         for entry in listing.entries:
             if entry.server in self.place or entry.state != face.GONE:
                 self._apply_entry(entry)
-        # A list without a ready server says nothing about the size of the fleet.
+        # A list without a ready server does not show the size of the fleet.
         self.awaiting_first_list &= face.READY not in self.state
 
     def _create_parts(self, ready: list) -> None:
