--- a/driftshed/adapter/__init__.py
+++ b/driftshed/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the wire and the decisions module."""
+"""The adapter between the simulator's protocol and the decisions module."""
--- a/driftshed/adapter/__main__.py
+++ b/driftshed/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m driftshed.adapter`: the wire on standard input and output."""
+"""`python -m driftshed.adapter`: serves the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/driftshed/adapter/codec.py
+++ b/driftshed/adapter/codec.py
@@ -1,4 +1,5 @@
-"""The wire codec: frames of bytes to typed events, typed orders to bytes. The wire's own names end here."""
+"""Codec of the simulator's protocol: frames of bytes to typed events, typed orders to bytes. Names of the protocol
+appear only in this module."""
 
 from __future__ import annotations
 
@@ -11,62 +12,70 @@
 
 
 class Cursor:
-    """Reads values one after the other from a stretch of bytes and never past its end."""
-
-    def __init__(self, data: bytes, at: int, end: int, what: str) -> None:
-        self.data, self.at, self.end, self.what = data, at, end, what
-
-    def take(self, count: int) -> bytes:
-        if self.at + count > self.end:
-            raise BadInput(f"{self.what}: {count} bytes wanted at byte {self.at}, {self.end - self.at} left")
-        self.at += count
-        return self.data[self.at - count : self.at]
-
-    def number(self, form: str) -> float:
-        return struct.unpack("<" + form, self.take(struct.calcsize("<" + form)))[0]
-
-    def counted(self, form: str) -> bytes:
-        return self.take(self.number(form))
-
-    def fields(self, kinds: Iterable[str]) -> list:
+    """Reads consecutive little-endian values from data[position:end]; raises BadInput instead of reading past the
+    end."""
+
+    def __init__(self, data: bytes, position: int, end: int, label: str) -> None:
+        """`label`: what the bytes are, for error messages."""
+        self.data, self.position, self.end, self.label = data, position, end, label
+
+    def read(self, count: int) -> bytes:
+        """The next `count` bytes."""
+        if self.position + count > self.end:
+            raise BadInput(
+                f"{self.label}: {count} bytes wanted at byte {self.position}, {self.end - self.position} left"
+            )
+        self.position += count
+        return self.data[self.position - count : self.position]
+
+    def read_number(self, form: str) -> float:
+        """The next number, in a format of `struct`."""
+        return struct.unpack("<" + form, self.read(struct.calcsize("<" + form)))[0]
+
+    def read_counted(self, form: str) -> bytes:
+        """Bytes with their length in front of them; `form` is the format of the length."""
+        return self.read(self.read_number(form))
+
+    def read_fields(self, kinds: Iterable[str]) -> list:
+        """Values of these kinds, the keys of READERS."""
         return [READERS[kind](self) for kind in kinds]
 
 
-def _plain(form: str) -> Callable[[Cursor], float]:
-    return lambda cursor: cursor.number(form)
+def _read_plain(form: str) -> Callable[[Cursor], float]:
+    return lambda cursor: cursor.read_number(form)
 
 
-def _span(form: str, zero_is_none: bool = False) -> Callable[[Cursor], float | None]:
+def _read_span(form: str, zero_is_none: bool = False) -> Callable[[Cursor], float | None]:
     def read(cursor: Cursor) -> float | None:
-        value = cursor.number(form)
+        value = cursor.read_number(form)
         return None if zero_is_none and not value else value / 1e6
 
     return read
 
 
-def _load(cursor: Cursor) -> tuple[float, ...] | None:
-    return tuple(cursor.number("f") for _ in range(cursor.number("B"))) or None
+def _read_load(cursor: Cursor) -> tuple[float, ...] | None:
+    return tuple(cursor.read_number("f") for _ in range(cursor.read_number("B"))) or None
 
 
-def _entries(cursor: Cursor) -> tuple[face.Entry, ...]:
-    return tuple(face.Entry(*cursor.fields(ENTRY)) for _ in range(cursor.number("I")))
+def _read_entries(cursor: Cursor) -> tuple[face.Entry, ...]:
+    return tuple(face.Entry(*cursor.read_fields(ENTRY_FIELDS)) for _ in range(cursor.read_number("I")))
 
 
 READERS: dict[str, Callable[[Cursor], object]] = {
-    "u8": _plain("B"),
-    "u16": _plain("H"),
-    "u32": _plain("I"),
-    "u64": _plain("Q"),
-    "f32": _plain("f"),
-    "bool": lambda cursor: bool(cursor.number("B")),
-    "span": _span("I"),
-    "span?": _span("I", True),
-    "time?": _span("Q", True),
-    "server": lambda cursor: cursor.take(6),
-    "load": _load,
-    "entries": _entries,
-    "bytes": lambda cursor: cursor.counted("H"),
-    "facts": lambda cursor: read_facts(cursor.counted("I").decode("utf-8", "replace")),
+    "u8": _read_plain("B"),
+    "u16": _read_plain("H"),
+    "u32": _read_plain("I"),
+    "u64": _read_plain("Q"),
+    "f32": _read_plain("f"),
+    "bool": lambda cursor: bool(cursor.read_number("B")),
+    "span": _read_span("I"),
+    "span?": _read_span("I", True),
+    "time?": _read_span("Q", True),
+    "server": lambda cursor: cursor.read(6),
+    "load": _read_load,
+    "entries": _read_entries,
+    "bytes": lambda cursor: cursor.read_counted("H"),
+    "facts": lambda cursor: read_facts(cursor.read_counted("I").decode("utf-8", "replace")),
 }
 
 WRITERS: dict[str, Callable[[object], bytes]] = {
@@ -82,8 +91,8 @@
     "text": lambda text: WRITERS["bytes"](text.encode()[:65535]),
 }
 
-# One row a record: its code, its type, and its fields in order, behind the instance that each record names first.
-ENTRY = ("server", "u8", "u16", "time?", "u16", "u8", "f32")
+# One row for each record: code, type and kinds of its fields in order. Each record starts with the instance's number.
+ENTRY_FIELDS = ("server", "u8", "u16", "time?", "u16", "u8", "f32")
 EVENTS: dict[int, tuple[type, tuple[str, ...]]] = {
     256: (face.Applied, ("u32", "u16", "span")),
     257: (face.Start, ("u64", "facts")),
@@ -118,29 +127,32 @@
 
 
 def decode_batch(body: bytes) -> tuple[float, list[tuple[int, object]]]:
-    """The clock and the (instance, event) pairs of one frame, its length field taken off."""
+    """The clock in seconds and the (instance, event) pairs of one frame without its length field. Records with unknown
+    codes are skipped. Raises BadInput."""
     frame = Cursor(body, 0, len(body), "batch")
-    now, count = frame.number("Q") / 1e6, frame.number("I")
+    now, count = frame.read_number("Q") / 1e6, frame.read_number("I")
     events = []
-    for place in range(count):
-        frame.what = f"record {place + 1} of {count}"
-        code, length = frame.number("H"), frame.number("I")
-        frame.take(length)
+    for index in range(count):
+        frame.label = f"record {index + 1} of {count}"
+        code, length = frame.read_number("H"), frame.read_number("I")
+        frame.read(length)
         if code not in EVENTS:
-            continue  # a record of a later wire
-        kind, fields = EVENTS[code]
-        record = Cursor(body, frame.at - length, frame.at, f"{frame.what} (code {code}, {kind.__name__})")
-        instance = record.number("I")
-        events.append((instance, kind(*record.fields(fields))))
-        if record.at != record.end:
-            raise BadInput(f"{record.what}: {record.end - record.at} bytes too many at byte {record.at}")
-    if frame.at != frame.end:
-        raise BadInput(f"batch: {frame.end - frame.at} bytes after the last of {count} records")
+            continue  # a record of a later protocol version
+        event_type, fields = EVENTS[code]
+        record = Cursor(
+            body, frame.position - length, frame.position, f"{frame.label} (code {code}, {event_type.__name__})"
+        )
+        instance = record.read_number("I")
+        events.append((instance, event_type(*record.read_fields(fields))))
+        if record.position != record.end:
+            raise BadInput(f"{record.label}: {record.end - record.position} bytes too many at byte {record.position}")
+    if frame.position != frame.end:
+        raise BadInput(f"batch: {frame.end - frame.position} bytes after the last of {count} records")
     return now, events
 
 
 def encode_reply(orders: Iterable[tuple[int, object]]) -> bytes:
-    """One whole frame for (instance, order) pairs."""
+    """One complete frame, with its length field, for (instance, order) pairs."""
     records = []
     for instance, order in orders:
         code, kinds = ORDERS[type(order)]
@@ -151,11 +163,11 @@
 
 
 def read_frames(stream) -> Iterator[bytes]:
-    """The bodies of the frames of a stream, until it ends between two of them."""
-    while head := stream.read(4):
-        length = struct.unpack("<I", head)[0] if len(head) == 4 else None
+    """The bodies of the frames of a stream, until it ends. Raises BadInput if it ends within a frame."""
+    while header := stream.read(4):
+        length = struct.unpack("<I", header)[0] if len(header) == 4 else None
         body = stream.read(length) if length is not None else b""
         if length is None or len(body) < length:
-            wanted = "4 bytes of length" if length is None else f"{length} bytes"
-            raise BadInput(f"frame cut short: {wanted} wanted, {len(body) if length else len(head)} came")
+            expected = "4 bytes of length" if length is None else f"{length} bytes"
+            raise BadInput(f"frame cut short: {expected} wanted, {len(body) if length else len(header)} came")
         yield body
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec against frames of the wire's own page, and against bad ones."""
+"""The codec against the frames in the documentation of the simulator's protocol, and against malformed ones."""
 
 import io
 import struct
@@ -19,7 +19,7 @@
     "0001 14000000 03000000 4d00000000000000 7afd870000000000"
     "0301 17000000 05000000 1100 74776f2073657276657273206b6e6f776e"
 )
-PRINTED = {  # event records of the page, without code and length
+DOCUMENTED_EVENTS = {  # event records of the documentation, without code and length
     "03000000 29000000 02 02000000 0a124a07931f 00 0000 0000000000000000 0000 02 0000803f"
     "0a9011f2bc1f 01 0000 20145d0000000000 0000 02 0000c03f": (
         259,
@@ -42,7 +42,7 @@
     "03000000 02000000 0400 68692037": (262, face.PeerNote(2, b"hi 7")),
     "03000000": (264, face.Killed()),
 }
-ORDERED = {
+DOCUMENTED_ORDERS = {
     "0101 0a000000 03000000 0a9011f2bc1f": face.Probe(b"\x0a\x90\x11\xf2\xbc\x1f"),
     "0201 0e000000 03000000 ffffffff 0400 68692037": face.TellPeer(0xFFFFFFFF, b"hi 7"),
     "0501 05000000 03000000 01": face.Subscribe(True),
@@ -63,7 +63,7 @@
     return struct.pack("<QI", 5_000_000, len(records)) + b"".join(records)
 
 
-def test_printed_batches_and_replies():
+def test_documented_batches_and_replies():
     now, events = decode_batch(BATCH)
     assert now == 8.412250 and [instance for instance, _ in events] == [3, 3, 5]
     assert events[0][1] == face.Heard(1, b"\x0a\x12\x4a\x07\x93\x1f", 14, 1.0, 0, 0.04825, (7.0,))
@@ -73,10 +73,10 @@
     assert encode_reply([]) == bytes.fromhex("04000000 00000000")
 
 
-def test_printed_records():
-    for text, (code, event) in PRINTED.items():
+def test_documented_records():
+    for text, (code, event) in DOCUMENTED_EVENTS.items():
         assert decode_batch(batch(record(code, bytes.fromhex(text))))[1] == [(3, event)]
-    for text, order in ORDERED.items():
+    for text, order in DOCUMENTED_ORDERS.items():
         assert encode_reply([(3, order)])[8:] == bytes.fromhex(text)
 
 
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "body, said",
+    "body, expected",
     [
         (BATCH[:-1], "record 3 of 3"),
         (BATCH + b"\0", "1 bytes after the last"),
@@ -99,11 +99,11 @@
         (batch(record(257, bytes.fromhex("03000000 0100000000000000 09000000") + b"az=plenty")), "az=plenty"),
     ],
 )
-def test_bad_frames_end_the_adapter_with_one_plain_message(body, said):
-    complaints = io.StringIO()
-    assert loop.serve(io.BytesIO(struct.pack("<I", len(body)) + body), io.BytesIO(), complaints) == 2
-    told = complaints.getvalue()
-    assert told.count("\n") == 1 and said in told and "frame 1" in told
+def test_bad_frames_end_the_adapter_with_one_plain_message(body, expected):
+    errors = io.StringIO()
+    assert loop.serve(io.BytesIO(struct.pack("<I", len(body)) + body), io.BytesIO(), errors) == 2
+    text = errors.getvalue()
+    assert text.count("\n") == 1 and expected in text and "frame 1" in text
 
 
 def test_short_frames_unknown_records_and_a_clean_end():
