--- a/driftshed/adapter/facts.py
+++ b/driftshed/adapter/facts.py
@@ -1,5 +1,5 @@
-"""Start facts out of settings: one reader for all that a deployment is told by, whatever form it comes in. The names
-that settings go by end here."""
+"""Start facts from settings: one reader for every form in which a deployment's settings come. Names of settings appear
+only in this module."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BadInput(Exception):
-    """What is wrong with the bytes that came, and where."""
+    """Invalid input. The text states what is wrong, and where."""
 
 
 EFFECTS = {"retryable": "idempotent", "dedup": "fingerprinted", "fragile": "side-effecting"}
-LOADS = {
+LOAD_FIELDS = {
     "busy_reqs": "in flight",
     "pending": "queued",
     "cpu_share": "utilisation",
@@ -21,19 +21,20 @@
     "served_ps": "succeeded rate",
     "failed_ps": "errored rate",
 }
-AMOUNTS = {
-    "seconds": lambda text: number(text) / 1e6,
-    "number": lambda text: number(text),
-    "count": lambda text: int(number(text)),
+PARSERS = {
+    "seconds": lambda text: parse_number(text) / 1e6,
+    "number": lambda text: parse_number(text),
+    "count": lambda text: int(parse_number(text)),
     "word": str,
     "yes": lambda text: text == "true",
     "words": lambda text: tuple(text.split(",")),
-    "loads": lambda text: tuple(LOADS.get(word, word) for word in text.split(",")),
+    "loads": lambda text: tuple(LOAD_FIELDS.get(word, word) for word in text.split(",")),
     "effect": EFFECTS.__getitem__,
     "pushed": lambda text: text == "pushed",
 }
 
-# One row a fact, in the order of the interface's fields: the wire's path, how to read it, and what an absent one is.
+# One row for each fact, in the order of the interface's fields: path in the settings, kind of value (a key of PARSERS)
+# and value if absent.
 OPERATION_FACTS = (
     ("name", "word", ""),
     ("sloUs", "seconds", None),
@@ -98,73 +99,73 @@
 
 
 def read_facts(text: str) -> face.StartFacts:
-    """The start facts of a settings text: lines of path=value. BadInput: as `facts_of`."""
-    return facts_of(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
+    """The start facts from a settings text of lines path=value. Raises BadInput as `facts_from_pairs` does."""
+    return facts_from_pairs(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
-def flat(value: object, path: str = "") -> dict[str, str]:
-    """The pairs of path and value of nested settings, in the text's way: plain lists joined with commas, others by
-    their places and a count, spaces and commas within words replaced."""
+def flatten(value: object, path: str = "") -> dict[str, str]:
+    """Flattens nested settings to pairs of path and value as in a settings text: lists of plain values are joined with
+    commas, other lists become a count and one path for each index, spaces and commas within values are replaced."""
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for name, each in value.items():
-            pairs |= flat(each, f"{path}.{name}" if path else str(name))
+            pairs |= flatten(each, f"{path}.{name}" if path else str(name))
         return pairs
     if isinstance(value, list):
         if any(isinstance(each, dict | list) for each in value):
             pairs = {f"{path}.count": str(len(value))}
-            for place, each in enumerate(value):
-                pairs |= flat(each, f"{path}.{place}")
+            for index, each in enumerate(value):
+                pairs |= flatten(each, f"{path}.{index}")
             return pairs
-        return {path: ",".join(map(word, value))}
-    return {path: word(value)}
+        return {path: ",".join(map(format_value, value))}
+    return {path: format_value(value)}
 
 
-def word(value: object) -> str:
-    """A plain value as the text writes it."""
+def format_value(value: object) -> str:
+    """A plain value as written in a settings text, with spaces and commas replaced by underscores."""
     if value is None or isinstance(value, bool):
         return "" if value is None else str(value).lower()
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def number(text: str) -> float:
-    """A finite number; ValueError where it is none."""
+def parse_number(text: str) -> float:
+    """A finite number. Raises ValueError."""
     value = float(text)
     if not isfinite(value):
         raise ValueError(text)
     return value
 
 
-def facts_of(given: dict[str, str]) -> face.StartFacts:
-    """The start facts of pairs of path and value. Paths that no row names are skipped. BadInput: a value that is not
-    one of its kind."""
+def facts_from_pairs(pairs: dict[str, str]) -> face.StartFacts:
+    """The start facts from pairs of path and value. Unknown paths are ignored. Raises BadInput for a value that is not
+    of its fact's kind."""
 
-    def fact(path: str, amount: str, absent: object) -> object:
+    def fact(path: str, kind: str, absent: object) -> object:
         try:
-            return AMOUNTS[amount](given[path]) if given.get(path, "") != "" else absent
+            return PARSERS[kind](pairs[path]) if pairs.get(path, "") != "" else absent
         except (ValueError, KeyError):
-            value = repr(given[path])[1:-1][:80]
-            raise BadInput(f"settings: {path}={value} is not one of its kind ({amount})") from None
+            value = repr(pairs[path])[1:-1][:80]
+            raise BadInput(f"settings: {path}={value} is not a valid value ({kind})") from None
 
     writes, local = fact("domain.classWrites", "words", ()), fact("domain.staysLocal", "words", ())
     operations = tuple(
         face.Operation(
-            *(fact(f"lanes.{place}.{name}", amount, absent) for name, amount, absent in OPERATION_FACTS),
-            writes=writes[place : place + 1] == ("true",),
-            stays_local=local[place : place + 1] == ("true",),
+            *(fact(f"lanes.{index}.{name}", kind, absent) for name, kind, absent in OPERATION_FACTS),
+            writes=writes[index : index + 1] == ("true",),
+            stays_local=local[index : index + 1] == ("true",),
         )
-        for place in range(fact("lanes.count", "count", 0))
+        for index in range(fact("lanes.count", "count", 0))
     )
     return face.StartFacts(operations, *(fact(*row) for row in START_FACTS))
 
 
-def path_of(fact: str) -> str:
-    """Where settings say a fact of the whole deployment."""
+def path_of_fact(fact: str) -> str:
+    """The path in the settings of a fact of the whole deployment."""
     return START_FACTS[face.StartFacts._fields.index(fact) - 1][0]
 
 
-def names_of(settings: dict) -> list[list[str]]:
-    """Zones, kinds and operations as nested settings call them, before spaces and commas are replaced."""
+def original_names(settings: dict) -> list[list[str]]:
+    """Names of zones, kinds of servers and operations as in nested settings, before spaces and commas are replaced."""
     lanes = settings.get("lanes")
     lanes = [each.get("name") if isinstance(each, dict) else None for each in lanes] if isinstance(lanes, list) else []
     rows = settings.get("zones"), settings.get("hostTypes"), lanes
--- a/driftshed/node/__init__.py
+++ b/driftshed/node/__init__.py
@@ -1,2 +1,4 @@
-"""The platform's protocol: one more way in and out of the same module. The words of the platform end in `codec`; state
-machines without I/O stand under thin connections on `driftshed.net`; nothing here decides. docs/platform.md."""
+"""The platform's protocol: another transport for the same decisions module.
+
+Names and formats of the platform appear only in `codec`. State machines without I/O run on thin connections of
+`driftshed.net`. Nothing in this package takes decisions. See docs/platform.md."""
--- a/driftshed/node/collectors.py
+++ b/driftshed/node/collectors.py
@@ -1,51 +1,53 @@
-"""Who connects at the supervisor's address, without I/O: collectors, those that ask for a sign of life, strangers."""
+"""Peers that connect to the supervisor's address, without I/O: collectors, health checks by PING, unknown peers."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable
 
-from driftshed.node.codec import Bad, Facts
-from driftshed.node.resp import MOST_BYTES, MOST_UNJOINED, Reader, Unreadable, message
+from driftshed.node.codec import InvalidMessage, PlatformCodec
+from driftshed.node.resp import MAX_MESSAGE_BYTES, MAX_UNJOINED_BYTES, FramingError, Reader, message
 
 PONG, NACK = message("PONG"), message("NACK")
 
 
 class Peer:
-    """One connection. `take` brings what to write, and whether the connection is to be closed then."""
-
-    def __init__(self, facts: Facts, listed: Callable[[bytes], bool], dropped: Counter) -> None:
-        self.facts, self.listed, self.dropped = facts, listed, dropped
-        # Guards against strangers by hundreds that each begin a long message: together they would take all memory.
-        self.reader = Reader(MOST_UNJOINED)
-        self.joined = self.asked = False  # as a collector; for a sign of life
-
-    def take(self, data: bytes) -> tuple[list, bytes, bool]:
-        """The events that the module is to hear, the bytes to write, and whether to close."""
+    """State of one incoming connection. Only a peer that has joined as the collector of a known zone may report."""
+
+    def __init__(self, codec: PlatformCodec, is_listed: Callable[[bytes], bool], dropped: Counter) -> None:
+        """`dropped`: shared counts of dropped messages by reason."""
+        self.codec, self.is_listed, self.dropped = codec, is_listed, dropped
+        # Guards against hundreds of unknown peers that each begin a long message and together exhaust the memory.
+        self.reader = Reader(MAX_UNJOINED_BYTES)
+        self.joined = self.pinged = False  # has joined as a collector; has sent a PING
+
+    def feed(self, data: bytes) -> tuple[list, bytes, bool]:
+        """Handles received bytes. Returns the events for the module, the bytes to send, and whether to close the
+        connection then."""
         events: list = []
         try:
-            messages, over = self.reader.take(data), ""
-        except Unreadable as error:
-            messages, over = error.args[1], error.args[0]
+            messages, failure = self.reader.feed(data), ""
+        except FramingError as error:
+            messages, failure = error.args[1], error.args[0]
         answer = b""
-        for words in messages:
-            if words == [b"PING"]:
-                self.asked = True
+        for parts in messages:
+            if parts == [b"PING"]:
+                self.pinged = True
                 answer += PONG
             elif self.joined:
                 try:
-                    events.append(self.facts.report(words, self.listed))
-                except Bad as error:
+                    events.append(self.codec.decode_report(parts, self.is_listed))
+                except InvalidMessage as error:
                     self.dropped[str(error)] += 1
-            elif len(words) == 3 and words[:2] == [b"SOURCE", b"site"] and self._known(words[2]):
-                self.joined, self.reader.most = True, MOST_BYTES
+            elif len(parts) == 3 and parts[:2] == [b"SOURCE", b"site"] and self._is_known_zone(parts[2]):
+                self.joined, self.reader.max_bytes = True, MAX_MESSAGE_BYTES
             else:
                 self.dropped["said before joining"] += 1
                 return events, answer + NACK, True
-        if over:
+        if failure:
             self.dropped["unreadable"] += 1
             return events, b"" if self.joined else answer + NACK, True
         return events, answer, False
 
-    def _known(self, zone: bytes) -> bool:
-        return zone.decode(errors="replace") in self.facts.zones
+    def _is_known_zone(self, zone: bytes) -> bool:
+        return zone.decode(errors="replace") in self.codec.zones
--- a/driftshed/node/config.py
+++ b/driftshed/node/config.py
@@ -1,4 +1,4 @@
-"""What one supervisor is told: environment and configuration file to checked facts."""
+"""Configuration of one supervisor: environment variables and the configuration file to validated facts."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import msgspec
 
 from driftshed import interface as face
-from driftshed.adapter.facts import BadInput, facts_of, flat, names_of, path_of, word
+from driftshed.adapter.facts import BadInput, facts_from_pairs, flatten, format_value, original_names, path_of_fact
 from driftshed.core.messages import BadName, server_id
 from driftshed.node.codec import Names
 
-MOST_BYTES = 16 << 20  # of a configuration file
-LEAST_SOCKETS = 32  # with fewer descriptors there is no room for collectors beside the rest
-# Facts without which the module cannot decide; the others may be absent.
-NEEDED = (
+MAX_FILE_BYTES = 16 << 20
+MIN_SOCKETS = 32  # with fewer descriptors there is no room for collectors beside the other connections
+# Facts that the decisions module cannot do without; the others may be absent.
+REQUIRED_FACTS = (
     "own_zone",
     "own_number",
     "supervisors",
@@ -39,8 +39,8 @@
     "report_lines_per_second",
     "tick",
 )
-LISTS = ("zones", "kinds")
-ABOVE_NOTHING = (
+REQUIRED_LISTS = ("zones", "kinds")
+POSITIVE_FACTS = (
     "supervisors",
     "tip_multiple",
     "queue_cap",
@@ -50,12 +50,13 @@
     "tick",
     "latency_objective",
 )
-MOST = 1e12  # of any figure: above it sums of them are no figures any more
-MOST_OPERATIONS = 16  # as many as orders can name
+MAX_VALUE = 1e12  # bound of any number: with larger ones, sums may not be finite
+MAX_OPERATIONS = 16  # the bit mask of operations in an order has 16 bits
 
 
 class Told(NamedTuple):
-    """The facts of one supervisor. Addresses are (host, port); `known` is in discovery's form."""
+    """The validated configuration of one supervisor. Addresses are (host, port); `known` is a list of servers in
+    discovery's JSON format, or empty."""
 
     name: str
     listen: tuple[str, int]
@@ -64,75 +65,79 @@
     seed: int
     sockets: int
     facts: face.StartFacts
-    names: Names | None  # as given; None: as the facts have them
+    names: Names | None  # as configured; None: as the facts contain them
     known: dict
 
 
-def address(text: object, what: str) -> tuple[str, int]:
-    """An IPv4 address and a port; BadInput names what it is for."""
+def parse_address(text: object, what: str) -> tuple[str, int]:
+    """The (host, port) of an "address:port" text. Raises BadInput, which names the setting `what`."""
     try:
         server_id(str(text))
     except BadName:
-        raise BadInput(f"{what} is {str(text)[:80]!r}: give an IPv4 address, a colon and a port") from None
+        raise BadInput(f"{what} is {str(text)[:80]!r}: specify an IPv4 address, a colon and a port") from None
     host, _, port = str(text).rpartition(":")
     return host, int(port)
 
 
-def read(environment: Mapping[str, str]) -> Told:
-    """All that a supervisor is told. BadInput: what is missing or wrong, and what to give instead."""
+def load(environment: Mapping[str, str]) -> Told:
+    """The configuration in the file that LB_CONFIG names. Raises BadInput, which states what is missing or invalid
+    and what to specify instead."""
     path = environment.get("LB_CONFIG")
     if not path:
-        raise BadInput("LB_CONFIG is not set: name the configuration file in it")
+        raise BadInput("LB_CONFIG is not set: set it to the path of the configuration file")
     try:
         with open(path, "rb") as file:
-            text = file.read(MOST_BYTES + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise BadInput(f"LB_CONFIG names {path}, which cannot be read: {error.strerror}") from None
-    if len(text) > MOST_BYTES:
-        raise BadInput(f"{path} is larger than {MOST_BYTES} bytes")
+        raise BadInput(f"LB_CONFIG is {path}, which cannot be read: {error.strerror}") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise BadInput(f"{path} is larger than {MAX_FILE_BYTES} bytes")
     try:
-        given = msgspec.json.decode(text)
+        document = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise BadInput(f"{path} is no JSON: {error}") from None
-    return checked(given, environment)
+        raise BadInput(f"{path} is not valid JSON: {error}") from None
+    return parse(document, environment)
 
 
-def checked(given: object, environment: Mapping[str, str]) -> Told:
-    """A configuration as decoded, with the environment where it says nothing itself. BadInput: as `read`."""
-    if not isinstance(given, dict):
-        raise BadInput("the configuration is no JSON object")
-    settings, known = given.get("settings"), given.get("known")
-    relay, limits = given.get("distributor"), given.get("limits")
+def parse(document: object, environment: Mapping[str, str]) -> Told:
+    """Validates a decoded configuration. The environment supplies the name and addresses that it lacks; LB_LISTEN
+    takes precedence over `listen`. Raises BadInput as `load` does."""
+    if not isinstance(document, dict):
+        raise BadInput("the configuration is not a JSON object")
+    settings, known = document.get("settings"), document.get("known")
+    relay, limits = document.get("distributor"), document.get("limits")
     for name, value in (("settings", settings), ("distributor", relay)):
         if not isinstance(value, dict):
-            raise BadInput(f"the configuration's {name!r} is missing or no object")
+            raise BadInput(f"the configuration's {name!r} is missing or not an object")
     try:
-        seed = int(str(given.get("seed", "0")), 16)
+        seed = int(str(document.get("seed", "0")), 16)
     except ValueError:
-        raise BadInput(f"the configuration's seed is {str(given['seed'])[:40]!r}: give hexadecimal digits") from None
+        raise BadInput(
+            f"the configuration's seed is {str(document['seed'])[:40]!r}: specify hexadecimal digits"
+        ) from None
     sockets = limits.get("sockets", 256) if isinstance(limits, dict) else 256
-    if not isinstance(sockets, int) or sockets < LEAST_SOCKETS:
-        raise BadInput(f"limits.sockets is {sockets!r}: {LEAST_SOCKETS} or more are wanted")
+    if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
+        raise BadInput(f"limits.sockets is {sockets!r}: specify {MIN_SOCKETS} or more")
     lanes = settings.get("lanes")
-    if not isinstance(lanes, list) or not 0 < len(lanes) <= MOST_OPERATIONS:
-        raise BadInput(f"settings say nothing of operations: give lanes as a list of 1 to {MOST_OPERATIONS}")
-    facts = facts_of(flat(settings))
-    _check(facts)
-    words = facts.zones, facts.kinds, tuple(each.name for each in facts.operations)
+    if not isinstance(lanes, list) or not 0 < len(lanes) <= MAX_OPERATIONS:
+        raise BadInput(f"settings do not specify operations: set lanes to a list of 1 to {MAX_OPERATIONS}")
+    facts = facts_from_pairs(flatten(settings))
+    _validate_facts(facts)
+    fact_names = facts.zones, facts.kinds, tuple(each.name for each in facts.operations)
     names = Names(
         *(
-            tuple(given) if tuple(map(word, given)) == worded else worded
-            for given, worded in zip(names_of(settings), words, strict=True)
+            tuple(document) if tuple(map(format_value, document)) == fact_form else fact_form
+            for document, fact_form in zip(original_names(settings), fact_names, strict=True)
         )
     )
     for path, row in (("zones", names.zones), ("hostTypes", names.kinds), ("lanes[].name", names.operations)):
         if not all(row) or len(set(row)) < len(row):
-            raise BadInput(f"settings: {path} is {list(row)}: give each a name of its own")
+            raise BadInput(f"settings: {path} is {list(row)}: specify a unique name for each")
     return Told(
-        str(given.get("name", environment.get("LB_NAME", "supervisor"))),
-        address(environment.get("LB_LISTEN", given.get("listen")), "LB_LISTEN"),
-        address(given.get("discovery", environment.get("LB_DISCOVERY")), "the configuration's discovery"),
-        address(relay.get("address"), "the configuration's distributor.address"),
+        str(document.get("name", environment.get("LB_NAME", "supervisor"))),
+        parse_address(environment.get("LB_LISTEN", document.get("listen")), "LB_LISTEN"),
+        parse_address(document.get("discovery", environment.get("LB_DISCOVERY")), "the configuration's discovery"),
+        parse_address(relay.get("address"), "the configuration's distributor.address"),
         seed,
         sockets,
         facts,
@@ -141,21 +146,21 @@
     )
 
 
-def _check(facts: face.StartFacts) -> None:
-    """BadInput: what the module cannot decide without, or a figure out of its range."""
+def _validate_facts(facts: face.StartFacts) -> None:
+    """Raises BadInput for a missing fact that the module requires, or a number out of range."""
     for name, value in facts._asdict().items():
-        if value is None and name in NEEDED or value == () and name in LISTS:
-            raise BadInput(f"settings say nothing of {path_of(name)}: give it")
-        _in_range(name, path_of(name) if name != "operations" else "", value)
-    for place, operation in enumerate(facts.operations):
+        if value is None and name in REQUIRED_FACTS or value == () and name in REQUIRED_LISTS:
+            raise BadInput(f"settings do not specify {path_of_fact(name)}: add it")
+        _validate_range(name, path_of_fact(name) if name != "operations" else "", value)
+    for index, operation in enumerate(facts.operations):
         for name, path in (("latency_objective", "sloUs"), ("billed_value", "worth"), ("effect", "effect")):
             value = getattr(operation, name)
             if value is None:
-                raise BadInput(f"settings say nothing of lanes.{place}.{path}: give it")
-            _in_range(name, f"lanes.{place}.{path}", value)
+                raise BadInput(f"settings do not specify lanes.{index}.{path}: add it")
+            _validate_range(name, f"lanes.{index}.{path}", value)
 
 
-def _in_range(name: str, path: str, value: object) -> None:
-    least = 1 / MOST if name in ABOVE_NOTHING else 0.0
-    if isinstance(value, float | int) and not least <= value <= MOST:
-        raise BadInput(f"settings: {path} is {value:g}: give a figure from {least:g} to {MOST:g}")
+def _validate_range(name: str, path: str, value: object) -> None:
+    minimum = 1 / MAX_VALUE if name in POSITIVE_FACTS else 0.0
+    if isinstance(value, float | int) and not minimum <= value <= MAX_VALUE:
+        raise BadInput(f"settings: {path} is {value:g}: specify a number from {minimum:g} to {MAX_VALUE:g}")
--- a/driftshed/node/link.py
+++ b/driftshed/node/link.py
@@ -1,4 +1,4 @@
-"""A thin connection that is kept standing: dialled again at once when it is over, then after growing pauses."""
+"""A connection that is re-established whenever it ends: at once, then with increasing backoff."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from driftshed.net.loop import Loop, Timer
 from driftshed.net.stream import Stream, dial
 
-CONNECT_WITHIN = 0.4  # seconds; then it is dialled anew
-LEAST_PAUSE, MOST_PAUSE = 0.02, 0.4
-STOOD = 2 * MOST_PAUSE  # seconds that a connection stood: its end says nothing against the other side
+CONNECT_TIMEOUT_S = 0.4
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.4
+STABLE_AFTER_S = 2 * MAX_BACKOFF_S  # the end of a connection that lasted longer does not count as a failure
 
 
 class Link:
-    """`on_open()` when a connection stands, `on_data(data)`, `on_lost(reason)` when one that stood is over. `proved()`
-    says that the other side is well: the next pause is short again."""
+    """Keeps one TCP connection to an address.
+
+    Calls `on_open()` when a connection is established, `on_data(data)` with received bytes, and `on_lost(reason)` when
+    an established connection ends."""
 
     def __init__(
         self,
@@ -26,15 +28,17 @@
         on_data: Callable[[bytes], object],
         on_lost: Callable[[str], object],
     ) -> None:
+        """Connects in the loop's current round; `random` spreads the times of later attempts."""
         self.loop, self.random, self.address = loop, random, address
         self.on_open, self.on_data, self.on_lost = on_open, on_data, on_lost
         self.stream: Stream | None = None
         self.timer: Timer | None = None
-        self.pause, self.dials, self.closed, self.opened_at = 0.0, 0, False, 0.0
+        self.backoff, self.dials, self.closed, self.opened_at = 0.0, 0, False, 0.0
         loop.soon(self._dial)
 
     @property
-    def up(self) -> bool:
+    def connected(self) -> bool:
+        """Whether the connection is established, so that `write` sends."""
         return self.stream is not None and self.stream.sock is not None and not self.stream.connecting
 
     def _dial(self) -> None:
@@ -44,14 +48,14 @@
         self.dials += 1
         try:
             stream = dial(self.loop, self.address)
-        except OSError:  # out of descriptors, say
-            self._again()
+        except OSError:  # for example, no free descriptor
+            self._schedule_dial()
             return
         self.stream = stream
         stream.on_data = self.on_data
         stream.on_open = self._opened
         stream.on_end = lambda reason: self._ended(stream, reason)
-        self.timer = self.loop.after(CONNECT_WITHIN, lambda: stream.abort("unreachable"))
+        self.timer = self.loop.after(CONNECT_TIMEOUT_S, lambda: stream.abort("unreachable"))
 
     def _opened(self) -> None:
         if self.timer:
@@ -63,35 +67,38 @@
     def _ended(self, stream: Stream, reason: str) -> None:
         if stream is not self.stream:
             return
-        stood, self.stream = not stream.connecting, None
+        was_connected, self.stream = not stream.connecting, None
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        if stood:
-            # Guards against pauses that grow with each idle close, by an other side that is well.
-            if self.loop.clock() - self.opened_at > STOOD:
-                self.proved()
+        if was_connected:
+            # Guards against a backoff that grows with each idle close by a healthy peer.
+            if self.loop.clock() - self.opened_at > STABLE_AFTER_S:
+                self.reset_backoff()
             self.on_lost(reason)
-        self._again()
+        self._schedule_dial()
 
-    def _again(self) -> None:
+    def _schedule_dial(self) -> None:
         if not self.closed:
-            self.timer = self.loop.after(self.pause * self.random.uniform(0.7, 1.3), self._dial)
-            self.pause = min(MOST_PAUSE, max(LEAST_PAUSE, 2 * self.pause))
+            self.timer = self.loop.after(self.backoff * self.random.uniform(0.7, 1.3), self._dial)
+            self.backoff = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * self.backoff))
 
-    def proved(self) -> None:
-        self.pause = 0.0
+    def reset_backoff(self) -> None:
+        """Records that the peer is healthy: the next attempt is made at once."""
+        self.backoff = 0.0
 
     def write(self, data: bytes) -> None:
-        if self.up:
+        """Sends bytes if the connection is established, else discards them."""
+        if self.connected:
             self.stream.write(data)
 
     def drop(self, reason: str) -> None:
-        """Gives the present connection up and dials anew."""
+        """Ends the current connection, or attempt to connect, and connects again."""
         if self.stream is not None:
             self.stream.abort(reason)
 
     def close(self) -> None:
+        """Ends the connection for good."""
         self.closed = True
         if self.timer:
             self.timer.cancel()
--- a/driftshed/node/relay.py
+++ b/driftshed/node/relay.py
@@ -1,4 +1,4 @@
-"""Calls of the relay and its news, without I/O: what to write, what an answer means, and what is told."""
+"""State machines for calls to the relay and for its notifications, without I/O."""
 
 from __future__ import annotations
 
@@ -8,50 +8,54 @@
 import msgspec
 
 from driftshed import interface as face
-from driftshed.node.codec import LINE, TAKEN, Bad, Facts, call
-from driftshed.node.jsonlines import Lines, TooLong
+from driftshed.node.codec import APPLY_RESULT_DECODER, MESSAGE_DECODER, InvalidMessage, PlatformCodec, encode_call
+from driftshed.node.jsonlines import LineReader, LineTooLong
 
-MOST_OPS = 60_000 - 200  # bytes of one call's orders, with room for what is around them
-ANSWER_WITHIN = 0.05  # seconds, as the platform says; then it does not come
-LATE_FOR_US = 0.05  # that an answer may have waited for our turn
-TURNED_AWAY = 0.05  # seconds until a call that was turned away goes again
-NEWS_SILENT = 1.8  # seconds; a sign of life is due every second
-FADES = 0.98  # of the longest that an order took, from answer to answer
-BEHIND = NEWS_SILENT  # seconds that one connection's news may come after another's; one further behind is silent
+MAX_OPS_BYTES = 60_000 - 200  # of the operations of one call; the rest of the message has 200 bytes
+ANSWER_TIMEOUT_S = 0.05  # guaranteed by the platform: later there is no answer
+ANSWER_SLACK_S = 0.05  # time for which an answer may wait until this process reads it
+THROTTLED_RETRY_S = 0.05  # wait before a throttled call is repeated
+NOTIFICATION_TIMEOUT_S = 1.8  # the relay sends a ping every second
+LATENCY_DECAY = 0.98  # retention factor of the longest observed latency, per answer
+MAX_LAG_S = NOTIFICATION_TIMEOUT_S  # of one connection behind another; one that lags more counts as unresponsive
 
 
-class Spoilt(Exception):
-    """The connection cannot be read any more; what the call under way came to is not known."""
+class ProtocolError(Exception):
+    """The connection delivered malformed data and must be given up; the result of a call under way is unknown."""
 
 
-class Call:
-    """Orders that go together. `mark`: the one that goes with them; `proof`: an answer to it tells that all of them
-    were carried out."""
+class PendingCall:
+    """Operations that are sent in one call. `mark`: the mark among them; `mark_is_proof`: an answer to the mark proves
+    that all of them were carried out."""
 
-    __slots__ = ("ops", "mark", "proof")
+    __slots__ = ("ops", "mark", "mark_is_proof")
 
-    def __init__(self, mark: int | None, ops: list[tuple[dict, bytes]], proof: bool) -> None:
-        self.mark, self.ops, self.proof = mark, ops, proof  # each order, and as encoded
+    def __init__(self, mark: int | None, ops: list[tuple[dict, bytes]], mark_is_proof: bool) -> None:
+        """`ops`: pairs of an operation and its encoded JSON."""
+        self.mark, self.ops, self.mark_is_proof = mark, ops, mark_is_proof
 
 
-class Orders:
-    """The replies of the module on their way: one call out at a time, in the module's order. Where it is not known
-    what a call came to, the same call goes again before anything later: orders are absolute, so that it brings about
-    the same whether it was carried out before or not. Whoever uses it decides when it may: it costs lines again."""
+class OrderQueue:
+    """Queue of calls to the relay: one call is outstanding at a time, in the order of the module's replies.
+
+    A call whose result is unknown is repeated before any later one. Operations set absolute values, so a repeat has the
+    same effect whether or not the call was carried out before. The caller decides when it may be repeated, since a
+    repeat costs lines in the channel again."""
 
     def __init__(self) -> None:
-        self.waiting: deque[Call] = deque()
-        self.number = 0
-        self.sent_at: float | None = None  # of the first of `waiting`, on the present connection
-        self.doubtful = False  # the first of `waiting` may have been carried out
-        self.seen = False  # somebody answered its mark meanwhile, which does not prove all of it
+        """An empty queue without a connection."""
+        self.waiting: deque[PendingCall] = deque()
+        self.request_id = 0
+        self.sent_at: float | None = None  # when the first of `waiting` was sent on the current connection
+        self.in_doubt = False  # the first of `waiting` was sent and may have been carried out
+        self.mark_seen = False  # its mark was answered meanwhile, which proves only a part of it
         self.not_before = 0.0
         self.repeats = self.refused = self.turned_away = self.calls = self.proved = 0
-        self.lines = Lines()
+        self.line_reader = LineReader()
         self.on_refused: Callable[[dict], object] = lambda op: None
 
-    def give(self, ops: list[dict]) -> None:
-        """One reply of the module: one call where it fits, else several. The mark that ends it goes with each."""
+    def enqueue(self, ops: list[dict]) -> None:
+        """Adds one reply of the module: as one call if it fits, else as several, each with the reply's mark."""
         mark = [(op, msgspec.json.encode(op)) for op in ops if op["do"] == "fence"]
         ticket = mark[0][0]["ticket"] if mark else None
         size, calls = 0, [list(mark)]
@@ -59,285 +63,310 @@
             if op["do"] == "fence":
                 continue
             text = msgspec.json.encode(op)
-            if size + len(text) + 1 > MOST_OPS:
+            if size + len(text) + 1 > MAX_OPS_BYTES:
                 size, calls = 0, [*calls, list(mark)]
             calls[-1].append((op, text))
             size += len(text) + 1
-        self.waiting += [Call(ticket, each, len(calls) == 1) for each in calls if each]
-
-    def shed(self, left: set[int]) -> None:
-        """Drops what waits for streams of proxies that are over: one that comes back is bound anew. A call that is out
-        may have stopped at such an order, so an answer to its mark proves nothing any more."""
-        for place, each in enumerate(self.waiting):
-            ops = [row for row in each.ops if not (row[0]["do"] == "attach" and row[0]["id"] in left)]
-            each.proof = each.proof and len(ops) == len(each.ops)
-            if place or self.sent_at is None:
-                each.ops = ops
-
-    def opened(self) -> None:
-        """A new connection stands."""
-        self.lines, self.sent_at = Lines(), None
-
-    def lost(self) -> bool:
-        """The connection is over, or given up. True: what the call under way came to is not known."""
+        self.waiting += [PendingCall(ticket, call, len(calls) == 1) for call in calls if call]
+
+    def drop_proxies(self, left: set[int]) -> None:
+        """Drops the queued bindings of proxies that left; a proxy that returns is bound again. The outstanding call may
+        have stopped at such an operation, so an answer to its mark is no proof any more."""
+        for index, call in enumerate(self.waiting):
+            ops = [row for row in call.ops if not (row[0]["do"] == "attach" and row[0]["id"] in left)]
+            call.mark_is_proof = call.mark_is_proof and len(ops) == len(call.ops)
+            if index or self.sent_at is None:
+                call.ops = ops
+
+    def connected(self) -> None:
+        """Resets the state of the connection when a new one is established."""
+        self.line_reader, self.sent_at = LineReader(), None
+
+    def disconnected(self) -> bool:
+        """Records the end of the connection. Returns whether the result of an outstanding call is unknown."""
         lost = self.sent_at is not None
-        self.doubtful |= lost
+        self.in_doubt |= lost
         self.sent_at = None
         return lost
 
-    def answered(self, mark: int) -> None:
-        """A proxy answered a mark: a call in doubt that alone bears it was carried out, and need not go again."""
-        if self.doubtful and self.sent_at is None and self.waiting[0].mark == mark:
-            self.seen = True
-            if self.waiting[0].proof:
+    def mark_answered(self, mark: int) -> None:
+        """Records a proxy's answer to a mark. A call in doubt that is the only one with this mark was carried out and
+        is not repeated."""
+        if self.in_doubt and self.sent_at is None and self.waiting[0].mark == mark:
+            self.mark_seen = True
+            if self.waiting[0].mark_is_proof:
                 self.proved += 1
-                self._done()
+                self._complete_first()
 
-    def _done(self) -> None:
+    def _complete_first(self) -> None:
         self.waiting.popleft()
-        self.doubtful, self.seen, self.not_before = False, False, 0.0
+        self.in_doubt, self.mark_seen, self.not_before = False, False, 0.0
 
-    def next(self, now: float) -> bytes | None:
-        """The call to write now, if any."""
+    def next_call(self, now: float) -> bytes | None:
+        """The encoded call to send now, or None."""
         while self.waiting and not self.waiting[0].ops:
-            self._done()
+            self._complete_first()
         if not self.waiting or self.sent_at is not None or now < self.not_before:
             return None
-        self.number += 1
+        self.request_id += 1
         self.calls += 1
-        self.repeats += self.doubtful
+        self.repeats += self.in_doubt
         self.sent_at = now
-        return call(self.number, "relay.apply", [text for _, text in self.waiting[0].ops])
+        return encode_call(self.request_id, "relay.apply", [text for _, text in self.waiting[0].ops])
 
-    def next_at(self) -> float | None:
-        """When something is due though nothing comes."""
+    def next_due_at(self) -> float | None:
+        """Time at which the answer times out or a queued call may be sent; None if the queue is empty."""
         if self.sent_at is not None:
-            return self.sent_at + ANSWER_WITHIN + LATE_FOR_US
+            return self.sent_at + ANSWER_TIMEOUT_S + ANSWER_SLACK_S
         return self.not_before if self.waiting else None
 
-    def late(self, now: float) -> bool:
-        """Whether the answer that is awaited does not come any more."""
-        return self.sent_at is not None and now >= self.next_at()
+    def timed_out(self, now: float) -> bool:
+        """Whether the answer to the outstanding call is overdue."""
+        return self.sent_at is not None and now >= self.next_due_at()
 
-    def take(self, data: bytes, now: float) -> None:
-        """What came on the connection. Spoilt: give it up."""
+    def feed(self, data: bytes, now: float) -> None:
+        """Handles received bytes. Raises ProtocolError if the connection must be given up."""
         try:
-            lines = self.lines.take(data)
-        except TooLong as error:
-            raise Spoilt(str(error)) from None
+            lines = self.line_reader.feed(data)
+        except LineTooLong as error:
+            raise ProtocolError(str(error)) from None
         for text in lines:
-            self._answer(text, now)
+            self._handle_answer(text, now)
 
-    def _answer(self, text: bytes, now: float) -> None:
+    def _handle_answer(self, text: bytes, now: float) -> None:
         try:
-            line = LINE.decode(text)
+            line = MESSAGE_DECODER.decode(text)
         except msgspec.DecodeError as error:
-            raise Spoilt(f"an answer that cannot be read: {error}: {text[:200]!r}") from None
-        if self.sent_at is None or line.id != self.number or bool(bytes(line.result)) == bool(bytes(line.error)):
-            raise Spoilt("an answer to nothing that was asked")
+            raise ProtocolError(f"malformed answer: {error}: {text[:200]!r}") from None
+        if self.sent_at is None or line.id != self.request_id or bool(bytes(line.result)) == bool(bytes(line.error)):
+            raise ProtocolError("answer that matches no outstanding call")
         ops = self.waiting[0].ops
         if bytes(line.error):
             if b"Throttling" in bytes(line.error):
-                self.sent_at, self.not_before = None, now + TURNED_AWAY
+                self.sent_at, self.not_before = None, now + THROTTLED_RETRY_S
                 self.turned_away += 1
                 return
             if b"ValidationError" not in bytes(line.error):
-                raise Spoilt("an error that says nothing of the orders")
-            taken = 0
+                raise ProtocolError("error answer that is neither throttling nor a validation error")
+            accepted = 0
         else:
             try:
-                taken = TAKEN.decode(line.result).accepted
+                accepted = APPLY_RESULT_DECODER.decode(line.result).accepted
             except msgspec.DecodeError:
-                raise Spoilt("an answer without its count") from None
-            if not 0 <= taken <= len(ops):
-                raise Spoilt("a count out of range")
-        self.sent_at, self.doubtful, self.seen = None, False, False
-        if taken < len(ops):
-            # The order that it stopped at is dropped; the mark goes again with the rest, which is another message.
+                raise ProtocolError("answer without the count of accepted operations") from None
+            if not 0 <= accepted <= len(ops):
+                raise ProtocolError("count of accepted operations out of range")
+        self.sent_at, self.in_doubt, self.mark_seen = None, False, False
+        if accepted < len(ops):
+            # The refused operation is dropped. The mark is sent again with the rest, which is another message.
             self.refused += 1
-            self.on_refused(ops[taken][0])
-            rest = ops[taken + 1 :]
-            marks = [each for each in ops[:taken] if each[0]["do"] == "fence"]
+            self.on_refused(ops[accepted][0])
+            rest = ops[accepted + 1 :]
+            marks = [row for row in ops[:accepted] if row[0]["do"] == "fence"]
             self.waiting[0].ops = marks + rest if rest else []
-            self.waiting[0].proof &= not taken
+            self.waiting[0].mark_is_proof &= not accepted
         else:
-            self._done()
+            self._complete_first()
 
 
 class Channel:
-    """What stands in the channel to the proxies beside what the module counts: what went twice, or was ordered by a
-    module that is no more. Guards the caps on lines and messages: the module keeps to what is left of them."""
-
-    def __init__(self, facts: face.StartFacts) -> None:
-        self.cap, self.message_cap, self.span = facts.queue_cap, facts.message_cap, facts.message_span or 0.0
-        self.pace, self.transit, self.took = facts.lines_per_second, facts.worst_transit, 0.0
-        self.rows: deque[tuple[float, float, float, int]] = deque()  # since, lines, out by, messages to a proxy
-        self.absent_at = 0.0  # by then somebody would have answered a call in doubt, had it been carried out
+    """Load of the channel to the proxies that the module does not count: repeated calls, and orders of a module
+    instance that has been replaced. Keeps the caps on lines and messages: the module may use only the remainder.
 
-    def heard(self, took: float) -> None:
-        """How long an order took to its answer. More than a whole channel at half its pace is not waited for."""
-        self.took = min(max(took, self.took * FADES), 2 * self.cap / self.pace + self.transit)
+    Times are seconds on the loop's clock."""
 
-    def _within(self, lines: float) -> float:
-        """Seconds in which so many lines have gone and were answered. Guards against a channel that is slower than
-        its stated pace for a while: what came last tells."""
-        return max(lines / self.pace + self.transit, self.took)
+    def __init__(self, facts: face.StartFacts) -> None:
+        """Takes the caps, pace and transit time of the channel from `facts`."""
+        self.cap, self.message_cap, self.message_span = facts.queue_cap, facts.message_cap, facts.message_span or 0.0
+        self.lines_per_second, self.transit, self.observed_latency = facts.lines_per_second, facts.worst_transit, 0.0
+        # Of each addition: time, lines, time by which they are delivered, messages to each proxy.
+        self.rows: deque[tuple[float, float, float, int]] = deque()
+        self.disproved_at = 0.0  # by then a mark would have been answered, had the call in doubt been carried out
+
+    def observe_latency(self, took: float) -> None:
+        """Records the seconds from an order to its answer, at most the time that a full channel needs at half its
+        pace, so that no call waits for ever."""
+        self.observed_latency = min(
+            max(took, self.observed_latency * LATENCY_DECAY), 2 * self.cap / self.lines_per_second + self.transit
+        )
+
+    def _drain_time(self, lines: float) -> float:
+        """Seconds until this many lines are delivered and answered. Guards against a channel that is slower than its
+        configured pace for a while: the estimate is at least the recently observed latency."""
+        return max(lines / self.lines_per_second + self.transit, self.observed_latency)
 
     def add(self, now: float, lines: float, before: float, messages: int = 1) -> None:
-        """Lines that stand behind `before` others."""
-        self.rows.append((now, lines, now + self._within(before + self.lines(now) + lines), messages))
+        """Adds lines that are delivered after `before` others, in `messages` messages to each proxy."""
+        self.rows.append((now, lines, now + self._drain_time(before + self.lines(now) + lines), messages))
 
     def lines(self, now: float) -> float:
-        while self.rows and max(self.rows[0][2], self.rows[0][0] + self.span) <= now:
+        """Lines still in the channel; forgets rows that count no longer."""
+        while self.rows and max(self.rows[0][2], self.rows[0][0] + self.message_span) <= now:
             self.rows.popleft()
         return sum(lines for _, lines, out, _ in self.rows if now < out)
 
     def messages(self, now: float) -> int:
-        return sum(many for since, _, _, many in self.rows if now < since + self.span)
+        """Messages to a proxy within the span of the message cap."""
+        return sum(many for since, _, _, many in self.rows if now < since + self.message_span)
+
+    def call_in_doubt(self, now: float, before: float) -> None:
+        """Records that a call's result is unknown; `before`: the lines in the channel ahead of its own."""
+        self.disproved_at = now + self._drain_time(before + self.lines(now))
 
-    def lost(self, now: float, before: float) -> None:
-        """What a call came to is not known; `before`: the lines that stood before its own."""
-        self.absent_at = now + self._within(before + self.lines(now))
+    def may_repeat(self, now: float, lines: float, waiting: float, mark_seen: bool) -> bool:
+        """Whether a call in doubt may be repeated: if the channel has room for its lines twice, or if a mark would have
+        been answered by now, had it been carried out. In the first case, and if `mark_seen`, its lines are added.
 
-    def may_repeat(self, now: float, lines: float, waiting: float, seen: bool) -> bool:
-        """Whether a call in doubt may go again; `waiting`: the lines that the module counts, the call's own among them;
-        `seen`: an answer to its mark has come. Either there is room for them twice, or by now an answer would have told
-        that it was carried out."""
-        if now >= self.absent_at and not seen:
+        `waiting`: the lines that the module counts, including the call's own; `mark_seen`: its mark was answered."""
+        if now >= self.disproved_at and not mark_seen:
             return True
-        if now < self.absent_at and waiting + self.lines(now) + lines > self.cap:
+        if now < self.disproved_at and waiting + self.lines(now) + lines > self.cap:
             return False
         self.add(now, lines, waiting)
         return True
 
 
-class Joins:
-    """Who is joined, by all that the connections with news tell. Streams begin and end in turns, so the count of a
-    proxy's beginnings and ends tells how far each connection is: what one tells that another has told changes nothing.
-    """
+class JoinState:
+    """The joined proxies, merged from all connections with notifications.
+
+    A proxy's stream begins and ends in turns, so the number of its transitions identifies each of them: a transition
+    that another connection has already reported is ignored."""
 
     def __init__(self) -> None:
+        """No proxy is joined."""
         self.held: dict[int, face.Joined] = {}
-        self.count: dict[int, int] = {}  # beginnings and ends of each proxy's streams; odd while it is joined
-        self.counted_at: dict[int, float] = {}  # when the last of them was told
-        self.answered: dict[int, int] = {}  # the last mark of each
+        self.transitions: dict[int, int] = {}  # of each proxy: joins and departures so far; odd while it is joined
+        self.transition_at: dict[int, float] = {}  # when the last of them was received
+        self.last_mark: dict[int, int] = {}  # the last mark that each proxy answered
 
-    def hear(self, event: object, place: int, now: float) -> list:
-        """A beginning or an end that is a proxy's `place`-th; the events that it makes."""
+    def apply(self, event: object, position: int, now: float) -> list:
+        """Applies the `position`-th transition of a proxy, a Joined or Left event. Returns the events that are new."""
         proxy = event.proxy
-        if place <= self.count.get(proxy, 0):
+        if position <= self.transitions.get(proxy, 0):
             return []
-        self.count[proxy], self.counted_at[proxy] = place, now
-        self.answered.pop(proxy, None)
-        if place % 2:
+        self.transitions[proxy], self.transition_at[proxy] = position, now
+        self.last_mark.pop(proxy, None)
+        if position % 2:
             self.held[proxy] = event
         else:
             self.held.pop(proxy, None)
         return [event]
 
-    def answer(self, applied: face.Applied) -> list:
-        if applied.proxy not in self.held or self.answered.get(applied.proxy) == applied.mark:
+    def apply_answer(self, applied: face.Applied) -> list:
+        """Returns the answer to a mark if the proxy is joined and no connection has reported it, else nothing."""
+        if applied.proxy not in self.held or self.last_mark.get(applied.proxy) == applied.mark:
             return []
-        self.answered[applied.proxy] = applied.mark
+        self.last_mark[applied.proxy] = applied.mark
         return [applied]
 
 
-class News:
-    """One connection that tells of proxies, from what stands when it begins."""
+class NotificationReader:
+    """Reader of one connection with notifications of proxies: first the joined ones, then each change.
+
+    The initial read is complete with a ping or with the first event that is not the join of a further proxy."""
 
-    def __init__(self, facts: Facts, joins: Joins) -> None:
-        self.facts, self.joins = facts, joins
-        self.lines = Lines(1 << 16)
-        self.standing: set[int] | None = None  # who stands, while that is being told
-        self.spoke = False  # it has told what stands, in full
-        self.heard_at = float("-inf")  # its last whole line
-        self.place: dict[int, int] = {}  # of each proxy, as far as this connection is
-        self.joined: dict[int, face.Joined] = {}  # by what this connection told
+    def __init__(self, codec: PlatformCodec, joins: JoinState) -> None:
+        """`joins` is shared by all connections."""
+        self.codec, self.joins = codec, joins
+        self.line_reader = LineReader(1 << 16)
+        # Joined proxies reported so far by the initial read; None outside of it.
+        self.initial_proxies: set[int] | None = None
+        self.synced = False  # the initial read is complete
+        self.received_at = float("-inf")  # when the last complete line was received
+        self.position: dict[int, int] = {}  # of each proxy: the last transition that this connection has reported
+        self.joined: dict[int, face.Joined] = {}  # according to this connection
 
-    def ask(self) -> bytes:
-        """What to write when the connection stands."""
-        return call(1, "relay.watch")
+    def request(self) -> bytes:
+        """The bytes to send when the connection is established."""
+        return encode_call(1, "relay.watch")
 
-    def take(self, data: bytes, now: float) -> list:
-        """The events that the module is to hear. Spoilt: give the connection up, after hearing its `args[1]`."""
+    def feed(self, data: bytes, now: float) -> list:
+        """The events for the module in the received bytes. Raises ProtocolError if the connection must be given up;
+        the events before the error are in its `args[1]`."""
         events: list = []
         try:
-            for text in self.lines.take(data):
+            for text in self.line_reader.feed(data):
                 if text:
-                    events += self._line(text, now)
-                    self.heard_at = now
-        except (Spoilt, TooLong) as error:
-            raise Spoilt(str(error), events) from None
+                    events += self._handle_line(text, now)
+                    self.received_at = now
+        except (ProtocolError, LineTooLong) as error:
+            raise ProtocolError(str(error), events) from None
         return events
 
-    def _line(self, text: bytes, now: float) -> list:
+    def _handle_line(self, text: bytes, now: float) -> list:
         try:
-            line = LINE.decode(text)
-            event = self.facts.news(line.method, line.params)
-        except (msgspec.DecodeError, Bad) as error:
-            raise Spoilt(f"news that cannot be read: {error}: {text[:200]!r}") from None
+            line = MESSAGE_DECODER.decode(text)
+            event = self.codec.decode_notification(line.method, line.params)
+        except (msgspec.DecodeError, InvalidMessage) as error:
+            raise ProtocolError(f"malformed notification: {error}: {text[:200]!r}") from None
         if not line.method:
             if line.id != 1 or bytes(line.result) != b"true":
-                raise Spoilt("the watch was not granted")
-            self.standing = set()
+                raise ProtocolError("the watch was refused")
+            self.initial_proxies = set()
             return []
-        if isinstance(event, face.Joined) and self.standing is not None and event.proxy not in self.standing:
-            self.standing.add(event.proxy)
+        if (
+            isinstance(event, face.Joined)
+            and self.initial_proxies is not None
+            and event.proxy not in self.initial_proxies
+        ):
+            self.initial_proxies.add(event.proxy)
             self.joined[event.proxy] = event
-            return self._stands(event, now)
-        events = self._settle(now) if event is not None or line.method == "ping" else []
+            return self._handle_initial(event, now)
+        events = self._finish_initial(now) if event is not None or line.method == "ping" else []
         if isinstance(event, face.Applied):
-            return events + self.joins.answer(event)
+            return events + self.joins.apply_answer(event)
         if event is None:
             return events
         if (event.proxy in self.joined) == isinstance(event, face.Joined):
-            raise Spoilt("a stream that began or ended twice")
+            raise ProtocolError("a proxy that joined or left twice in a row")
         if isinstance(event, face.Joined):
             self.joined[event.proxy] = event
         else:
             del self.joined[event.proxy]
-        self.place[event.proxy] = self._reached(event.proxy, now) + 1
-        return events + self.joins.hear(event, self.place[event.proxy], now)
-
-    def _stands(self, event: face.Joined, now: float) -> list:
-        """A proxy that stands as the connection begins."""
-        count, gone = self.joins.count.get(event.proxy, 0), []
-        if event.fresh and event.proxy in self.joins.answered:
-            # Guards against a proxy that left and came back unseen: it says that it holds no table that was ordered,
-            # and the one that we know answered for its.
-            gone = self.joins.hear(face.Left(event.proxy), count + 1, now)
+        self.position[event.proxy] = self._position_of(event.proxy, now) + 1
+        return events + self.joins.apply(event, self.position[event.proxy], now)
+
+    def _handle_initial(self, event: face.Joined, now: float) -> list:
+        """Handles a proxy that was joined before the connection was established."""
+        count, gone = self.joins.transitions.get(event.proxy, 0), []
+        if event.fresh and event.proxy in self.joins.last_mark:
+            # Guards against a proxy that left and rejoined while no connection was up: it reports that it holds no
+            # ordered table, although a mark of its table was answered.
+            gone = self.joins.apply(face.Left(event.proxy), count + 1, now)
             count += 1
-        self.place[event.proxy] = count | 1
-        return gone + self.joins.hear(event, count | 1, now)
+        self.position[event.proxy] = count | 1
+        return gone + self.joins.apply(event, count | 1, now)
 
-    def _settle(self, now: float) -> list:
-        """All that stands has been told: who was joined and does not stand has left unseen."""
-        if self.standing is None:
+    def _finish_initial(self, now: float) -> list:
+        """Completes the initial read: proxies known as joined that were not in it have left meanwhile."""
+        if self.initial_proxies is None:
             return []
-        standing, self.standing, self.spoke = self.standing, None, True
+        initial_proxies, self.initial_proxies, self.synced = self.initial_proxies, None, True
         events = []
-        for proxy, place in list(self.joins.count.items()):
-            if proxy not in standing:
-                self.place[proxy] = place + place % 2
-                events += self.joins.hear(face.Left(proxy), self.place[proxy], now)
+        for proxy, position in list(self.joins.transitions.items()):
+            if proxy not in initial_proxies:
+                self.position[proxy] = position + position % 2
+                events += self.joins.apply(face.Left(proxy), self.position[proxy], now)
         return events
 
-    def _reached(self, proxy: int, now: float) -> int:
-        """How far this connection is with a proxy. Guards against a count that is off, since what stood was told while
-        another connection had yet to tell how it came to be: what this one should have told long ago by another's
-        count it never will, so it is no further behind than its own word shows."""
-        place, count = self.place.get(proxy, 0), self.joins.count.get(proxy, 0)
-        if place < count and now - self.joins.counted_at[proxy] > BEHIND:
-            place = count - (count - place) % 2
-        return place
-
-    def agree(self) -> list:
-        """Where this connection still tells otherwise than what is held, long after another told that, its word
-        holds: it has told other things since."""
+    def _position_of(self, proxy: int, now: float) -> int:
+        """The last transition of a proxy that this connection has reported.
+
+        Guards against a position that is too low, since the initial read can precede transitions that led to it and
+        that another connection reports later. This connection never reports those; after the maximum lag its position
+        is corrected to the latest transition that agrees with its own state of the proxy."""
+        position, count = self.position.get(proxy, 0), self.joins.transitions.get(proxy, 0)
+        if position < count and now - self.joins.transition_at[proxy] > MAX_LAG_S:
+            position = count - (count - position) % 2
+        return position
+
+    def reconcile(self) -> list:
+        """Corrects proxies whose state on this connection still differs after the maximum lag: this connection's state
+        is adopted, since it has received other lines since then. Returns the events."""
         events = []
-        for proxy, count in list(self.joins.count.items()) if self.spoke else ():
-            place = self.place[proxy] = self._reached(proxy, self.heard_at)
-            if place < count and self.heard_at - self.joins.counted_at[proxy] > BEHIND:
-                self.place[proxy] = count + 1
-                events += self.joins.hear(self.joined.get(proxy, face.Left(proxy)), count + 1, self.heard_at)
+        for proxy, count in list(self.joins.transitions.items()) if self.synced else ():
+            position = self.position[proxy] = self._position_of(proxy, self.received_at)
+            if position < count and self.received_at - self.joins.transition_at[proxy] > MAX_LAG_S:
+                self.position[proxy] = count + 1
+                events += self.joins.apply(self.joined.get(proxy, face.Left(proxy)), count + 1, self.received_at)
         return events
--- a/driftshed/node/resp.py
+++ b/driftshed/node/resp.py
@@ -1,80 +1,81 @@
-"""Framing of messages at the supervisor's address: RESP2 arrays of bulk strings, in any pieces, bounded before memory
-is taken."""
+"""Framing of messages at the supervisor's address: RESP2 arrays of bulk strings, received in any pieces. Lengths are
+checked before memory is allocated."""
 
 from __future__ import annotations
 
-MOST_BYTES = 1 << 20  # of one message
-MOST_UNJOINED = 1024  # of one message of who has not joined: all it may say is short
-MOST_WORDS = 256
-MOST_DIGITS = 7  # of a count or a length
+MAX_MESSAGE_BYTES = 1 << 20
+MAX_UNJOINED_BYTES = 1024  # of one message from a peer that has not joined, which may only send short ones
+MAX_STRINGS = 256
+MAX_DIGITS = 7  # in a count or a length
 
 
-class Unreadable(Exception):
-    """What came is no message; nothing after it can be read either."""
+class FramingError(Exception):
+    """The bytes are not a valid message; nothing after them can be read either."""
 
 
 class Reader:
-    """Takes bytes as they come, gives whole messages: lists of byte strings."""
+    """Incremental parser: bytes in any pieces to complete messages, which are lists of byte strings."""
 
-    def __init__(self, most: int = MOST_BYTES) -> None:
-        self.most = most
-        self.held = bytearray()
-        self.at = 0  # read so far of the message under way
-        self.wanted = -1  # words of the message under way; -1: not known yet
-        self.words: list[bytes] = []
+    def __init__(self, max_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        """`max_bytes`: bound of one message; it may be raised later."""
+        self.max_bytes = max_bytes
+        self.buffer = bytearray()
+        self.position = 0  # parsed bytes of the current message
+        self.expected = -1  # number of strings in the current message; -1: not known yet
+        self.parts: list[bytes] = []
 
-    def take(self, data: bytes) -> list[list[bytes]]:
-        """The messages that are whole now. Unreadable: those before are in its `args[1]`."""
-        self.held += data
+    def feed(self, data: bytes) -> list[list[bytes]]:
+        """The messages that are now complete. Raises FramingError; the messages before it are in its `args[1]`."""
+        self.buffer += data
         messages: list[list[bytes]] = []
         try:
-            while self._one():
-                messages.append(self.words)
-                del self.held[: self.at]
-                self.at, self.wanted, self.words = 0, -1, []
-        except Unreadable as error:
-            raise Unreadable(str(error), messages) from None
+            while self._read_message():
+                messages.append(self.parts)
+                del self.buffer[: self.position]
+                self.position, self.expected, self.parts = 0, -1, []
+        except FramingError as error:
+            raise FramingError(str(error), messages) from None
         return messages
 
-    def _one(self) -> bool:
-        if self.wanted < 0:
-            count = self._number(b"*", MOST_WORDS)
+    def _read_message(self) -> bool:
+        if self.expected < 0:
+            count = self._read_number(b"*", MAX_STRINGS)
             if count is None:
                 return False
-            self.wanted = count
-        while len(self.words) < self.wanted:
-            before = self.at
-            length = self._number(b"$", self.most - self.at)
+            self.expected = count
+        while len(self.parts) < self.expected:
+            start = self.position
+            length = self._read_number(b"$", self.max_bytes - self.position)
             if length is None:
                 return False
-            end = self.at + length
-            if len(self.held) < end + 2:
-                self.at = before
+            end = self.position + length
+            if len(self.buffer) < end + 2:
+                self.position = start
                 return False
-            if self.held[end : end + 2] != b"\r\n":
-                raise Unreadable("a word is not ended")
-            self.words.append(bytes(self.held[self.at : end]))
-            self.at = end + 2
+            if self.buffer[end : end + 2] != b"\r\n":
+                raise FramingError("a string without its terminator")
+            self.parts.append(bytes(self.buffer[self.position : end]))
+            self.position = end + 2
         return True
 
-    def _number(self, mark: bytes, most: int) -> int | None:
-        """A mark, digits and the end of their line; None until they are whole."""
-        end = self.held.find(b"\r\n", self.at, self.at + MOST_DIGITS + 3)
-        line = bytes(self.held[self.at : end if end >= 0 else self.at + MOST_DIGITS + 3])
-        if line and line[:1] != mark:
-            raise Unreadable(f"{line[:1]!r} where {mark.decode()!r} is due")
+    def _read_number(self, prefix: bytes, maximum: int) -> int | None:
+        """Reads a prefix, digits and the end of their line; None until they are complete."""
+        end = self.buffer.find(b"\r\n", self.position, self.position + MAX_DIGITS + 3)
+        line = bytes(self.buffer[self.position : end if end >= 0 else self.position + MAX_DIGITS + 3])
+        if line and line[:1] != prefix:
+            raise FramingError(f"{line[:1]!r} where {prefix.decode()!r} is expected")
         digits = line[1:].rstrip(b"\r") if end < 0 else line[1:]
-        if (digits and not digits.isdigit()) or len(digits) > MOST_DIGITS or (end >= 0 and not digits):
-            raise Unreadable("a count or a length that is none")
+        if (digits and not digits.isdigit()) or len(digits) > MAX_DIGITS or (end >= 0 and not digits):
+            raise FramingError("an invalid count or length")
         if end < 0:
             return None
-        if int(digits) > most or (mark == b"*" and not int(digits)):
-            raise Unreadable(f"{int(digits)} is over the bound of {most}")
-        self.at = end + 2
+        if int(digits) > maximum or (prefix == b"*" and not int(digits)):
+            raise FramingError(f"{int(digits)} is over the bound of {maximum}")
+        self.position = end + 2
         return int(digits)
 
 
 def message(*words: str) -> bytes:
-    """One message as it goes on the wire."""
+    """One encoded message."""
     parts = [word.encode() for word in words]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
--- a/driftshed/node/service.py
+++ b/driftshed/node/service.py
@@ -1,4 +1,4 @@
-"""One supervisor on the platform: wires the hosted module to discovery, the relay and the collectors."""
+"""One supervisor on the platform: connects the hosted decisions module to discovery, the relay and the collectors."""
 
 from __future__ import annotations
 
@@ -14,148 +14,162 @@
 from driftshed.core.hosting import Hosted
 from driftshed.net.loop import Loop, Timer
 from driftshed.net.stream import Listener, Stream
-from driftshed.node.codec import GROUPS, Bad, Facts
+from driftshed.node.codec import GROUPS_PER_MODULE, InvalidMessage, PlatformCodec
 from driftshed.node.collectors import NACK, PONG, Peer
 from driftshed.node.config import Told
-from driftshed.node.discovery import SILENT, Broken, Roster, Watch
+from driftshed.node.discovery import SILENCE_TIMEOUT_S, Roster, Watch, WatchFailed
 from driftshed.node.link import Link
-from driftshed.node.relay import NEWS_SILENT, Channel, Joins, News, Orders, Spoilt
-
-JOIN_WITHIN = 1.2  # seconds from connecting until a collector has joined
-PEERS_SHARE = 1 / 2  # of the descriptors, for those that have not joined
-OTHERS = 16  # descriptors for all but who connects: list, news and calls at two addresses, listener, loop, log
-KEPT_ASKERS = 16  # that asked for a sign of life and stay
-LEAST_COLLECTORS = 32  # that have room at once, and one for each zone where there are more
-MOST_REPORTS = 8192  # that wait for the module
-READY_WITHIN = 2.0  # seconds; then signs of life are given whether relay and discovery answer or not
-WATCHERS = 2  # connections with news of proxies
-HELD = ("name", "listen", "sockets", "facts")  # what a new configuration does not change
-MOST_ASKED = 1 << 16  # bytes of signs of life that one peer may be owed before they are given
+from driftshed.node.relay import (
+    NOTIFICATION_TIMEOUT_S,
+    Channel,
+    JoinState,
+    NotificationReader,
+    OrderQueue,
+    ProtocolError,
+)
+
+JOIN_TIMEOUT_S = 1.2  # from connecting until a collector must have joined
+UNJOINED_SHARE = 1 / 2  # share of the descriptors for peers that have not joined
+# For all but incoming connections: roster, notifications and calls at two addresses, listener, loop, log.
+RESERVED_DESCRIPTORS = 16
+MAX_PINGERS = 16  # unjoined peers that have sent a ping and stay connected
+MIN_COLLECTORS = 32  # collectors that may be connected at once; one for each zone if there are more zones
+MAX_PENDING_EVENTS = 8192  # events that wait for the module
+READY_TIMEOUT_S = 2.0  # then pings are answered whether or not relay and discovery have responded
+RELAY_WATCHERS = 2  # connections with notifications of proxies
+FIXED_SETTINGS = ("name", "listen", "sockets", "facts")  # fields that a reload does not change
+MAX_OWED_BYTES = 1 << 16  # of answers to pings held back for one peer until the supervisor is ready
 
 
 class Host(Hosted):
-    """The module with what stands outside of it: the list and who is joined."""
+    """The decisions module with the state kept outside of it: roster, joined proxies, queued orders, channel load."""
 
-    def __init__(self, told: Told, now: float, wall: float) -> None:
-        super().__init__(told.facts, told.seed, now)
-        self.words = Facts(told.facts, now - wall, told.names)
-        self.roster, self.joins, self.orders = Roster(self.words), Joins(), Orders()
-        self.channel = Channel(told.facts)
-        self.out: set[face.Server] = set()  # withdrawn by the present module
-        self.freed: list[dict] = []  # what takes back what a module ordered that is no more
+    def __init__(self, config: Told, now: float, wall: float) -> None:
+        """`now`: the loop's clock; `wall`: unix time. Both in seconds, at the same moment."""
+        super().__init__(config.facts, config.seed, now)
+        self.codec = PlatformCodec(config.facts, now - wall, config.names)
+        self.roster, self.joins, self.orders = Roster(self.codec), JoinState(), OrderQueue()
+        self.channel = Channel(config.facts)
+        self.withdrawn: set[face.Server] = set()  # by the current module
+        self.undo_ops: list[dict] = []  # operations that revert withdrawals of a replaced module
 
     def what_stands(self) -> list:
-        return self.roster.stands() + [each._replace(fresh=False) for each in self.joins.held.values()]
+        """The events from which a new module starts: the roster and the joined proxies."""
+        return self.roster.snapshot() + [each._replace(fresh=False) for each in self.joins.held.values()]
 
     def forget_orders(self) -> None:
-        # A new module has tables of its own, and no server is shut out by an old one.
-        self.freed = [self.words.operation(face.Withdraw(False, server), 0) for server in sorted(self.out)]
-        self.out.clear()
+        """Reverts the withdrawals of a replaced module; the new one has its own tables."""
+        self.undo_ops = [self.codec.encode_order(face.Withdraw(False, server), 0) for server in sorted(self.withdrawn)]
+        self.withdrawn.clear()
 
     @property
-    def first(self) -> int:
-        """The first group of the present module."""
-        return self.faults % GROUPS * GROUPS
+    def first_group(self) -> int:
+        """Group number of table 0 of the current module."""
+        return self.faults % GROUPS_PER_MODULE * GROUPS_PER_MODULE
 
     def turn(self, now: float) -> None:
-        """Lets the module hear what has come, unless its last orders are still on their way: it decides on what is,
-        and what waits stays bounded."""
+        """Runs the module on the pending events and queues its orders, unless earlier orders are still queued: so it
+        decides on the current state, and the queue stays bounded."""
         if self.orders.waiting:
             return
-        # What is in the channel beside its own orders is room that the module does not have.
+        # The module may not use the room that lines other than its own orders take in the channel.
         self.brain.cap = self.channel.cap - self.channel.lines(now)
         if self.channel.message_cap:
             self.brain.message_cap = max(1, self.channel.message_cap - self.channel.messages(now))
-        ops, self.freed = self.freed, []
+        ops, self.undo_ops = self.undo_ops, []
         for order in self.hear(now):
-            op = self.words.operation(order, self.first)
+            op = self.codec.encode_order(order, self.first_group)
             if op is not None:
                 ops.append(op)
             if isinstance(order, face.Withdraw):
-                (self.out.add if order.on else self.out.discard)(order.server)
+                (self.withdrawn.add if order.on else self.withdrawn.discard)(order.server)
         if ops:
-            self.orders.give(ops)
+            self.orders.enqueue(ops)
 
-    def lines_of(self, mark: int | None) -> float:
-        """What the orders under a mark cost in the channel, by the module's count."""
+    def lines_of_mark(self, mark: int | None) -> float:
+        """Lines in the channel for the orders with this mark, as the module counts them."""
         return sum(lines for each, lines, _ in self.brain.channel if each == mark)
 
-    def lost(self, now: float) -> None:
-        """The connection that calls go by is over."""
-        if self.orders.lost():
-            before = self.brain._waiting() - self.lines_of(self.orders.waiting[0].mark)
-            self.channel.lost(now, before)
+    def orders_disconnected(self, now: float) -> None:
+        """Handles the end of the connection for calls."""
+        if self.orders.disconnected():
+            before = self.brain._waiting() - self.lines_of_mark(self.orders.waiting[0].mark)
+            self.channel.call_in_doubt(now, before)
 
     def next_call(self, now: float) -> bytes | None:
-        """The call to write now, if any. One that may have been carried out goes again once the channel bears it
-        twice, or it is sure that it was not."""
+        """The encoded call to send now, or None. A call that may have been carried out is repeated once the channel has
+        room for it twice, or once it is certain that it was not carried out."""
         orders = self.orders
-        if orders.doubtful and orders.sent_at is None and now >= orders.not_before:
-            lines = self.lines_of(orders.waiting[0].mark)
-            if not self.channel.may_repeat(now, lines, self.brain._waiting(), orders.seen):
-                orders.not_before = self.channel.absent_at
-        return orders.next(now)
+        if orders.in_doubt and orders.sent_at is None and now >= orders.not_before:
+            lines = self.lines_of_mark(orders.waiting[0].mark)
+            if not self.channel.may_repeat(now, lines, self.brain._waiting(), orders.mark_seen):
+                orders.not_before = self.channel.disproved_at
+        return orders.next_call(now)
 
     def take(self, events: list) -> None:
+        """Queues events for the module. Beyond MAX_PENDING_EVENTS it discards reports; other events are kept."""
         left = {event.proxy for event in events if isinstance(event, face.Left)}
         if left:
-            self.orders.shed(left)
+            self.orders.drop_proxies(left)
         for event in events:
             if isinstance(event, face.Applied):
-                self.orders.answered(event.mark)
-                self.channel.heard(event.took)
+                self.orders.mark_answered(event.mark)
+                self.channel.observe_latency(event.took)
         self.news += events
-        if len(self.news) > MOST_REPORTS:
+        if len(self.news) > MAX_PENDING_EVENTS:
             self.news = [e for e in self.news if not isinstance(e, face.Heard | face.Demand)]
 
 
 class Service:
-    """Serves one supervisor on a loop until `loop.stop()`. `log(event, **fields)` writes one line."""
-
-    def __init__(self, loop: Loop, told: Told, log: Callable[..., None], wall: Callable[[], float] = time.time) -> None:
-        self.loop, self.told, self.log = loop, told, log
-        self.began = loop.clock()
-        self.host = Host(told, self.began, wall())
-        self.random = Random(told.seed)
+    """Runs one supervisor on a loop until `loop.stop()`. `log(event, **fields)` writes one line."""
+
+    def __init__(
+        self, loop: Loop, config: Told, log: Callable[..., None], wall: Callable[[], float] = time.time
+    ) -> None:
+        """Listens and starts connecting; raises OSError if the address is not available. `wall()`: unix time in s."""
+        self.loop, self.config, self.log = loop, config, log
+        self.started_at = loop.clock()
+        self.host = Host(config, self.started_at, wall())
+        self.random = Random(config.seed)
         self.dropped: Counter[str] = Counter()
         self.timer: Timer | None = None
-        self.turn_due = False
-        self.longest = self.latest = 0.0
-        self.strangers: dict[Stream, Peer] = {}  # have not joined, oldest first
+        self.turn_scheduled = False
+        self.max_turn_s = self.max_delay_s = 0.0
+        self.unknown_peers: dict[Stream, Peer] = {}  # peers that have not joined, oldest first
         self.collectors: dict[Stream, Peer] = {}
-        self.owed: dict[Stream, bytes] = {}  # signs of life that were asked for before they are given
-        room = max(told.sockets // 4, told.sockets // 2 - OTHERS)
-        self.most_collectors = min(max(LEAST_COLLECTORS, len(told.facts.zones)), room)
+        self.pending_pongs: dict[Stream, bytes] = {}  # answers to pings held back until the supervisor is ready
+        room = max(config.sockets // 4, config.sockets // 2 - RESERVED_DESCRIPTORS)
+        self.max_collectors = min(max(MIN_COLLECTORS, len(config.facts.zones)), room)
         self.ready = False
         self.lines_logged = 0
         host = self.host
-        host.on_log = lambda text: self._note("decided", text=text)
-        host.on_fault = self._fault
-        host.orders.on_refused = lambda op: self._note("refused", op=op)
-        if told.known:
-            for _ in range(2):  # nobody tells it again: what of it can be used is
+        host.on_log = lambda text: self._log_limited("decided", text=text)
+        host.on_fault = self._handle_fault
+        host.orders.on_refused = lambda op: self._log_limited("refused", op=op)
+        if config.known:
+            for _ in range(2):  # the list is not sent again: the second pass skips its invalid entries
                 try:
-                    self.hear(host.roster.hear(told.known, face.CACHED))
+                    self.handle_events(host.roster.apply(config.known, face.CACHED))
                     break
-                except Bad as error:
+                except InvalidMessage as error:
                     log("known_list_unusable", level="warning", reason=str(error))
-        self.listener = Listener(loop, told.listen, self._accept, 1 << 16)
-        self.orders = self._orders_link(told.relay)
-        self.watchers = [Watcher(self, told.relay) for _ in range(WATCHERS)]
-        self.discovery = Discovery(self, told.discovery)
-        self.next_second = self.began + 1
-        loop.at(self.next_second, self._second)
-        self._soon()
-
-    def _note(self, event: str, level: str = "info", **fields: object) -> None:
-        """A line at a bounded rate."""
+        self.listener = Listener(loop, config.listen, self._accept, 1 << 16)
+        self.orders = self._open_orders_link(config.relay)
+        self.watchers = [Watcher(self, config.relay) for _ in range(RELAY_WATCHERS)]
+        self.discovery = Discovery(self, config.discovery)
+        self.next_second = self.started_at + 1
+        loop.at(self.next_second, self._every_second)
+        self._schedule_turn()
+
+    def _log_limited(self, event: str, level: str = "info", **fields: object) -> None:
+        """Writes a log line, at most 20 between two lines with the figures of a second; the others are counted."""
         self.lines_logged += 1
         if self.lines_logged <= 20:
             self.log(event, level=level, **fields)
 
-    def _fault(self, fault) -> None:
+    def _handle_fault(self, fault) -> None:
         now, brain = self.loop.clock(), self.host.brain
-        # Guards against a new module that takes the channel for empty: what the old one ordered is still in it.
+        # Guards against a new module that assumes an empty channel: it still carries the old module's orders.
         self.host.channel.add(now, brain._waiting(), 0.0, max(map(len, brain.sent_at.values()), default=0))
         self.log(
             "module_fault",
@@ -164,17 +178,18 @@
             place=fault.place,
             last=[repr(event)[:200] for event in fault.turns[-1][1][:20]],
         )
-        self._soon()
+        self._schedule_turn()
 
     # ---- turns ------------------------------------------------------------------------------------------------
 
-    def hear(self, events: list) -> None:
+    def handle_events(self, events: list) -> None:
+        """Logs roster updates, queues the events for the module and schedules a turn."""
         if skipped := self.host.roster.skipped:
-            self._note("list_entries_skipped", level="warning", count=len(skipped), first=skipped[0])
+            self._log_limited("list_entries_skipped", level="warning", count=len(skipped), first=skipped[0])
             skipped.clear()
         for event in events:
             if isinstance(event, face.Listing):
-                self._note(
+                self._log_limited(
                     "list",
                     version=event.version,
                     changed=[
@@ -188,145 +203,152 @@
                 )
         if events:
             self.host.take(events)
-            self._soon()
+            self._schedule_turn()
 
-    def _soon(self) -> None:
-        """A turn within the tick, so that what comes in together is heard together."""
-        if not self.turn_due:
-            self.turn_due = True
-            self.loop.soon(self._turn)
+    def _schedule_turn(self) -> None:
+        """Schedules one turn for this round of the loop, so that events received together are handled together."""
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            self.loop.soon(self._run_turn)
 
-    def _turn(self) -> None:
-        self.turn_due = False
+    def _run_turn(self) -> None:
+        self.turn_scheduled = False
         began = self.loop.clock()
         self.host.turn(began)
-        self._push()
-        self.longest = max(self.longest, self.loop.clock() - began)
+        self._send_next_call()
+        self.max_turn_s = max(self.max_turn_s, self.loop.clock() - began)
         at = self.host.module_at() if not self.host.orders.waiting else began + 1
-        due = self.host.orders.next_at() if self.orders.up else None  # a connection that opens makes a turn
-        at = at if due is None else min(at, due)
+        # Without a connection nothing is due: one that opens schedules a turn.
+        deadline = self.host.orders.next_due_at() if self.orders.connected else None
+        at = at if deadline is None else min(at, deadline)
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(max(at, began + 1e-3), self._due)
+        self.timer = self.loop.at(max(at, began + 1e-3), self._handle_deadline)
 
-    def _due(self) -> None:
+    def _handle_deadline(self) -> None:
         self.timer = None
-        if self.host.orders.late(self.loop.now):
-            self._note("answer_late")
+        if self.host.orders.timed_out(self.loop.now):
+            self._log_limited("answer_late")
             self.orders.drop("late")
-        self._soon()
+        self._schedule_turn()
 
     # ---- the relay --------------------------------------------------------------------------------------------
 
-    def _push(self) -> None:
-        if self.orders.address != self.told.relay and not (self.orders.up and self.host.orders.sent_at is not None):
-            # The one place where orders move: between two calls, for an answer still comes to the old connection.
-            # Guards against new configurations close together, and a call for ever out at an address that is over.
+    def _send_next_call(self) -> None:
+        if self.orders.address != self.config.relay and not (
+            self.orders.connected and self.host.orders.sent_at is not None
+        ):
+            # Calls change to a new relay address only here, between two calls: an answer still arrives on the old
+            # connection. Guards against configurations in quick succession, and against a call that stays outstanding
+            # at an abandoned address.
             self.orders.close()
-            self.orders = self._orders_link(self.told.relay)
-        if self.orders.up:
+            self.orders = self._open_orders_link(self.config.relay)
+        if self.orders.connected:
             text = self.host.next_call(self.loop.clock())
             if text is not None:
                 self.orders.write(text)
 
-    def _orders_link(self, relay: tuple[str, int]) -> Link:
+    def _open_orders_link(self, relay: tuple[str, int]) -> Link:
         return Link(self.loop, self.random, relay, self._orders_open, self._orders_data, self._orders_lost)
 
     def _orders_open(self) -> None:
-        self.host.orders.opened()
-        self._soon()
+        self.host.orders.connected()
+        self._schedule_turn()
 
     def _orders_data(self, data: bytes) -> None:
         try:
-            self.host.orders.take(data, self.loop.clock())
-            self.orders.proved()
-        except Spoilt as error:
-            self._note("answer_spoilt", reason=str(error))
+            self.host.orders.feed(data, self.loop.clock())
+            self.orders.reset_backoff()
+        except ProtocolError as error:
+            self._log_limited("answer_spoilt", reason=str(error))
             self.orders.drop("spoilt")
-        self._soon()
+        self._schedule_turn()
 
     def _orders_lost(self, reason: str) -> None:
-        self.host.lost(self.loop.clock())
-        self._soon()
+        self.host.orders_disconnected(self.loop.clock())
+        self._schedule_turn()
 
-    # ---- who connects -----------------------------------------------------------------------------------------
+    # ---- incoming connections ---------------------------------------------------------------------------------
 
     def _accept(self, stream: Stream) -> None:
-        peer = Peer(self.host.words, self.host.roster.entries.__contains__, self.dropped)
-        self.strangers[stream] = peer
-        stream.on_data = lambda data: self._heard(stream, peer, data)
-        stream.on_end = lambda reason: self._gone(stream)
-        self.loop.after(JOIN_WITHIN, lambda: self._join_due(stream, peer))
-        while len(self.strangers) > self.told.sockets * PEERS_SHARE:
-            oldest = next(iter(self.strangers))
-            # Guards against a flood that shuts out a collector whose joining has come and was not read yet.
+        peer = Peer(self.host.codec, self.host.roster.entries.__contains__, self.dropped)
+        self.unknown_peers[stream] = peer
+        stream.on_data = lambda data: self._handle_data(stream, peer, data)
+        stream.on_end = lambda reason: self._handle_end(stream)
+        self.loop.after(JOIN_TIMEOUT_S, lambda: self._check_joined(stream, peer))
+        while len(self.unknown_peers) > self.config.sockets * UNJOINED_SHARE:
+            oldest = next(iter(self.unknown_peers))
+            # Guards against a flood that shuts out a collector whose join was received but not read yet.
             oldest.pull()
-            if oldest in self.strangers:
-                self._turn_away(oldest, "too many")
+            if oldest in self.unknown_peers:
+                self._reject(oldest, "too many")
 
-    def _join_due(self, stream: Stream, peer: Peer) -> None:
+    def _check_joined(self, stream: Stream, peer: Peer) -> None:
         if stream.sock is None or peer.joined:
             return
-        askers = [each for each, other in self.strangers.items() if other.asked]
-        if not peer.asked:
-            self._turn_away(stream, "did not join")
-        elif len(askers) > KEPT_ASKERS:
-            self._turn_away(askers[0], "too many askers")
+        pingers = [each for each, other in self.unknown_peers.items() if other.pinged]
+        if not peer.pinged:
+            self._reject(stream, "did not join")
+        elif len(pingers) > MAX_PINGERS:
+            self._reject(pingers[0], "too many pinging peers")
 
-    def _turn_away(self, stream: Stream, reason: str) -> None:
+    def _reject(self, stream: Stream, reason: str) -> None:
         self.dropped[reason] += 1
         stream.write(NACK)
         stream.abort("turned away")
 
-    def _gone(self, stream: Stream) -> None:
-        for known in (self.strangers, self.collectors, self.owed):
-            known.pop(stream, None)
+    def _handle_end(self, stream: Stream) -> None:
+        for peers in (self.unknown_peers, self.collectors, self.pending_pongs):
+            peers.pop(stream, None)
 
-    def _heard(self, stream: Stream, peer: Peer, data: bytes) -> None:
-        events, answer, over = peer.take(data)
-        if peer.joined and stream in self.strangers:
-            del self.strangers[stream]
+    def _handle_data(self, stream: Stream, peer: Peer, data: bytes) -> None:
+        events, answer, close = peer.feed(data)
+        if peer.joined and stream in self.unknown_peers:
+            del self.unknown_peers[stream]
             self.collectors[stream] = peer
         if stream in self.collectors:
-            # The one that was silent for longest goes: those that report stay, whoever else joins.
+            # The collector that has been silent longest is closed: reporting ones stay, whoever else joins.
             self.collectors[stream] = self.collectors.pop(stream)
-            if len(self.collectors) > self.most_collectors:
+            if len(self.collectors) > self.max_collectors:
                 next(iter(self.collectors)).abort("replaced")
-        self.hear(events)
+        self.handle_events(events)
         if not self.ready and PONG in answer:
-            # Guards against being taken for one that can be used: before it is, nobody gets a sign of life.
-            self.owed[stream] = self.owed.get(stream, b"") + answer.replace(NACK, b"")
-            answer, over = answer.replace(PONG, b""), over or len(self.owed[stream]) > MOST_ASKED
+            # Guards against appearing usable too early: until the supervisor is ready no ping is answered.
+            self.pending_pongs[stream] = self.pending_pongs.get(stream, b"") + answer.replace(NACK, b"")
+            answer, close = answer.replace(PONG, b""), close or len(self.pending_pongs[stream]) > MAX_OWED_BYTES
         if answer:
             stream.write(answer)
-        if over:
+        if close:
             stream.abort("turned away")
 
-    def look_ready(self) -> None:
-        """Gives signs of life from when the supervisor can be used."""
+    def check_ready(self) -> None:
+        """Marks the supervisor ready once relay and discovery have synced or the timeout has passed, and then sends the
+        answers to pings that were held back."""
         if self.ready:
             return
-        late = self.loop.clock() - self.began > READY_WITHIN
-        heard = any(watcher.reader.spoke or watcher.reader.standing is not None for watcher in self.watchers)
-        if not (late or (heard and self.discovery.spoke)):
+        late = self.loop.clock() - self.started_at > READY_TIMEOUT_S
+        relay_synced = any(
+            watcher.reader.synced or watcher.reader.initial_proxies is not None for watcher in self.watchers
+        )
+        if not (late or (relay_synced and self.discovery.synced)):
             return
         self.ready = True
-        self.log("ready", after=round(self.loop.clock() - self.began, 3))
-        owed, self.owed = self.owed, {}
-        for stream, answer in owed.items():
+        self.log("ready", after=round(self.loop.clock() - self.started_at, 3))
+        pending, self.pending_pongs = self.pending_pongs, {}
+        for stream, answer in pending.items():
             stream.write(answer)
 
     # ---- each second ------------------------------------------------------------------------------------------
 
-    def _second(self) -> None:
+    def _every_second(self) -> None:
         now = self.loop.clock()
-        self.latest = max(self.latest, now - self.next_second)
+        self.max_delay_s = max(self.max_delay_s, now - self.next_second)
         self.next_second = max(self.next_second + 1, now + 0.5)
-        self.loop.at(self.next_second, self._second)
-        self.look_ready()
+        self.loop.at(self.next_second, self._every_second)
+        self.check_ready()
         for watcher in self.watchers:
-            watcher.look(now)
-        self.discovery.look(now)
+            watcher.check(now)
+        self.discovery.check(now)
         host, brain = self.host, self.host.brain
         ready = [i for i, state in enumerate(brain.state) if state == face.READY]
         self.log(
@@ -347,131 +369,137 @@
             refused=host.orders.refused,
             turned_away=host.orders.turned_away,
             faults=host.faults,
-            longest=round(self.longest, 4),
-            late=round(self.latest, 4),
+            longest=round(self.max_turn_s, 4),
+            late=round(self.max_delay_s, 4),
             cpu=round(time.process_time(), 3),
-            rss=memory(),
+            rss=resident_mb(),
             fds=len(os.listdir("/proc/self/fd")),
-            strangers=len(self.strangers),
+            strangers=len(self.unknown_peers),
             collectors=len(self.collectors),
             dials=[self.orders.dials, *(w.link.dials for w in self.watchers), self.discovery.link.dials],
             dropped=dict(self.dropped),
             hushed=max(0, self.lines_logged - 20),
         )
-        self.longest = self.latest = 0.0
+        self.max_turn_s = self.max_delay_s = 0.0
         self.lines_logged = 0
 
     # ---- new configurations -----------------------------------------------------------------------------------
 
-    def renew(self, told: Told) -> None:
-        """A new configuration: the new addresses are dialled at once; what the module has learnt stays. The rest holds
-        from start to end, and what is given otherwise is said."""
-        ignored = [name for name in HELD if getattr(told, name) != getattr(self.told, name)]
-        self.log("configuration", discovery=told.discovery, relay=told.relay, ignored=ignored)
-        if told.discovery != self.told.discovery:
-            self.discovery.move(told.discovery)
-        if told.relay != self.told.relay:
+    def reconfigure(self, config: Told) -> None:
+        """Applies a new configuration: connects to changed addresses at once and keeps the module's state. Other fields
+        cannot change while the process runs; differences in them are logged as ignored."""
+        ignored = [name for name in FIXED_SETTINGS if getattr(config, name) != getattr(self.config, name)]
+        self.log("configuration", discovery=config.discovery, relay=config.relay, ignored=ignored)
+        if config.discovery != self.config.discovery:
+            self.discovery.move(config.discovery)
+        if config.relay != self.config.relay:
             for watcher in self.watchers:
-                watcher.move(told.relay)
-        self.told = self.told._replace(discovery=told.discovery, relay=told.relay)
-        self._soon()
+                watcher.move(config.relay)
+        self.config = self.config._replace(discovery=config.discovery, relay=config.relay)
+        self._schedule_turn()
 
 
 class Follower:
-    """A connection whose other side tells on and on, and the one that follows it at a new address."""
+    """Follows a stream of updates from one side, and moves to a new address without a gap."""
 
-    name = spoilt = ""  # in the log: what is followed, and what it is called when it cannot be read
-    silent = 0.0  # seconds without a word, after which it is dialled anew
+    name = malformed = ""  # parts of log event names: the stream, and what it is called if malformed
+    silence_timeout = 0.0  # seconds without a line after which it reconnects
 
     def __init__(self, service: Service, address: tuple[str, int]) -> None:
+        """Starts connecting to `address`."""
         self.service = service
-        self.old: Link | None = None
-        self.spoke = False  # it has told once, on whichever connection
-        self._begin(address)
+        self.previous_link: Link | None = None
+        self.synced = False  # the initial read was complete once, on any connection
+        self._connect(address)
 
-    def make(self) -> News | Watch:
-        """What reads a new connection."""
+    def make_reader(self) -> NotificationReader | Watch:
+        """A reader for a new connection."""
         raise NotImplementedError
 
-    def _begin(self, address: tuple[str, int]) -> None:
+    def _connect(self, address: tuple[str, int]) -> None:
         self.host = f"{address[0]}:{address[1]}"
-        self.reader, self.opened_at = self.make(), self.service.loop.clock()
+        self.reader, self.opened_at = self.make_reader(), self.service.loop.clock()
         self.link = Link(
             self.service.loop,
             self.service.random,
             address,
             self._open,
             self._data,
-            lambda reason: self.service._note(f"{self.name}_lost", reason=reason),
+            lambda reason: self.service._log_limited(f"{self.name}_lost", reason=reason),
         )
 
     def move(self, address: tuple[str, int]) -> None:
-        """Dials a new address; the old one is let go once the new tells, or closes by itself."""
+        """Connects to a new address. The old connection is followed until the new one has synced, or until the old
+        side closes it."""
         reader, link = self.reader, self.link
-        if self.old is not None and self.old.up:
-            link.close()  # it has not told yet: the one that did goes on until another does
+        if self.previous_link is not None and self.previous_link.connected:
+            link.close()  # not synced yet: the previous link continues until another has synced
         else:
-            self.old, link.closed = link, True
-            if link.up:
-                link.stream.on_data = lambda data: self._take(reader, link, data)
+            self.previous_link, link.closed = link, True
+            if link.connected:
+                link.stream.on_data = lambda data: self._feed(reader, link, data)
             else:
                 link.close()
-        self._begin(address)
+        self._connect(address)
 
     def _open(self) -> None:
-        self.reader, self.opened_at = self.make(), self.service.loop.clock()
-        self.link.write(self.reader.ask())
+        self.reader, self.opened_at = self.make_reader(), self.service.loop.clock()
+        self.link.write(self.reader.request())
 
     def _data(self, data: bytes) -> None:
-        self._take(self.reader, self.link, data)
-        if self.reader.spoke:
-            self.spoke = True
-            self.link.proved()
-            if self.old is not None:
-                self.old.close()
-                self.old = None
-        self.service.look_ready()
-
-    def _take(self, reader: News | Watch, link: Link, data: bytes) -> None:
+        self._feed(self.reader, self.link, data)
+        if self.reader.synced:
+            self.synced = True
+            self.link.reset_backoff()
+            if self.previous_link is not None:
+                self.previous_link.close()
+                self.previous_link = None
+        self.service.check_ready()
+
+    def _feed(self, reader: NotificationReader | Watch, link: Link, data: bytes) -> None:
         try:
-            self.service.hear(reader.take(data, self.service.loop.clock()))
-        except (Spoilt, Broken) as error:
+            self.service.handle_events(reader.feed(data, self.service.loop.clock()))
+        except (ProtocolError, WatchFailed) as error:
             reason, *events = error.args
-            self.service.hear([event for told in events for event in told])
-            self.service._note(f"{self.name}_{self.spoilt}", reason=reason)
-            link.drop(self.spoilt)
-
-    def look(self, now: float) -> None:
-        """Guards against a connection that stands and says nothing, or only what never becomes a line."""
-        if self.link.up and now - max(self.opened_at, self.reader.heard_at) > self.silent:
+            self.service.handle_events([event for batch in events for event in batch])
+            self.service._log_limited(f"{self.name}_{self.malformed}", reason=reason)
+            link.drop(self.malformed)
+
+    def check(self, now: float) -> None:
+        """Drops a silent connection. Guards against a connection that stays open and sends nothing, or only bytes that
+        never complete a line."""
+        if self.link.connected and now - max(self.opened_at, self.reader.received_at) > self.silence_timeout:
             self.link.drop("silent")
 
 
 class Watcher(Follower):
-    """News of proxies."""
+    """Follows the relay's notifications of proxies."""
 
-    name, spoilt, silent = "news", "spoilt", NEWS_SILENT
+    name, malformed, silence_timeout = "news", "spoilt", NOTIFICATION_TIMEOUT_S
 
-    def make(self) -> News:
-        return News(self.service.host.words, self.service.host.joins)
+    def make_reader(self) -> NotificationReader:
+        """A reader that merges this connection into the shared state of joined proxies."""
+        return NotificationReader(self.service.host.codec, self.service.host.joins)
 
-    def look(self, now: float) -> None:
-        super().look(now)
-        if self.link.up:
-            self.service.hear(self.reader.agree())
+    def check(self, now: float) -> None:
+        """Also corrects proxies whose state this connection has contradicted for longer than the maximum lag."""
+        super().check(now)
+        if self.link.connected:
+            self.service.handle_events(self.reader.reconcile())
 
 
 class Discovery(Follower):
-    """The watch of the list."""
+    """Follows discovery's list of servers."""
 
-    name, spoilt, silent = "discovery", "broken", SILENT
+    name, malformed, silence_timeout = "discovery", "broken", SILENCE_TIMEOUT_S
 
-    def make(self) -> Watch:
+    def make_reader(self) -> Watch:
+        """A watch that continues from the roster's version."""
         return Watch(self.service.host.roster, self.host)
 
 
-def memory() -> float:
-    """MB that the process holds, as the kernel counts them."""
+def resident_mb() -> float:
+    """Resident memory of the process in MB (2**20 bytes), as counted by the kernel; 0 if not available."""
     try:
         with open("/proc/self/statm") as file:
             return round(int(file.read().split()[1]) * resource.getpagesize() / 2**20, 2)
@@ -479,7 +507,7 @@
         return 0.0
 
 
-def settle_memory() -> None:
-    """What stands after the start is not looked through again for garbage."""
+def freeze_startup_objects() -> None:
+    """Excludes the objects that exist after the start from garbage collection."""
     gc.collect()
     gc.freeze()
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""Who is joined, as two connections with news tell it: drawn histories against a plain model."""
+"""Joined proxies as merged from two connections with notifications: random histories against a simple model."""
 
 import json
 from random import Random
@@ -6,11 +6,11 @@
 import pytest
 
 from driftshed import interface as face
-from driftshed.node.relay import BEHIND, NEWS_SILENT, Joins, News, Spoilt
-from tests.platforms import WORDS
+from driftshed.node.relay import MAX_LAG_S, NOTIFICATION_TIMEOUT_S, JoinState, NotificationReader, ProtocolError
+from tests.platforms import CODEC
 
 PROXIES = 3
-LEAST_AWAY = 0.33  # seconds from a proxy's leaving until it may come back, as the platform has it
+MIN_ABSENCE_S = 0.33  # the platform's minimum time from a proxy's leaving until it rejoins
 
 
 def line(method: str, proxy: int | None = None, new: bool = True) -> bytes:
@@ -20,154 +20,161 @@
 
 
 class Relay:
-    """What is true: who is joined, since when; and the connections that are told of it, each as late as it is."""
+    """The true state, which proxies are joined and since when, and the connections notified of it, each with a lag."""
 
     def __init__(self, random: Random, lag: float) -> None:
         self.random, self.lag = random, lag
-        self.since: dict[int, float] = {}  # of each that is joined
-        self.ways: list[Way] = []
+        self.since: dict[int, float] = {}  # of each joined proxy
+        self.connections: list[Connection] = []
 
-    def change(self, proxy: int, now: float) -> None:
+    def toggle(self, proxy: int, now: float) -> None:
         if proxy in self.since:
             del self.since[proxy]
         else:
             self.since[proxy] = now
-        for way in self.ways:
-            way.put(line("SUBSCRIBE" if proxy in self.since else "CLOSED", proxy), now, proxy)
+        for connection in self.connections:
+            connection.put(line("SUBSCRIBE" if proxy in self.since else "CLOSED", proxy), now, proxy)
 
 
-class Way:
-    """A connection: lines under way, in order, each when it arrives."""
+class Connection:
+    """A connection with its lines in flight, in order, each with its time of arrival."""
 
-    def __init__(self, relay: Relay, joins: Joins, now: float) -> None:
-        self.relay, self.news = relay, News(WORDS, joins)
-        self.under_way: list[tuple[float, bytes, int | None]] = []
-        self.opened_at, self.quiet_until = now, 0.0
+    def __init__(self, relay: Relay, joins: JoinState, now: float) -> None:
+        self.relay, self.reader = relay, NotificationReader(CODEC, joins)
+        self.in_flight: list[tuple[float, bytes, int | None]] = []
+        self.opened_at, self.stalled_until = now, 0.0
         self.put(b'{"id":1,"result":true}\n', now, None)
         for proxy in relay.since:
             self.put(line("SUBSCRIBE", proxy, new=False), now, None)
         self.put(line("ping"), now, None)
 
     def put(self, text: bytes, now: float, proxy: int | None) -> None:
-        """`proxy`: whose beginning or end the line tells, where it is no part of what stood at first."""
-        last = self.under_way[-1][0] if self.under_way else 0.0
-        at = max(last, self.quiet_until, now + self.relay.random.uniform(0, self.relay.lag))
-        self.under_way.append((at, text, proxy))
-
-    def hear(self, now: float) -> tuple[list, set[int]]:
-        """The events, and whose joinings were told."""
-        events, told = [], set()
-        while self.under_way and self.under_way[0][0] <= now:
-            _, text, proxy = self.under_way.pop(0)
-            events += self.news.take(text, now)
+        """`proxy`: the proxy that the line reports as joining or leaving; None for lines of the initial read and
+        pings."""
+        last = self.in_flight[-1][0] if self.in_flight else 0.0
+        at = max(last, self.stalled_until, now + self.relay.random.uniform(0, self.relay.lag))
+        self.in_flight.append((at, text, proxy))
+
+    def receive(self, now: float) -> tuple[list, set[int]]:
+        """The events, and the proxies that were reported as joining."""
+        events, joined = [], set()
+        while self.in_flight and self.in_flight[0][0] <= now:
+            _, text, proxy = self.in_flight.pop(0)
+            events += self.reader.feed(text, now)
             if proxy is not None and b"SUBSCRIBE" in text:
-                told.add(proxy)
-        return events, told
+                joined.add(proxy)
+        return events, joined
 
 
-def play(seed: int, lag: float) -> tuple[int, int]:
-    """One history; the events that the module heard and those that one perfect connection would have told. Fails where
-    a joining that was told has not reached the module since, or where what is held is not what is true in the end."""
+def run_history(seed: int, lag: float) -> tuple[int, int]:
+    """Runs one history. Returns the number of events for the module and the number of true changes.
+
+    Fails if a reported join of a proxy that is still joined has not reached the module, or if the joined proxies at the
+    end are not the true ones."""
     random = Random(seed)
-    relay, joins = Relay(random, lag), Joins()
-    ways: list[Way | None] = [Way(relay, joins, 0.0) for _ in range(2)]
-    relay.ways = [way for way in ways if way]
-    back_at: dict[int, float] = {}
-    again_at = [0.0, 0.0]
-    heard = changes = 0
-    joined_at: dict[int, float] = {}  # when the module last heard of a proxy's joining
-    told_since: dict[int, float] = {}  # the joining that some connection told, as a beginning: since when it stands
-    now, next_ping, next_look = 0.0, 1.0, 1.0
+    relay, joins = Relay(random, lag), JoinState()
+    connections: list[Connection | None] = [Connection(relay, joins, 0.0) for _ in range(2)]
+    relay.connections = [connection for connection in connections if connection]
+    may_rejoin_at: dict[int, float] = {}
+    reconnect_at = [0.0, 0.0]
+    received = changes = 0
+    joined_at: dict[int, float] = {}  # when the module last received a proxy's join
+    # Time of the true join that some connection has reported as a change.
+    announced_since: dict[int, float] = {}
+    now, next_ping, next_check = 0.0, 1.0, 1.0
     while now < 40.0:
         now += 0.02
         busy = now < 30.0
         if busy and random.random() < 0.04:
             proxy = random.randrange(PROXIES)
-            if now >= back_at.get(proxy, 0.0):
-                relay.change(proxy, now)
+            if now >= may_rejoin_at.get(proxy, 0.0):
+                relay.toggle(proxy, now)
                 changes += 1
                 if proxy not in relay.since:
-                    back_at[proxy] = now + LEAST_AWAY + random.expovariate(2.0)
-        for k, way in enumerate(ways):
-            if way is None:
-                if now >= again_at[k]:
-                    ways[k] = Way(relay, joins, now)
-            elif busy and random.random() < 0.004:  # it breaks, and what was under way is lost
-                ways[k], again_at[k] = None, now + random.choice([0.0, 0.0, 0.02, 0.3])
-            elif busy and random.random() < 0.002:  # it says nothing for a while; what comes after comes late
-                way.quiet_until = now + random.uniform(0.0, 2 * NEWS_SILENT)
-        relay.ways = [way for way in ways if way]
+                    may_rejoin_at[proxy] = now + MIN_ABSENCE_S + random.expovariate(2.0)
+        for k, connection in enumerate(connections):
+            if connection is None:
+                if now >= reconnect_at[k]:
+                    connections[k] = Connection(relay, joins, now)
+            elif busy and random.random() < 0.004:  # it breaks and loses the lines in flight
+                connections[k], reconnect_at[k] = None, now + random.choice([0.0, 0.0, 0.02, 0.3])
+            elif busy and random.random() < 0.002:  # it stalls, and later lines arrive late
+                connection.stalled_until = now + random.uniform(0.0, 2 * NOTIFICATION_TIMEOUT_S)
+        relay.connections = [connection for connection in connections if connection]
         if now >= next_ping:
             next_ping += 1.0
-            for way in relay.ways:
-                way.put(line("ping"), now, None)
+            for connection in relay.connections:
+                connection.put(line("ping"), now, None)
         events = []
-        for way in relay.ways:
-            more, told = way.hear(now)
+        for connection in relay.connections:
+            more, joined = connection.receive(now)
             events += more
-            told_since |= {proxy: relay.since[proxy] for proxy in told if proxy in relay.since}
-        if now >= next_look:
-            next_look += 1.0
-            for k, way in enumerate(ways):
-                if way and now - max(way.opened_at, way.news.heard_at) > NEWS_SILENT:
-                    ways[k], again_at[k] = None, now
-                elif way:
-                    events += way.news.agree()
-            relay.ways = [way for way in ways if way]
-        heard += len(events)
+            announced_since |= {proxy: relay.since[proxy] for proxy in joined if proxy in relay.since}
+        if now >= next_check:
+            next_check += 1.0
+            for k, connection in enumerate(connections):
+                if (
+                    connection
+                    and now - max(connection.opened_at, connection.reader.received_at) > NOTIFICATION_TIMEOUT_S
+                ):
+                    connections[k], reconnect_at[k] = None, now
+                elif connection:
+                    events += connection.reader.reconcile()
+            relay.connections = [connection for connection in connections if connection]
+        received += len(events)
         for event in events:
             if isinstance(event, face.Joined):
                 joined_at[event.proxy] = now
     assert sorted(joins.held) == sorted(relay.since)
     for proxy, since in relay.since.items():
-        if told_since.get(proxy) == since:  # somebody told it: then the module has heard of it since
+        if announced_since.get(proxy) == since:  # reported by a connection, so it must have reached the module
             assert joined_at[proxy] >= since, (proxy, since, joined_at[proxy])
-    return heard, changes
+    return received, changes
 
 
 @pytest.mark.parametrize("lag", [0.0, 0.05, 0.3])
-def test_drawn_histories_of_two_connections_end_in_what_is_true(lag):
-    heard = changes = 0
+def test_random_histories_of_two_connections_end_in_the_true_state(lag):
+    received = changes = 0
     for seed in range(400):
-        one = play(seed, lag)
-        heard, changes = heard + one[0], changes + one[1]
+        one = run_history(seed, lag)
+        received, changes = received + one[0], changes + one[1]
     assert changes > 5000
-    # What is said twice costs a binding: little of it, and none where nothing is late but for what breaks hide.
-    assert heard < changes * (1.02 + lag)
+    # A repeated event costs a binding: few are allowed with lag; without it only broken connections may cause them.
+    assert received < changes * (1.02 + lag)
 
 
-def told(joins: Joins, now: float, *lines: bytes) -> tuple[News, list]:
-    news = News(WORDS, joins)
-    return news, news.take(b'{"id":1,"result":true}\n' + b"".join(lines), now)
+def synced_reader(joins: JoinState, now: float, *lines: bytes) -> tuple[NotificationReader, list]:
+    reader = NotificationReader(CODEC, joins)
+    return reader, reader.feed(b'{"id":1,"result":true}\n' + b"".join(lines), now)
 
 
-def test_a_connection_begun_while_another_was_two_behind_is_heard_when_it_is_alone():
-    joins = Joins()
-    first, _ = told(joins, 0.0, line("SUBSCRIBE", 1), line("ping"))
-    # The proxy leaves and comes back; the second begins then, before the first has told it.
-    second, _ = told(joins, 1.0, line("SUBSCRIBE", 1, new=False), line("ping"))
-    assert [type(e).__name__ for e in first.take(line("CLOSED", 1) + line("SUBSCRIBE", 1), 1.1)] == ["Left", "Joined"]
-    # The first breaks. What the second tells now is new, and is heard.
-    later = 1.2 + BEHIND
-    events = second.take(line("CLOSED", 1) + line("SUBSCRIBE", 1), later)
+def test_a_connection_opened_while_another_lagged_by_two_is_followed_alone():
+    joins = JoinState()
+    first, _ = synced_reader(joins, 0.0, line("SUBSCRIBE", 1), line("ping"))
+    # The proxy leaves and rejoins. The second connection is opened then, before the first has reported it.
+    second, _ = synced_reader(joins, 1.0, line("SUBSCRIBE", 1, new=False), line("ping"))
+    assert [type(e).__name__ for e in first.feed(line("CLOSED", 1) + line("SUBSCRIBE", 1), 1.1)] == ["Left", "Joined"]
+    # The first breaks. What the second reports now is new and must reach the module.
+    later = 1.2 + MAX_LAG_S
+    events = second.feed(line("CLOSED", 1) + line("SUBSCRIBE", 1), later)
     assert [type(event).__name__ for event in events] == ["Left", "Joined"]
 
 
-def test_what_one_alone_told_is_taken_back_by_the_other_only_if_it_has_told_things_since():
-    joins = Joins()
-    first, _ = told(joins, 0.0, line("ping"))
-    second, _ = told(joins, 0.0, line("ping"))
-    assert len(first.take(line("SUBSCRIBE", 1), 1.0)) == 1
-    assert second.agree() == [] and 1 in joins.held  # it has said nothing since: it may be cut off itself
-    second.take(line("ping"), 1.5)
-    assert second.agree() == []
-    second.take(line("ping"), 1.1 + BEHIND)
-    assert second.agree() == [face.Left(1)] and not joins.held
-
-
-def test_what_was_told_before_a_line_that_cannot_be_read_is_heard():
-    joins = Joins()
-    news, _ = told(joins, 0.0, line("ping"))
-    with pytest.raises(Spoilt) as found:
-        news.take(line("SUBSCRIBE", 2) + b"?\n" + line("SUBSCRIBE", 3), 1.0)
-    assert [event.proxy for event in found.value.args[1]] == [2] and sorted(joins.held) == [2]
+def test_a_join_seen_by_one_connection_is_revoked_only_by_a_live_other():
+    joins = JoinState()
+    first, _ = synced_reader(joins, 0.0, line("ping"))
+    second, _ = synced_reader(joins, 0.0, line("ping"))
+    assert len(first.feed(line("SUBSCRIBE", 1), 1.0)) == 1
+    assert second.reconcile() == [] and 1 in joins.held  # it has sent nothing since and may itself be cut off
+    second.feed(line("ping"), 1.5)
+    assert second.reconcile() == []
+    second.feed(line("ping"), 1.1 + MAX_LAG_S)
+    assert second.reconcile() == [face.Left(1)] and not joins.held
+
+
+def test_events_before_a_malformed_line_are_delivered():
+    joins = JoinState()
+    reader, _ = synced_reader(joins, 0.0, line("ping"))
+    with pytest.raises(ProtocolError) as raised:
+        reader.feed(line("SUBSCRIBE", 2) + b"?\n" + line("SUBSCRIBE", 3), 1.0)
+    assert [event.proxy for event in raised.value.args[1]] == [2] and sorted(joins.held) == [2]
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,4 +1,4 @@
-"""Settings of another customer: odd but legal ones give usable facts, others a plain message and code 2."""
+"""Settings of other deployments: unusual but valid ones give usable facts, others a plain message and exit code 2."""
 
 import os
 import subprocess
@@ -14,9 +14,9 @@
 from driftshed.adapter.facts import START_FACTS, BadInput
 from driftshed.brain import Brain
 from driftshed.node import config
-from driftshed.node.codec import Bad, Facts
+from driftshed.node.codec import InvalidMessage, PlatformCodec
 from driftshed.node.discovery import Roster
-from tests.platforms import listed, told
+from tests.platforms import server_entry, told
 
 NAMES = st.text(min_size=1, max_size=12)
 AMOUNTS = st.one_of(
@@ -32,17 +32,18 @@
 PATHS = [path for path, *_ in START_FACTS]
 
 
-def tried(given_: object) -> config.Told | str:
-    """What a supervisor is told, or why it ends. Whatever it is told, the module stands on it and hears a list."""
+def try_configuration(document: object) -> config.Told | str:
+    """The parsed configuration, or the message with which the supervisor exits. With any configuration that is accepted
+    the module must handle a list, joins, reports and timers."""
     try:
-        made = config.checked(given_, {})
+        made = config.parse(document, {})
     except BadInput as error:
         assert str(error) and "\n" not in str(error)
         return str(error)
-    words = Facts(made.facts, 0.0, made.names)
-    roster = Roster(words)
-    servers = [listed(n, zone=zone, kind=made.names.kinds[0]) for n, zone in enumerate(made.names.zones[:3])]
-    events = roster.hear({"version": 1, "full": True, "servers": servers})
+    codec = PlatformCodec(made.facts, 0.0, made.names)
+    roster = Roster(codec)
+    servers = [server_entry(n, zone=zone, kind=made.names.kinds[0]) for n, zone in enumerate(made.names.zones[:3])]
+    events = roster.apply({"version": 1, "full": True, "servers": servers})
     brain = Brain(made.facts, made.seed, 100.0)
     events += [face.Joined(k % len(made.facts.zones), True, k, 5.0) for k in range(min(3, made.facts.proxies))]
     events += [face.Heard(1, f"s-{n}".encode(), 10, 0.5, 0, 0.1, None) for n in range(len(servers))]
@@ -51,13 +52,13 @@
     for now in (101.0, 103.5, 110.0):
         orders += brain.handle(now, [face.TimerDue(0)])
     for order in orders:
-        msgspec.json.encode(words.operation(order, 0))
+        msgspec.json.encode(codec.encode_order(order, 0))
     return made
 
 
 def put(top: dict, path: str, value: object) -> None:
-    *way, last = path.split(".")
-    for name in way:
+    *parents, last = path.split(".")
+    for name in parents:
         top = top.setdefault(name, {}) if isinstance(top.get(name, {}), dict) else {}
     top[last] = value
 
@@ -72,10 +73,10 @@
 @example([("invariants.askWithinUs", "\n")])
 @example([("invariants.tipMultiple", 1.7e-205)])
 def test_any_figure_is_a_usable_fact_or_a_plain_message(changes):
-    given_ = deepcopy(told())
+    document = deepcopy(told())
     for path, value in changes:
-        put(given_["settings"], path, value)
-    tried(given_)
+        put(document["settings"], path, value)
+    try_configuration(document)
 
 
 LANE = st.fixed_dictionaries(
@@ -96,10 +97,10 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(LANE, max_size=20), st.lists(NAMES, max_size=5), st.lists(NAMES, max_size=3))
 def test_any_operations_zones_and_kinds_are_usable_or_refused_plainly(lanes, zones, kinds):
-    given_ = deepcopy(told())
-    given_["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
-    given_["known"] = {}
-    tried(given_)
+    document = deepcopy(told())
+    document["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
+    document["known"] = {}
+    try_configuration(document)
 
 
 GOOD = st.fixed_dictionaries(
@@ -123,37 +124,37 @@
     st.lists(NAMES, min_size=1, max_size=4, unique=True),
 )
 def test_odd_but_legal_names_and_classes_are_served_under_the_names_they_have(lanes, names, zones, kinds):
-    given_ = deepcopy(told())
+    document = deepcopy(told())
     lanes = [lane | {"name": name} for lane, name in zip(lanes, names, strict=False)]
-    given_["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
-    given_["known"] = {}
-    made = tried(given_)
+    document["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
+    document["known"] = {}
+    made = try_configuration(document)
     assert isinstance(made, config.Told), made
-    words = Facts(made.facts, 0.0, made.names)
+    codec = PlatformCodec(made.facts, 0.0, made.names)
     for place, zone in enumerate(zones):
-        assert words.zones[zone] == place
+        assert codec.zones[zone] == place
     for place, lane in enumerate(lanes):
         rate = [b"RATE", b"id", b"0", b"lane", lane["name"].encode(), b"count", b"1", b"fail", b"0", b"over", b"500"]
-        assert words.report(rate, None).operation == place
-        op = words.operation(face.SetLevel(0, 0.5, 1 << place, 1), 0)
+        assert codec.decode_report(rate, None).operation == place
+        op = codec.encode_order(face.SetLevel(0, 0.5, 1 << place, 1), 0)
         assert op["classes"] == [lane["name"]]
 
 
 def test_a_load_field_of_the_deployments_own_costs_no_report():
-    given_ = deepcopy(told())
-    given_["settings"]["report"]["fields"] = ["cpu_share", "x0"]
-    made = tried(given_)
-    words = Facts(made.facts, 0.0, made.names)
+    document = deepcopy(told())
+    document["settings"]["report"]["fields"] = ["cpu_share", "x0"]
+    made = try_configuration(document)
+    codec = PlatformCodec(made.facts, 0.0, made.names)
     fields = {"site": "east", "target": "s-1", "count": "9", "fail": "0", "mean": "41.7", "over": "1000"}
     report = [b"LOAD", *(each.encode() for pair in fields.items() for each in pair), b"util"]
-    assert words.report([*report, b"util:0.5,x0:7.25"], lambda name: True).load == (0.5, 7.25)
-    for spoilt in (b"util:0.5", b"util:0.5,x1:3", b"util:0.5,x0:1,x0:2", b"x0"):
-        with pytest.raises(Bad):
-            words.report([*report, spoilt], lambda name: True)
+    assert codec.decode_report([*report, b"util:0.5,x0:7.25"], lambda name: True).load == (0.5, 7.25)
+    for malformed in (b"util:0.5", b"util:0.5,x1:3", b"util:0.5,x0:1,x0:2", b"x0"):
+        with pytest.raises(InvalidMessage):
+            codec.decode_report([*report, malformed], lambda name: True)
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "overrides, expected",
     [
         ({"lanes": []}, "lanes"),
         ({"lanes": {"count": 10**9}}, "lanes"),
@@ -161,15 +162,15 @@
         ({"lanes": [{"name": "a", "sloUs": 0, "worth": 1, "effect": "fragile"}]}, "lanes.0.sloUs"),
         ({"lanes": [{"name": "a", "sloUs": 5, "effect": "fragile"}]}, "lanes.0.worth"),
         ({"quantumUs": 0}, "quantumUs"),
-        ({"domain": 5}, "say nothing of domain"),
+        ({"domain": 5}, "do not specify domain"),
         ({"hostTypes": [""]}, "hostTypes"),
     ],
 )
-def test_a_refusal_names_the_field(change, said):
-    given_ = deepcopy(told())
-    given_["settings"] |= change
-    refusal = tried(given_)
-    assert isinstance(refusal, str) and said in refusal
+def test_a_refusal_names_the_field(overrides, expected):
+    document = deepcopy(told())
+    document["settings"] |= overrides
+    refusal = try_configuration(document)
+    assert isinstance(refusal, str) and expected in refusal
 
 
 @pytest.mark.parametrize("text", [b"", b"[" * 100_000, b'{"settings": "\xff"}', b"null", b'{"settings": {}}'])
