--- a/driftshed/adapter/codec.py
+++ b/driftshed/adapter/codec.py
@@ -23,7 +23,7 @@
         """The next `count` bytes."""
         if self.position + count > self.end:
             raise BadInput(
-                f"{self.label}: {count} bytes wanted at byte {self.position}, {self.end - self.position} left"
+                f"{self.label}: {count} bytes expected at byte {self.position}, {self.end - self.position} left"
             )
         self.position += count
         return self.data[self.position - count : self.position]
@@ -169,5 +169,5 @@
         body = stream.read(length) if length is not None else b""
         if length is None or len(body) < length:
             expected = "4 bytes of length" if length is None else f"{length} bytes"
-            raise BadInput(f"frame cut short: {expected} wanted, {len(body) if length else len(header)} came")
+            raise BadInput(f"frame truncated: {expected} expected, {len(body) if length else len(header)} received")
         yield body
--- a/driftshed/node/relay.py
+++ b/driftshed/node/relay.py
@@ -78,11 +78,11 @@
             if index or self.sent_at is None:
                 call.ops = ops
 
-    def connected(self) -> None:
+    def connection_opened(self) -> None:
         """Resets the state of the connection when a new one is established."""
         self.line_reader, self.sent_at = LineReader(), None
 
-    def disconnected(self) -> bool:
+    def connection_lost(self) -> bool:
         """Records the end of the connection. Returns whether the result of an outstanding call is unknown."""
         lost = self.sent_at is not None
         self.in_doubt |= lost
--- a/driftshed/node/resp.py
+++ b/driftshed/node/resp.py
@@ -75,7 +75,7 @@
         return int(digits)
 
 
-def message(*words: str) -> bytes:
+def message(*strings: str) -> bytes:
     """One encoded message."""
-    parts = [word.encode() for word in words]
+    parts = [string.encode() for string in strings]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
--- a/driftshed/node/service.py
+++ b/driftshed/node/service.py
@@ -90,9 +90,9 @@
         """Lines in the channel for the orders with this mark, as the module counts them."""
         return sum(lines for each, lines, _ in self.brain.channel if each == mark)
 
-    def orders_disconnected(self, now: float) -> None:
+    def orders_connection_lost(self, now: float) -> None:
         """Handles the end of the connection for calls."""
-        if self.orders.disconnected():
+        if self.orders.connection_lost():
             before = self.brain._waiting() - self.lines_of_mark(self.orders.waiting[0].mark)
             self.channel.call_in_doubt(now, before)
 
@@ -252,7 +252,7 @@
         return Link(self.loop, self.random, relay, self._orders_open, self._orders_data, self._orders_lost)
 
     def _orders_open(self) -> None:
-        self.host.orders.connected()
+        self.host.orders.connection_opened()
         self._schedule_turn()
 
     def _orders_data(self, data: bytes) -> None:
@@ -265,7 +265,7 @@
         self._schedule_turn()
 
     def _orders_lost(self, reason: str) -> None:
-        self.host.orders_disconnected(self.loop.clock())
+        self.host.orders_connection_lost(self.loop.clock())
         self._schedule_turn()
 
     # ---- incoming connections ---------------------------------------------------------------------------------
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -244,13 +244,13 @@
         channel.observe_latency(0.1)
         channel.call_in_doubt(100.0, 500.0)
     at_pace = 500.0 / facts.lines_per_second + facts.worst_transit
-    most = facts.queue_cap
-    bound = 2 * most / facts.lines_per_second + facts.worst_transit  # without a bound a call could wait for ever
+    cap = facts.queue_cap
+    bound = 2 * cap / facts.lines_per_second + facts.worst_transit  # without a bound a call could wait for ever
     assert fast.disproved_at == pytest.approx(100.0 + at_pace) and 103.0 < slow.disproved_at <= 100.0 + bound
-    assert not slow.may_repeat(100.0 + at_pace, most, most, False)
-    assert fast.may_repeat(100.0 + at_pace, most, most, False) and not fast.rows
+    assert not slow.may_repeat(100.0 + at_pace, cap, cap, False)
+    assert fast.may_repeat(100.0 + at_pace, cap, cap, False) and not fast.rows
     # A call whose mark was answered counts when it is repeated, however late.
-    assert fast.may_repeat(100.0 + at_pace, most, most, True) and fast.lines(100.0 + at_pace) == most
+    assert fast.may_repeat(100.0 + at_pace, cap, cap, True) and fast.lines(100.0 + at_pace) == cap
     slow.add(100.0, 50.0, 10.0)
     assert slow.lines(101.0) == 50.0 and slow.lines(110.0) == 0
     for _ in range(300):
@@ -321,7 +321,7 @@
         calls.enqueue([put(1), binding, put(2), mark])
         assert calls.next_call(0.0)
         calls.drop_proxies(left)  # the proxy may have left before its binding was read
-        assert calls.disconnected() and calls.in_doubt
+        assert calls.connection_lost() and calls.in_doubt
         calls.mark_answered(8)
         assert not calls.mark_seen  # the mark of another call
         calls.mark_answered(9)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -200,7 +200,7 @@
 def queued_orders(*orders) -> OrderQueue:
     calls = OrderQueue()
     calls.enqueue([CODEC.encode_order(order, 256) for order in orders or ORDERS])
-    calls.connected()
+    calls.connection_opened()
     return calls
 
 
@@ -257,10 +257,10 @@
     _, before = decode_call(calls.next_call(0.0))
     with pytest.raises(ProtocolError):
         calls.feed(answer + b"\n", 0.01)
-    calls.disconnected()
+    calls.connection_lost()
     assert calls.next_call(0.02) is not None and calls.repeats == 1
-    calls.disconnected()
-    calls.connected()
+    calls.connection_lost()
+    calls.connection_opened()
     number, again = decode_call(calls.next_call(0.03))
     assert again == before and number == 3
     calls.feed(b'{"id":3,"result":{"accepted":4}}\n', 0.04)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -36,27 +36,27 @@
     """The parsed configuration, or the message with which the supervisor exits. With any configuration that is accepted
     the module must handle a list, joins, reports and timers."""
     try:
-        made = config.parse(document, {})
+        parsed = config.parse(document, {})
     except BadInput as error:
         assert str(error) and "\n" not in str(error)
         return str(error)
-    codec = PlatformCodec(made.facts, 0.0, made.names)
+    codec = PlatformCodec(parsed.facts, 0.0, parsed.names)
     roster = Roster(codec)
-    servers = [server_entry(n, zone=zone, kind=made.names.kinds[0]) for n, zone in enumerate(made.names.zones[:3])]
+    servers = [server_entry(n, zone=zone, kind=parsed.names.kinds[0]) for n, zone in enumerate(parsed.names.zones[:3])]
     events = roster.apply({"version": 1, "full": True, "servers": servers})
-    brain = Brain(made.facts, made.seed, 100.0)
-    events += [face.Joined(k % len(made.facts.zones), True, k, 5.0) for k in range(min(3, made.facts.proxies))]
+    brain = Brain(parsed.facts, parsed.seed, 100.0)
+    events += [face.Joined(k % len(parsed.facts.zones), True, k, 5.0) for k in range(min(3, parsed.facts.proxies))]
     events += [face.Heard(1, f"s-{n}".encode(), 10, 0.5, 0, 0.1, None) for n in range(len(servers))]
-    events += [face.Demand(5, 0, 0.5, 0, place) for place in range(len(made.facts.operations))]
+    events += [face.Demand(5, 0, 0.5, 0, place) for place in range(len(parsed.facts.operations))]
     orders = brain.handle(100.0, events)
     for now in (101.0, 103.5, 110.0):
         orders += brain.handle(now, [face.TimerDue(0)])
     for order in orders:
         msgspec.json.encode(codec.encode_order(order, 0))
-    return made
+    return parsed
 
 
-def put(top: dict, path: str, value: object) -> None:
+def set_path(top: dict, path: str, value: object) -> None:
     *parents, last = path.split(".")
     for name in parents:
         top = top.setdefault(name, {}) if isinstance(top.get(name, {}), dict) else {}
@@ -72,10 +72,10 @@
 @example([("zones", [])])
 @example([("invariants.askWithinUs", "\n")])
 @example([("invariants.tipMultiple", 1.7e-205)])
-def test_any_figure_is_a_usable_fact_or_a_plain_message(changes):
+def test_any_value_is_a_usable_fact_or_a_plain_message(changes):
     document = deepcopy(told())
     for path, value in changes:
-        put(document["settings"], path, value)
+        set_path(document["settings"], path, value)
     try_configuration(document)
 
 
@@ -128,9 +128,9 @@
     lanes = [lane | {"name": name} for lane, name in zip(lanes, names, strict=False)]
     document["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
     document["known"] = {}
-    made = try_configuration(document)
-    assert isinstance(made, config.Told), made
-    codec = PlatformCodec(made.facts, 0.0, made.names)
+    parsed = try_configuration(document)
+    assert isinstance(parsed, config.Told), parsed
+    codec = PlatformCodec(parsed.facts, 0.0, parsed.names)
     for place, zone in enumerate(zones):
         assert codec.zones[zone] == place
     for place, lane in enumerate(lanes):
@@ -143,8 +143,8 @@
 def test_a_load_field_of_the_deployments_own_costs_no_report():
     document = deepcopy(told())
     document["settings"]["report"]["fields"] = ["cpu_share", "x0"]
-    made = try_configuration(document)
-    codec = PlatformCodec(made.facts, 0.0, made.names)
+    parsed = try_configuration(document)
+    codec = PlatformCodec(parsed.facts, 0.0, parsed.names)
     fields = {"site": "east", "target": "s-1", "count": "9", "fail": "0", "mean": "41.7", "over": "1000"}
     report = [b"LOAD", *(each.encode() for pair in fields.items() for each in pair), b"util"]
     assert codec.decode_report([*report, b"util:0.5,x0:7.25"], lambda name: True).load == (0.5, 7.25)
