--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -373,9 +373,8 @@
     events = [event for k in range(len(data)) for event in watch.feed(data[k : k + 1], 0.0)]
     assert [event.version for event in events] == [4]
     assert roster.entries[b"s-3"].started == pytest.approx(100.5) and roster.entries[b"s-2"].state == face.DRAINING
-    assert (
-        watch.feed(chunk(roster_update(3, server_entry(3, "removed"))) + chunk(roster_update(4)), 0.0) == []
-    )  # an older version, and the same one again
+    # An older version, and the same one again.
+    assert watch.feed(chunk(roster_update(3, server_entry(3, "removed"))) + chunk(roster_update(4)), 0.0) == []
     watch.feed(chunk(roster_update(5, server_entry(2, "removed"))), 0.0)
     assert sorted(roster.entries) == [b"s-1", b"s-3"]
 
