--- a/driftshed/node/codec.py
+++ b/driftshed/node/codec.py
@@ -35,7 +35,7 @@
 def parse_server_id(name: object) -> face.Server:
     """The id under which the module knows a server. Raises InvalidMessage."""
     if not isinstance(name, str) or not 0 < len(name) <= MAX_SERVER_ID_LENGTH:
-        raise InvalidMessage("an invalid server id")
+        raise InvalidMessage("a server's id is none")
     return name.encode()
 
 
@@ -45,7 +45,7 @@
     try:
         number = float(value)  # type: ignore[arg-type]
     except (TypeError, ValueError):
-        raise InvalidMessage("not a number") from None
+        raise InvalidMessage("a number is none") from None
     if isinstance(value, bool) or not isfinite(number) or not 0 <= number <= maximum or (positive and not number):
         raise InvalidMessage("a number is out of range")
     return number
@@ -55,7 +55,7 @@
     """An integer from 0 to `maximum`, from a number or its text. Raises InvalidMessage."""
     number = parse_number(value, maximum)
     if number != int(number):
-        raise InvalidMessage("a count is not an integer")
+        raise InvalidMessage("a count is not whole")
     return int(number)
 
 
@@ -111,7 +111,7 @@
                 return self._decode_demand(fields)
         except KeyError:
             raise InvalidMessage("a field is missing") from None
-        raise InvalidMessage("an unknown kind of report")
+        raise InvalidMessage("no kind of report")
 
     def _decode_load(self, fields: dict[str, str], is_listed) -> face.Heard:
         name = parse_server_id(fields["target"])
--- a/driftshed/node/service.py
+++ b/driftshed/node/service.py
@@ -290,7 +290,7 @@
         if not peer.pinged:
             self._reject(stream, "did not join")
         elif len(pingers) > MAX_PINGERS:
-            self._reject(pingers[0], "too many pinging peers")
+            self._reject(pingers[0], "too many askers")
 
     def _reject(self, stream: Stream, reason: str) -> None:
         self.dropped[reason] += 1
