--- a/driftshed/core/hosting.py
+++ b/driftshed/core/hosting.py
@@ -1,5 +1,6 @@
-"""The hosted module: what holds it, the events that wait for it, its wake-up and its faults. Whatever feeds it and acts
-on its orders is built on this: the same events at the same times bring the same orders."""
+"""Hosting of the decisions module: its instance, pending events, wake-up time and faults. Everything that feeds the
+module and carries out its orders builds on this. It is deterministic: the same events at the same times produce the
+same orders."""
 
 from __future__ import annotations
 
@@ -11,12 +12,13 @@
 from driftshed import interface as face
 from driftshed.brain import Brain
 
-KEPT_TURNS = 8  # batches of events kept for the log of a fault
-MOST_NEWS = 65536  # events that one turn hears
+MAX_FAULT_BATCHES = 8  # event batches kept for the report of a module fault
+MAX_EVENTS_PER_TURN = 65536  # events handled in one turn; the rest wait for the next
 
 
 class Fault(NamedTuple):
-    """The module raised: what, where, and the last batches of events up to the one it raised on."""
+    """A fault of the module: the exception, where it was raised, and the last event batches up to the one that raised
+    it."""
 
     error: str
     place: str
@@ -24,9 +26,9 @@
 
 
 class Hosted:
-    """Events are put into `news`; `hear(now)` lets the module hear them and brings its orders. Times are seconds on the
-    caller's clock. Whoever derives from it says in `what_stands` what a module that begins anew is told, and forgets in
-    `forget_orders` what the old one ordered."""
+    """Hosts one instance of the decisions module. Events are appended to `news`; `hear(now)` passes them to the module
+    and returns its orders. Times are seconds on the caller's clock. A subclass returns from `what_stands` the events
+    that bring a restarted module up to date, and discards in `forget_orders` the orders of the previous one."""
 
     def __init__(
         self,
@@ -35,71 +37,75 @@
         now: float,
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
     ) -> None:
-        self.facts, self.seed, self.make, self.began = facts, seed, brain, now
+        """`brain(facts, seed, now)` creates the module; it is called again with another seed after each fault."""
+        self.facts, self.seed, self.make_brain, self.began = facts, seed, brain, now
         self.brain = brain(facts, seed, now)
         self.news: list = []
-        self.turns: deque[tuple[float, list]] = deque(maxlen=KEPT_TURNS)
-        self.wake_at, self.heard_at = now, float("-inf")
-        self.faults = self.orders_given = 0
+        self.recent_batches: deque[tuple[float, list]] = deque(maxlen=MAX_FAULT_BATCHES)
+        self.wake_at, self.last_turn_at = now, float("-inf")
+        self.faults = self.order_count = 0
         self.on_log: Callable[[str], object] = lambda text: None
         self.on_fault: Callable[[Fault], object] = lambda fault: None
         self.on_turn: Callable[[float, list, list], object] | None = None
         self.on_begin: Callable[[int, float], object] = lambda seed, now: None
 
     def what_stands(self) -> list:
-        """The events that tell a new module the list and who is joined."""
+        """Returns the events that give a new module the current roster and the joined proxies."""
         raise NotImplementedError
 
     def forget_orders(self) -> None:
-        """A new module has ordered nothing yet."""
+        """Discards the orders of the previous module; a new one has issued none."""
         raise NotImplementedError
 
     def module_at(self) -> float:
-        """When the module is due though nothing comes in."""
-        return min(self.wake_at, self.heard_at + self.facts.tick) if self.news else self.wake_at
+        """Returns when the module must run next if no further event arrives."""
+        return min(self.wake_at, self.last_turn_at + self.facts.tick) if self.news else self.wake_at
 
     def hear(self, now: float) -> list:
-        """The orders of the module, if it is due."""
+        """Runs the module if it is due and returns its orders. A module that raises is replaced, and its turn returns
+        no orders."""
         timer = self.wake_at <= now
         if timer:
             self.wake_at = float("inf")
             self.news.append(face.TimerDue(0))
-        # Guards against a module that decides anew for each message that leaves the channel: what comes within a tick
-        # is heard together, whatever else makes turns.
-        if not self.news or not (timer or now >= self.heard_at + self.facts.tick):
+        # Events that arrive within one tick are handled together, whatever else causes turns. Otherwise the module
+        # would decide again for each message that leaves the channel.
+        if not self.news or not (timer or now >= self.last_turn_at + self.facts.tick):
             return []
-        self.heard_at = now
-        news, self.news = self.news[:MOST_NEWS], self.news[MOST_NEWS:]
-        self.turns.append((now, news))
+        self.last_turn_at = now
+        events, self.news = self.news[:MAX_EVENTS_PER_TURN], self.news[MAX_EVENTS_PER_TURN:]
+        self.recent_batches.append((now, events))
         try:
-            orders = self.brain.handle(now, news)
+            orders = self.brain.handle(now, events)
         except Exception as error:
-            self._begin_anew(error, now)
+            self._restart_module(error, now)
             return []
         if self.on_turn:
-            self.on_turn(now, news, orders)
-        self.orders_given += len(orders)
+            self.on_turn(now, events, orders)
+        self.order_count += len(orders)
         for order in orders:
             if isinstance(order, face.SetTimer):
                 self.wake_at = min(self.wake_at, order.at)
             elif isinstance(order, face.Log):
-                self.note(order.text, now)
+                self.handle_log(order.text, now)
         return orders
 
-    def note(self, text: str, now: float) -> None:
-        """A word of the module."""
+    def handle_log(self, text: str, now: float) -> None:
+        """Passes on a log text of the module."""
         self.on_log(text)
 
-    def _begin_anew(self, error: Exception, now: float) -> None:
-        """Guards against a fault of the module: it is told with what led to it, and the instance starts as after a
-        crash. The proxies keep their tables, and the events that it raised on are not heard again."""
+    def _restart_module(self, error: Exception, now: float) -> None:
+        """Reports a fault of the module together with the events that led to it, and starts a new module as after a
+        crash. Proxies keep their tables. The events that raised are not handled again."""
         frame = traceback.extract_tb(error.__traceback__)[-1]
-        self.on_fault(Fault(f"{type(error).__name__}: {error}", f"{frame.name}, line {frame.lineno}", list(self.turns)))
-        self.turns.clear()
+        self.on_fault(
+            Fault(f"{type(error).__name__}: {error}", f"{frame.name}, line {frame.lineno}", list(self.recent_batches))
+        )
+        self.recent_batches.clear()
         self.faults += 1
-        self.brain = self.make(self.facts, self.seed + self.faults, now)
+        self.brain = self.make_brain(self.facts, self.seed + self.faults, now)
         self.on_begin(self.seed + self.faults, now)
         self.wake_at = now
         self.forget_orders()
-        # What was still to be heard is in what is told now: the list as it stands, and who is joined.
+        # These events replace the ones still pending: they contain the current roster and the joined proxies.
         self.news = self.what_stands()
--- a/driftshed/core/instance.py
+++ b/driftshed/core/instance.py
@@ -1,5 +1,5 @@
-"""One instance: hosts the decisions module between what comes in and what is published. It is all of a supervisor but
-the sockets: the same calls at the same times bring the same tables."""
+"""One instance: hosts the decisions module between incoming messages and published tables. It is all of a supervisor
+except the sockets, and deterministic: the same calls at the same times produce the same tables."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 class Instance(Hosted):
-    """`turn(now)` lets the module hear what has come and acts on its orders; call it soon after anything came in and
-    when `next_at()` is due. Times are seconds on the caller's clock."""
+    """Runs the decisions module on joins, reports and roster updates, and publishes its orders. Call `turn(now)` soon
+    after any input and when `next_at()` is due. Times are seconds on the caller's clock."""
 
     def __init__(
         self,
@@ -29,51 +29,58 @@
         wall: float = 0.0,
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
     ) -> None:
+        """`run` names this run in versions and streams; `wall` is added to unix times to get times on the instance's
+        clock."""
         super().__init__(facts, seed, now, brain)
         self.hub = Hub(facts, run)
         self.roster = Roster(facts, wall)
         self.sums = Sums(facts.report_lines_per_second)
-        self.zones = {name: place for place, name in enumerate(facts.zones)}
-        self.operations = {operation.name: place for place, operation in enumerate(facts.operations)}
-        self.sums_at = now + facts.report_period
-        self.why: dict[str, tuple[float, str]] = {}  # of servers: the module's last word, and when
-        self.on_answered: Callable[[str], object] | None = None  # of servers that reports met giving good answers
-        # What a zone's proxies met at a server: now, zone, server, tries, errored, mean latency of the good.
+        self.zones = {name: index for index, name in enumerate(facts.zones)}
+        self.operations = {operation.name: index for index, operation in enumerate(facts.operations)}
+        self.next_sums_at = now + facts.report_period
+        self.why: dict[str, tuple[float, str]] = {}  # by server: time and text of the module's last log about it
+        self.on_answered: Callable[[str], object] | None = None  # called with servers that gave good answers
+        # Called with each server report: now, zone of the proxy, server, tries, errored, mean latency of the
+        # successful tries.
         self.on_met: Callable[[float, int, face.Server, int, int, float | None], object] | None = None
-        self.policy = 0  # the version of the policy that its orders rest on, 0 without one
-        # Whether tables may change for the rules' sake alone. Asked before each order: a process that was stopped
-        # finds out before anything else.
+        self.policy = 0  # version of the policy in force; 0: none
+        # Whether tables are frozen: only changes that the rules demand are published. Checked before each batch of
+        # orders, so that a process that was suspended finds out before it publishes anything.
         self.still: Callable[[], bool] = lambda: False
-        self.held_back: list = []  # orders given meanwhile
+        self.deferred_orders: list = []  # orders issued while tables are frozen
         self.on_switch: Callable[[float], object] = lambda now: None
-        # The list as the module hears it.
+        # Maps a listing of the roster to the one that the module gets.
         self.overlay: Callable[[face.Listing], face.Listing] = lambda listing: listing
 
-    # ---- what comes in ----------------------------------------------------------------------------------------
+    # ---- input ------------------------------------------------------------------------------------------------
 
     def join(self, proxy: int, join: Join, now: float) -> tuple[Record, bool]:
+        """Begins a stream for a proxy. Returns its record and whether an older stream was replaced. Raises Refused for
+        an unknown zone, a version that was never sent, or when no more proxies can be kept."""
         if join.zone not in self.zones:
             raise Refused(400, f"zone {join.zone!r} is none of {', '.join(self.zones)}")
         was_joined = proxy in self.hub.records and self.hub.records[proxy].joined
         record, replaced = self.hub.join(proxy, self.zones[join.zone], join.run, join.version)
         if was_joined:
-            self._left(proxy)
+            self._record_departure(proxy)
         record.rate = join.rate
         self.news.append(face.Joined(record.zone, join.fresh, proxy, join.rate))
         return record, replaced
 
     def leave(self, proxy: int) -> bool:
+        """Ends the stream of a proxy. Returns False if it was not joined."""
         if not self.hub.leave(proxy):
             return False
-        self._left(proxy)
+        self._record_departure(proxy)
         return True
 
-    def _left(self, proxy: int) -> None:
+    def _record_departure(self, proxy: int) -> None:
         self.news.append(face.Left(proxy))
         self.sums.forget(proxy, len(self.operations))
 
     def record(self, proxy: int, stream: str) -> Record:
-        """The record of a joined proxy; Refused where it is unknown or the stream is not its present one."""
+        """Returns the record of a joined proxy. Raises Refused if it is not joined or `stream` is not its current
+        one."""
         record = self.hub.records.get(proxy)
         if record is None or not record.joined:
             raise Refused(404, f"proxy {proxy} is not joined; join first")
@@ -82,12 +89,14 @@
         return record
 
     def ack(self, record: Record, version: int, now: float) -> None:
+        """Handles the acknowledgement of a version: the proxy has applied everything up to it. Raises Refused if it was
+        never sent."""
         self.news += self.hub.ack(record, version, now)
 
     def report(self, record: Record, report: Report, now: float) -> None:
-        """Takes a proxy's report, whole or not at all."""
+        """Accepts a proxy's report completely, or raises Refused and accepts nothing of it."""
         try:
-            met = [(server_id(each.server), each) for each in report.servers]
+            server_reports = [(server_id(each.server), each) for each in report.servers]
         except BadName as error:
             raise Refused(400, str(error)) from None
         for each in report.operations:
@@ -97,7 +106,7 @@
             if each.errored > each.tries:
                 raise Refused(400, f"server {each.server}: {each.errored} of {each.tries} tries cannot have errored")
         fields = len(self.facts.load_fields)
-        for server, each in met:
+        for server, each in server_reports:
             load = tuple(each.load) if each.load and len(each.load) == fields else None
             self.sums.met(now, record.zone, server, each.tries, each.errored, each.latency, load)
             if self.on_met:
@@ -107,69 +116,76 @@
         for each in report.operations:
             self.sums.came(now, record.proxy, self.operations[each.operation], each.arrived, each.errored)
 
-    def hear_roster(self, news: RosterNews) -> None:
-        self.news.append(self.overlay(self.roster.hear(news)))
+    def hear_roster(self, update: RosterNews) -> None:
+        """Applies a roster update. Raises Refused, without any change, if it is invalid or does not follow the version
+        held."""
+        self.news.append(self.overlay(self.roster.hear(update)))
 
     # ---- turns ------------------------------------------------------------------------------------------------
 
     def next_at(self) -> float:
-        """When the next turn is due though nothing comes in."""
-        due = min(self.module_at(), self.sums_at)
-        leaves = self.hub.channel.next_at()
-        return due if leaves is None else min(due, leaves)
+        """Returns when the next turn is due if no further input arrives."""
+        next_due = min(self.module_at(), self.next_sums_at)
+        channel_due = self.hub.channel.next_at()
+        return next_due if channel_due is None else min(next_due, channel_due)
 
     def turn(self, now: float) -> list[Record]:
-        """The proxies that have something new."""
-        if self.sums_at <= now:
-            self.sums_at = max(self.sums_at + self.facts.report_period, now)
+        """Runs the module if it is due and publishes its orders. Returns the records of the proxies that have new
+        changes."""
+        if self.next_sums_at <= now:
+            self.next_sums_at = max(self.next_sums_at + self.facts.report_period, now)
             self.news += self.sums.take(now, self.facts.report_period)
         self.hub.apply(self._let_through(self.hear(now)), now)
         return self.hub.release(now)
 
     def _let_through(self, orders: list) -> list:
-        """All orders, or while tables hold still those alone that end lines: of draining and gone servers. The rest
-        goes out in its order once tables may change again; the module goes on as if it were still under way."""
+        """Returns the orders to publish now: all of them, or, while tables are frozen, only those that remove lines (of
+        draining and gone servers). The others are published in their order once tables may change again; to the module
+        they are still in the channel."""
         if not self.still():
-            orders, self.held_back = self.held_back + orders, []
+            orders, self.deferred_orders = self.deferred_orders + orders, []
             return orders
-        ends = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
-        ended = {(order.table, order.server) for order in ends}
-        self.held_back = [
+        removals = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
+        removed_lines = {(order.table, order.server) for order in removals}
+        self.deferred_orders = [
             order
-            for order in self.held_back + orders
-            if not (isinstance(order, face.SetLine) and (order.table, order.server) in ended)
+            for order in self.deferred_orders + orders
+            if not (isinstance(order, face.SetLine) and (order.table, order.server) in removed_lines)
         ]
-        return ends
+        return removals
 
     def check_switch(self, facts: face.StartFacts) -> str:
-        """Why this instance could not go by these facts, or "". The module is asked as it stands, in a copy."""
+        """Returns why this instance cannot switch to these facts, or "" if it can. Tries the switch on a copy of the
+        module."""
         try:
-            trial = deepcopy(carried(self.brain, self.facts, facts, self.make))
+            trial = deepcopy(carried(self.brain, self.facts, facts, self.make_brain))
             orders = trial.handle(self.brain.now, [])
         except CannotCarry as error:
             return str(error)
-        except Exception as error:  # a policy that the module cannot bear is refused, whatever it raises
+        except Exception as error:  # a policy under which the module raises is refused, whatever the exception
             return f"the module raises under it: {type(error).__name__}: {error}"
         if self.hub.channel.waiting > facts.queue_cap:
             return f"{self.hub.channel.waiting:.0f} lines wait in the channel, and {facts.queue_cap:g} would be allowed"
-        ends = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
-        ended = {(order.table, order.server) for order in ends}
+        removals = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
+        removed_lines = {(order.table, order.server) for order in removals}
         for table, users in self.hub.users.items():
             lines = self.hub.tables.get(table, {})
-            if users and lines and all((table, server_id(name)) in ended for name in lines):
+            if users and lines and all((table, server_id(name)) in removed_lines for name in lines):
                 return f"{len(users)} proxies on table {table} would be left without a line"
         return ""
 
     def switch(self, facts: face.StartFacts, policy: int, now: float) -> None:
-        """Goes by other facts from now on, with all that was learnt; call it between two turns."""
-        self.brain = carried(self.brain, self.facts, facts, self.make)
+        """Switches to other facts and keeps all learnt state. Call between two turns. Raises CannotCarry if the facts
+        differ in what an instance is built on."""
+        self.brain = carried(self.brain, self.facts, facts, self.make_brain)
         self.facts, self.policy = facts, policy
         self.hub.switch(facts, now)
         self.sums.rate = facts.report_lines_per_second
         self.on_switch(now)
 
-    def note(self, text: str, now: float) -> None:
-        super().note(text, now)
+    def handle_log(self, text: str, now: float) -> None:
+        """Passes on a log text of the module, and keeps it as the reason for a server if it names one."""
+        super().handle_log(text, now)
         first, _, rest = text.partition(",")
         try:
             server = server_name(bytes.fromhex(first.split()[-1]))
@@ -178,10 +194,12 @@
         self.why[server] = now, f"{first.split()[0]},{rest}"
 
     def forget_orders(self) -> None:
-        self.held_back = []
+        """Discards the orders of the previous module, both deferred and published ones."""
+        self.deferred_orders = []
         self.hub.restart()
 
     def what_stands(self) -> list:
-        news = [self.overlay(self.roster.told())] if self.roster.version is not None else []
+        """Returns the events that give a new module the current roster and the joined proxies."""
+        events = [self.overlay(self.roster.told())] if self.roster.version is not None else []
         joined = (record for record in self.hub.records.values() if record.joined)
-        return news + [face.Joined(record.zone, False, record.proxy, record.rate) for record in joined]
+        return events + [face.Joined(record.zone, False, record.proxy, record.rate) for record in joined]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -325,7 +325,7 @@
 
 def play(instance: Instance, seconds: float, holders: list[Holder], broken: set = frozenset()) -> None:
     """Proxies that poll and report for so long, every 0.1 s."""
-    began = round(instance.turns[-1][0] if instance.turns else 0.0, 3)
+    began = round(instance.recent_batches[-1][0] if instance.recent_batches else 0.0, 3)
     for k in range(1, int(seconds * 10) + 1):
         now = began + k / 10
         for holder in holders:
