--- a/driftshed/core/carrying.py
+++ b/driftshed/core/carrying.py
@@ -1,7 +1,9 @@
-"""An instance of the module under other start facts, with all that it has learnt. Free of I/O.
+"""State migration between module instances: an instance of the module under other start facts, with all that it has
+learnt. Free of I/O.
 
-The module derives figures from its start facts when it begins, and learns the rest. Two that begin under the old facts
-and the new show which of its figures follow from what changed; these are taken from the new, all others are kept."""
+The module derives values from its start facts when it begins, and learns the rest. Two fresh instances, under the old
+facts and the new, show which values follow from the facts that changed. These are taken from the new instance; all
+others are kept."""
 
 from __future__ import annotations
 
@@ -12,10 +14,10 @@
 
 
 class CannotCarry(ValueError):
-    """The facts differ in what an instance is built on; the text says in which."""
+    """The facts differ in what an instance is built on; the text names the fact."""
 
 
-# What may differ: figures that no list of the module is as long as.
+# Facts that may differ: no list of the module has a length that depends on them.
 FREE = {
     "cold_share",
     "warm_within",
@@ -36,9 +38,9 @@
 }
 
 
-def check_carry(old: face.StartFacts, new: face.StartFacts) -> None:
-    """CannotCarry where an instance cannot go from one to the other. Of operations all but names and places may
-    change."""
+def check_migration(old: face.StartFacts, new: face.StartFacts) -> None:
+    """Raises CannotCarry if an instance cannot move from the old facts to the new. Of an operation all but its name and
+    place may change."""
     for name in face.StartFacts._fields:
         before, after = getattr(old, name), getattr(new, name)
         if name == "operations":
@@ -53,20 +55,20 @@
     new: face.StartFacts,
     make: Callable[[face.StartFacts, int, float], Brain] = Brain,
 ) -> Brain:
-    """The instance as it goes on under the new facts; `brain` itself stays as it is, but shares what it learnt."""
-    check_carry(old, new)
-    was, will = make(old, 0, 0.0), make(new, 0, 0.0)
+    """Returns the instance that goes on under the new facts. `brain` stays unchanged, but both share what it learnt."""
+    check_migration(old, new)
+    old_start, migrated = make(old, 0, 0.0), make(new, 0, 0.0)
     for name in vars(brain):
-        held, before = getattr(brain, name), getattr(was, name, None)
-        follows = before != getattr(will, name, None) and _plain(before)
-        # What has moved since the start is learnt, and what was learnt stays.
-        if not follows or held != before:
-            setattr(will, name, held)
-    return will
+        present, initial = getattr(brain, name), getattr(old_start, name, None)
+        derived = initial != getattr(migrated, name, None) and _is_plain(initial)
+        # A value that has changed since the start was learnt, and learnt values stay.
+        if not derived or present != initial:
+            setattr(migrated, name, present)
+    return migrated
 
 
-def _plain(value: object) -> bool:
-    """Whether two of them that are equal are the same figure: numbers, and lists of them."""
+def _is_plain(value: object) -> bool:
+    """Whether equal values are interchangeable: true of numbers, strings and None, and of lists and tuples of them."""
     if isinstance(value, list | tuple):
-        return all(map(_plain, value))
+        return all(map(_is_plain, value))
     return value is None or isinstance(value, bool | int | float | str)
--- a/driftshed/core/channel.py
+++ b/driftshed/core/channel.py
@@ -1,4 +1,4 @@
-"""The paced channel: messages leave one after the other, so many lines a second, in order."""
+"""The paced channel: messages leave in order, at a given number of lines per second."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 
 class Message:
-    """What one reply of the module says to one proxy. `cost`: its lines, its head and its mark."""
+    """The changes that one turn of the module makes for one proxy. `cost`: lines of the changes, the header and the
+    mark."""
 
     __slots__ = ("proxy", "stream", "changes", "body", "cost", "mark", "ordered_at", "due_at", "released_at", "version")
 
@@ -22,54 +23,58 @@
         mark: int | None,
         ordered_at: float,
     ) -> None:
+        """`body` is the encoding of `changes`; `ordered_at` is the time of the module's orders, in seconds."""
         self.proxy, self.stream, self.changes, self.body = proxy, stream, changes, body
         self.cost, self.mark, self.ordered_at = cost, mark, ordered_at
-        self.due_at = self.released_at = 0.0  # the soonest that the pace allows, and what it came to
+        self.due_at = self.released_at = 0.0  # the earliest time at the channel's rate, and the actual time of release
         self.version = 0
 
 
 class Channel:
-    """Guards against a supervisor that writes faster than its proxies and its network are promised: a message
-    waits until those before it have gone at the stated pace."""
+    """Limits the rate at which a supervisor sends, to what its proxies and its network are promised: a message waits
+    until those before it have left at the configured rate."""
 
     def __init__(self, lines_per_second: float) -> None:
-        self.pace = lines_per_second
+        """The queue starts empty."""
+        self.lines_per_second = lines_per_second
         self.queue: deque[Message] = deque()
-        self.waiting = 0.0  # lines, that of the message under way included
+        self.waiting = 0.0  # lines queued, all those of the first message included
         self.most_waiting = 0.0
-        self.began = 0.0  # when the first of the queue began to leave
+        self.head_started_at = 0.0  # when the first message of the queue began to be sent
 
-    def put(self, message: Message, now: float) -> None:
+    def enqueue(self, message: Message, now: float) -> None:
+        """Appends a message and sets the time at which it is due."""
         if not self.queue:
-            self.began = max(now, self.began)
+            self.head_started_at = max(now, self.head_started_at)
         self.queue.append(message)
         self.waiting += message.cost
         self.most_waiting = max(self.most_waiting, self.waiting)
-        message.due_at = self.began + self.waiting / self.pace
+        message.due_at = self.head_started_at + self.waiting / self.lines_per_second
 
-    def change_pace(self, lines_per_second: float, now: float) -> None:
-        """What of the first message has gone has gone; the rest, and all behind it, goes at the new pace."""
-        if self.queue and now > self.began:
-            gone = min(self.queue[0].cost, (now - self.began) * self.pace)
-            self.began = now - gone / lines_per_second
-        self.pace = lines_per_second
+    def set_rate(self, lines_per_second: float, now: float) -> None:
+        """Changes the rate. The sent part of the first message stays sent; the rest, and all messages behind it, leave
+        at the new rate."""
+        if self.queue and now > self.head_started_at:
+            sent_lines = min(self.queue[0].cost, (now - self.head_started_at) * self.lines_per_second)
+            self.head_started_at = now - sent_lines / lines_per_second
+        self.lines_per_second = lines_per_second
 
     def next_at(self) -> float | None:
-        """When the next message has left; None while nothing waits."""
-        return self.began + self.queue[0].cost / self.pace if self.queue else None
+        """Returns when the next message will have left, or None if the queue is empty."""
+        return self.head_started_at + self.queue[0].cost / self.lines_per_second if self.queue else None
 
-    def due(self, now: float) -> list[Message]:
-        """The messages that have left by now, in order."""
-        gone = []
-        while self.queue and self.began + self.queue[0].cost / self.pace <= now:
+    def release_due(self, now: float) -> list[Message]:
+        """Removes and returns the messages that have left by now, in order."""
+        released = []
+        while self.queue and self.head_started_at + self.queue[0].cost / self.lines_per_second <= now:
             message = self.queue.popleft()
-            self.began += message.cost / self.pace
+            self.head_started_at += message.cost / self.lines_per_second
             self.waiting -= message.cost
             message.released_at = now
-            gone.append(message)
-        return gone
+            released.append(message)
+        return released
 
     def drop(self, proxy: int | None) -> None:
-        """Takes back what waits for a proxy, or for all."""
+        """Drops the queued messages of a proxy, or of all if `proxy` is None."""
         self.queue = deque(m for m in self.queue if proxy is not None and m.proxy != proxy)
         self.waiting = sum(message.cost for message in self.queue)
--- a/driftshed/core/instance.py
+++ b/driftshed/core/instance.py
@@ -76,7 +76,7 @@
 
     def _record_departure(self, proxy: int) -> None:
         self.news.append(face.Left(proxy))
-        self.sums.forget(proxy, len(self.operations))
+        self.sums.drop_proxy(proxy, len(self.operations))
 
     def record(self, proxy: int, stream: str) -> Record:
         """Returns the record of a joined proxy. Raises Refused if it is not joined or `stream` is not its current
@@ -108,18 +108,18 @@
         fields = len(self.facts.load_fields)
         for server, each in server_reports:
             load = tuple(each.load) if each.load and len(each.load) == fields else None
-            self.sums.met(now, record.zone, server, each.tries, each.errored, each.latency, load)
+            self.sums.add_server_report(now, record.zone, server, each.tries, each.errored, each.latency, load)
             if self.on_met:
                 self.on_met(now, record.zone, server, each.tries, each.errored, each.latency)
             if self.on_answered and each.tries > each.errored:
                 self.on_answered(each.server)
         for each in report.operations:
-            self.sums.came(now, record.proxy, self.operations[each.operation], each.arrived, each.errored)
+            self.sums.add_demand(now, record.proxy, self.operations[each.operation], each.arrived, each.errored)
 
     def hear_roster(self, update: RosterNews) -> None:
         """Applies a roster update. Raises Refused, without any change, if it is invalid or does not follow the version
         held."""
-        self.news.append(self.overlay(self.roster.hear(update)))
+        self.news.append(self.overlay(self.roster.apply_update(update)))
 
     # ---- turns ------------------------------------------------------------------------------------------------
 
@@ -134,7 +134,7 @@
         changes."""
         if self.next_sums_at <= now:
             self.next_sums_at = max(self.next_sums_at + self.facts.report_period, now)
-            self.news += self.sums.take(now, self.facts.report_period)
+            self.news += self.sums.release_events(now, self.facts.report_period)
         self.hub.apply(self._let_through(self.hear(now)), now)
         return self.hub.release(now)
 
@@ -180,7 +180,7 @@
         self.brain = carried(self.brain, self.facts, facts, self.make_brain)
         self.facts, self.policy = facts, policy
         self.hub.switch(facts, now)
-        self.sums.rate = facts.report_lines_per_second
+        self.sums.lines_per_second = facts.report_lines_per_second
         self.on_switch(now)
 
     def handle_log(self, text: str, now: float) -> None:
--- a/driftshed/core/messages.py
+++ b/driftshed/core/messages.py
@@ -1,8 +1,7 @@
-"""What the API carries, as typed values: the one schema that supervisor, proxies, roster feeders and judges read by.
+"""The API's messages as typed values: the one schema that supervisor, proxies, roster sources and judges decode with.
 
-Times are seconds with fractions; a server is named "address:port"; tables, proxies and versions are whole numbers.
-Requests forbid fields that they do not know; answers may grow fields.
-"""
+Times are seconds with fractions; a server is named "address:port"; tables, proxies and versions are integers. Requests
+reject unknown fields; answers may gain fields."""
 
 from __future__ import annotations
 
@@ -19,33 +18,34 @@
 Count = Annotated[int, Meta(ge=0, lt=2**32)]
 Number = Annotated[int, Meta(ge=0, lt=65536)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-KNOWN_NAMES = 16384  # whose reading is remembered
+SERVER_NAME_CACHE_SIZE = 16384
 STATES = {"ready": face.READY, "draining": face.DRAINING, "gone": face.GONE}
 
 
 class BadName(ValueError):
-    """A server's name that is not "address:port"."""
+    """A server name that is not "address:port"."""
 
 
-@lru_cache(KNOWN_NAMES)
+@lru_cache(SERVER_NAME_CACHE_SIZE)
 def server_name(server: face.Server) -> str:
+    """Returns the "address:port" of the six bytes of a server."""
     return f"{server[0]}.{server[1]}.{server[2]}.{server[3]}:{server[4] << 8 | server[5]}"
 
 
-@lru_cache(KNOWN_NAMES)
+@lru_cache(SERVER_NAME_CACHE_SIZE)
 def server_id(name: str) -> face.Server:
-    """The six bytes of an "address:port"; BadName where it is none."""
+    """Returns the six bytes of an "address:port". Raises BadName for anything else."""
     address, _, port = name.rpartition(":")
     try:
-        number = int(port)
-        if not (port.isascii() and port.isdigit() and 0 < number < 65536):
+        port_number = int(port)
+        if not (port.isascii() and port.isdigit() and 0 < port_number < 65536):
             raise ValueError
-        return ipaddress.IPv4Address(address).packed + number.to_bytes(2, "big")
+        return ipaddress.IPv4Address(address).packed + port_number.to_bytes(2, "big")
     except ValueError:
-        raise BadName(f"server {name[:64]!r}: an IPv4 address, a colon and a port are wanted") from None
+        raise BadName(f"server {name[:64]!r}: expected an IPv4 address, a colon and a port") from None
 
 
-# ---- changes of what a proxy holds ----------------------------------------------------------------------------
+# ---- changes of a proxy's state -------------------------------------------------------------------------------
 
 
 class Line(Struct, tag="line", array_like=True, frozen=True):
@@ -57,16 +57,18 @@
 
     @property
     def key(self) -> tuple:
+        """What the change sets or removes; a later change with the same key replaces it. The same for all changes."""
         return "line", self.table, self.server
 
     @property
-    def ends(self) -> bool:
+    def is_removal(self) -> bool:
+        """Whether the change removes its key instead of setting it. The same for all changes."""
         return self.weight == 0
 
 
 class Level(Struct, tag="level", array_like=True, frozen=True):
-    """What part (or rate) of an operation a table lets in, and when a proxy tries again: 0 never, 1 once after proof
-    that the first never ran, 2 once after any failure, 3 twice after any failure."""
+    """The admission level of an operation in a table, as a share or a rate, and when a proxy tries again: 0 never, 1
+    once after proof that the first try never ran, 2 once after any failure, 3 twice after any failure."""
 
     table: Number
     operation: Number
@@ -75,53 +77,61 @@
 
     @property
     def key(self) -> tuple:
+        """The table and operation."""
         return "level", self.table, self.operation
 
     @property
-    def ends(self) -> bool:
+    def is_removal(self) -> bool:
+        """Never: a level is replaced."""
         return False
 
 
 class Out(Struct, tag="out", array_like=True, frozen=True):
-    """Nothing more goes to a server, whatever the tables say; its part passes to the other lines."""
+    """Withdraws a server: nothing is sent to it, whatever the tables say; its share goes to the other lines."""
 
     server: str
 
     @property
     def key(self) -> tuple:
+        """The server, shared with `In`."""
         return "out", self.server
 
     @property
-    def ends(self) -> bool:
+    def is_removal(self) -> bool:
+        """Never: `In` removes it."""
         return False
 
 
 class In(Struct, tag="in", array_like=True, frozen=True):
-    """Takes an `out` back."""
+    """Ends the withdrawal that `Out` set."""
 
     server: str
 
     @property
     def key(self) -> tuple:
+        """The key of the `Out` that it removes."""
         return "out", self.server
 
     @property
-    def ends(self) -> bool:
+    def is_removal(self) -> bool:
+        """Always: it removes an `Out`."""
         return True
 
 
 class Use(Struct, tag="use", array_like=True, frozen=True):
-    """An operation goes by this table. Once a whole answer is applied, tables that no operation uses are dropped."""
+    """Puts an operation on a table. Once an answer is applied completely, tables that no operation uses are dropped."""
 
     operation: Number
     table: Number
 
     @property
     def key(self) -> tuple:
+        """The operation."""
         return "use", self.operation
 
     @property
-    def ends(self) -> bool:
+    def is_removal(self) -> bool:
+        """Never: a use is replaced."""
         return False
 
 
@@ -129,29 +139,29 @@
 
 
 class Changes(Struct):
-    """The answer to a poll: brings what a proxy holds from version `since` to `version`. `whole`: what it held
-    before is dropped first. Applied all at once or not at all."""
+    """The answer to a poll: takes a proxy from version `since` to `version`. `whole`: a full snapshot, so what the
+    proxy held before is dropped first. Applied all at once or not at all."""
 
     run: str
     since: int
     version: int
     whole: bool
     changes: list[Change]
-    waited: float = 0.0  # the longest that one of its messages stood in the supervisor's channel
-    lines: int = 0  # what its messages counted there
-    # Where it is more than one, or one that left earlier: from and till when each stood there, in seconds before the
-    # answer, and its lines.
+    waited: float = 0.0  # longest time that one of its messages spent in the supervisor's channel
+    lines: int = 0  # lines that its messages cost there
+    # For each of several messages, or for one released before the answer: when it entered and left the channel, in
+    # seconds before the answer, and its lines.
     stood: list[tuple[float, float, float]] = []
-    # Where else a proxy may join, as `JoinAnswer` says it: told once it has changed.
+    # As in `JoinAnswer`; sent once after each change.
     supervisors: list[str] = []
-    policy: int = 0  # the version of the policy that the orders rest on; 0: of none
+    policy: int = 0  # version of the policy in force; 0: none
 
 
 # ---- requests -------------------------------------------------------------------------------------------------
 
 
 class Join(Struct, forbid_unknown_fields=True):
-    """A proxy begins a stream. `run` and `version` say what it holds of a supervisor, if anything."""
+    """A proxy begins a stream. `run` and `version` identify what it holds from a supervisor, if anything."""
 
     zone: Name
     rate: Share
@@ -161,18 +171,21 @@
 
 
 class JoinAnswer(Struct):
+    """The answer to a join: the new stream, and how to poll and report on it. Times are in seconds."""
+
     run: str
     stream: str
-    version: int  # poll after this one: 0 where nothing that the proxy holds is known here
+    version: int  # to poll after; 0: nothing that the proxy holds is known here
     operations: list[str]
     wait_most: float
     report_period: float
-    supervisors: list[str] = []  # where else a proxy may join: "address:port" of the living ones
+    supervisors: list[str] = []  # "address:port" of the live supervisors: where else a proxy may join
     policy: int = 0  # as in `Changes`
 
 
 class ServerReport(Struct, forbid_unknown_fields=True):
-    """What a proxy met at one server since its last report: `latency` is the mean of the good tries."""
+    """A proxy's measurements at one server since its last report. `latency`: mean of the successful tries, in
+    seconds."""
 
     server: Name
     tries: Count
@@ -182,19 +195,23 @@
 
 
 class OperationReport(Struct, forbid_unknown_fields=True):
+    """Invocations of one operation that arrived at a proxy since its last report."""
+
     operation: Name
     arrived: Count
     errored: Count = 0
 
 
 class Report(Struct, forbid_unknown_fields=True):
+    """A proxy's report on its stream."""
+
     stream: Name
     servers: Annotated[list[ServerReport], Meta(max_length=65536)] = []
     operations: Annotated[list[OperationReport], Meta(max_length=256)] = []
 
 
 class ListedServer(Struct, forbid_unknown_fields=True):
-    """One server of the roster. `started`: unix time at which its process last started, or null: long ago."""
+    """One server of the roster. `started`: unix time of its last process start; null: long ago."""
 
     server: Name
     zone: Name
@@ -206,7 +223,8 @@
 
 
 class RosterNews(Struct, forbid_unknown_fields=True):
-    """`whole`: those not named are gone; else only those named changed, and `version` follows on the last."""
+    """A roster update. `whole`: a full snapshot, in which servers not named are gone; else a delta, whose `version`
+    must follow the last one."""
 
     version: Count
     whole: bool
--- a/driftshed/core/roster.py
+++ b/driftshed/core/roster.py
@@ -1,4 +1,4 @@
-"""The list of servers as the supervisor was last told it, and the events that news of it makes."""
+"""The roster as of the last update received, and the events that updates produce."""
 
 from __future__ import annotations
 
@@ -8,30 +8,32 @@
 
 
 class Roster:
+    """The servers by their six bytes, as entries of the module's interface, and the version of the last update."""
+
     def __init__(self, facts: face.StartFacts, wall: float) -> None:
-        """`wall`: what to add to unix time to have the instance's clock, one figure for the whole run, so that a
-        start told twice is the same start."""
-        self.zones = {name: place for place, name in enumerate(facts.zones)}
-        self.kinds = {name: place for place, name in enumerate(facts.kinds)}
+        """`wall` is added to unix times to get times on the instance's clock. It is constant for the whole run, so that
+        a start reported twice is the same start."""
+        self.zones = {name: index for index, name in enumerate(facts.zones)}
+        self.kinds = {name: index for index, name in enumerate(facts.kinds)}
         self.wall, self.version = wall, None
         self.entries: dict[face.Server, face.Entry] = {}
 
-    def hear(self, news: RosterNews) -> face.Listing:
-        """The event of one piece of news. Refused: an unknown zone, kind or state, a bad name, a server named twice,
-        or a change that does not follow on the version held; nothing of it is then taken."""
+    def apply_update(self, update: RosterNews) -> face.Listing:
+        """Applies an update and returns its event. Raises Refused, without any change, for an unknown zone, kind or
+        state, a bad name, a server named twice, or a delta that does not follow the version held."""
         entries: dict[face.Server, face.Entry] = {}
-        for listed in news.servers:
+        for listed in update.servers:
             try:
                 server = server_id(listed.server)
             except BadName as error:
                 raise Refused(400, str(error)) from None
-            for what, name, known in (
+            for field, name, allowed in (
                 ("zone", listed.zone, self.zones),
                 ("kind", listed.kind, self.kinds),
                 ("state", listed.state, STATES),
             ):
-                if name not in known:
-                    raise Refused(400, f"server {listed.server}: {what} {name!r} is none of {', '.join(known)}")
+                if name not in allowed:
+                    raise Refused(400, f"server {listed.server}: {field} {name!r} is none of {', '.join(allowed)}")
             if server in entries:
                 raise Refused(400, f"server {listed.server} is named twice")
             started = None if listed.started is None else listed.started + self.wall
@@ -44,22 +46,22 @@
                 STATES[listed.state],
                 listed.weight,
             )
-        if not news.whole and (self.version is None or news.version != self.version + 1):
+        if not update.whole and (self.version is None or update.version != self.version + 1):
             held = "none is" if self.version is None else f"version {self.version} is"
-            raise Refused(409, f"change {news.version} does not follow: {held} held; send the whole list")
+            raise Refused(409, f"change {update.version} does not follow: {held} held; send the whole list")
         kind = face.DELTA
-        if news.whole:
+        if update.whole:
             kind = face.CACHED if self.version is None else face.FULL
             self.entries = {}
-        self.version = news.version
+        self.version = update.version
         self.entries.update(entries)
         for server, entry in entries.items():
             if entry.state == face.GONE:
                 del self.entries[server]
-        return face.Listing(news.version, kind, tuple(entries.values()))
+        return face.Listing(update.version, kind, tuple(entries.values()))
 
     def told(self) -> face.Listing | None:
-        """The whole as held, for an instance that begins anew."""
+        """Returns the full roster as an event for a new module, or None before the first update."""
         if self.version is None:
             return None
         return face.Listing(self.version, face.CACHED, tuple(self.entries.values()))
--- a/driftshed/core/sums.py
+++ b/driftshed/core/sums.py
@@ -1,4 +1,4 @@
-"""Sums of what proxies report, given to the module at most so many lines a second, the oldest first."""
+"""Sums of the proxies' reports, passed to the module at a limited number of lines per second, the oldest first."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 
 class Sums:
-    """Guards against a flood of reports: what a server met is summed by zone of the proxies, what came by proxy and
-    operation; what is over the allowance stays, adds up and goes first the next time."""
+    """Protects the module from a flood of reports: server reports are summed by server and zone of the proxies, demand
+    by proxy and operation. Sums beyond the allowance stay, accumulate and are passed on first the next time."""
 
     def __init__(self, lines_per_second: float) -> None:
-        self.rate = lines_per_second
-        self.allowance, self.asked_at = 0.0, None
-        # Since when, and the sums: tries, errored, good with a latency, time of those, load; arrived, errored.
+        """`lines_per_second` is the rate at which the allowance grows."""
+        self.lines_per_second = lines_per_second
+        self.allowance, self.last_release_at = 0.0, None
+        # By zone and server: start, tries, errored, successes with a latency, sum of their latencies, load.
+        # By proxy and operation: start, arrived, errored.
         self.rows: dict[tuple, list] = {}
 
-    def met(
+    def add_server_report(
         self,
         now: float,
         zone: int,
@@ -25,36 +27,42 @@
         latency: float | None,
         load: tuple[float, ...] | None,
     ) -> None:
-        """What a proxy of a zone met at a server; `latency`: mean of its good tries."""
+        """Adds a report on a server by a proxy of a zone; `latency`: mean of its successful tries, in seconds."""
         row = self.rows.get((zone, server))
         if row is None:
             row = self.rows[zone, server] = [now, 0, 0, 0, 0.0, None]
-        good = tries - min(errored, tries)
+        successes = tries - min(errored, tries)
         row[1] += tries
-        row[2] += tries - good
-        if latency is not None and good:
-            row[3] += good
-            row[4] += good * latency
+        row[2] += tries - successes
+        if latency is not None and successes:
+            row[3] += successes
+            row[4] += successes * latency
         row[5] = load or row[5]
 
-    def came(self, now: float, proxy: int, operation: int, arrived: int, errored: int) -> None:
+    def add_demand(self, now: float, proxy: int, operation: int, arrived: int, errored: int) -> None:
+        """Adds the invocations of an operation that arrived at a proxy."""
         row = self.rows.get((proxy, operation, "came"))
         if row is None:
             row = self.rows[proxy, operation, "came"] = [now, 0, 0]
         row[1] += arrived
         row[2] += errored
 
-    def forget(self, proxy: int, operations: int) -> None:
+    def drop_proxy(self, proxy: int, operations: int) -> None:
+        """Discards the demand of a proxy for the first `operations` operations."""
         for operation in range(operations):
             self.rows.pop((proxy, operation, "came"), None)
 
-    def take(self, now: float, period: float) -> list:
-        """The events that may be told now; `period`: the least window that is claimed for a sum, in seconds."""
-        if self.asked_at is not None:
-            self.allowance = min(self.allowance + (now - self.asked_at) * self.rate, max(1.0, 2 * period * self.rate))
+    def release_events(self, now: float, period: float) -> list:
+        """Removes the sums that the allowance covers and returns them as events. `period`: the shortest window stated
+        for a sum, in seconds."""
+        if self.last_release_at is not None:
+            self.allowance = min(
+                self.allowance + (now - self.last_release_at) * self.lines_per_second,
+                max(1.0, 2 * period * self.lines_per_second),
+            )
         else:
-            self.allowance = max(1.0, period * self.rate)
-        self.asked_at = now
+            self.allowance = max(1.0, period * self.lines_per_second)
+        self.last_release_at = now
         events: list = []
         for key in list(self.rows):
             if self.allowance < 1:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from driftshed.brain import Brain
 from driftshed.core.channel import Channel, Message
 from driftshed.core.holding import fold, lines_of
-from driftshed.core.hub import KEPT_MESSAGES, Hub, Refused
+from driftshed.core.hub import MAX_LOGGED_MESSAGES, Hub, Refused
 from driftshed.core.instance import Instance
 from driftshed.core.messages import (
     Changes,
@@ -165,7 +165,7 @@
 
 def test_a_delta_longer_than_the_whole_or_no_longer_kept_is_the_whole():
     hub, (holder,) = hub_with(lines=4)
-    for k in range(KEPT_MESSAGES + 5):
+    for k in range(MAX_LOGGED_MESSAGES + 5):
         hub.apply([face.SetLine(bytes([10, 0, 0, k % 4, 31, 64]), 1 + k / 100, 0)], 2e6 + k)
         hub.release(3e6 + k)
     news = NEWS.decode(hub.news(holder.record))
@@ -246,11 +246,11 @@
 
 def test_strangers_are_forgotten_and_the_joined_never_are():
     hub, _ = hub_with(lines=1)
-    for n in range(1, 3 * hub.most_records):
+    for n in range(1, 3 * hub.max_records):
         hub.join(n, 0, None, 0)
         hub.leave(n)
-    assert len(hub.records) <= hub.most_records and hub.records[0].joined
-    for n in range(1, hub.most_records):
+    assert len(hub.records) <= hub.max_records and hub.records[0].joined
+    for n in range(1, hub.max_records):
         hub.join(n, 0, None, 0)
     with pytest.raises(Refused, match="come back later"):
         hub.join(60000, 0, None, 0)
@@ -265,14 +265,14 @@
         if random.random() < 0.5:
             message = Message(random.randrange(3), "", (), b"", random.randint(1, 20), None, now)
             put.append(message)
-            channel.put(message, now)
+            channel.enqueue(message, now)
         elif random.random() < 0.1:
             channel.drop(1)
             put = [message for message in put if message.proxy != 1 or message in sent]
-        sent += channel.due(now)
+        sent += channel.release_due(now)
         assert channel.waiting == sum(message.cost for message in put if message not in sent)
         assert sum(message.cost for message in sent) <= 100.0 * now + 1e-6
-    sent += channel.due(now + 1e6)
+    sent += channel.release_due(now + 1e6)
     assert sent == put
 
 
@@ -280,13 +280,13 @@
     sums, told = Sums(10.0), []
     for step in range(40):
         for n in range(30):
-            sums.met(step * 0.5, 0, server(n), 4, 1, 0.1, None)
-        events = sums.take(step * 0.5, 0.5)
+            sums.add_server_report(step * 0.5, 0, server(n), 4, 1, 0.1, None)
+        events = sums.release_events(step * 0.5, 0.5)
         assert len(events) <= 10
         told.append(events)
     order = [event.server for events in told[:6] for event in events]
     assert order[:30] == [server(n) for n in range(30)]
-    rest = [event for _ in range(40) for event in sums.take(1000.0 + _, 0.5)]
+    rest = [event for _ in range(40) for event in sums.release_events(1000.0 + _, 0.5)]
     assert sum(event.tries for event in [*sum(told, []), *rest]) == 40 * 30 * 4
     assert all(abs(event.latency - 0.1) < 1e-9 and event.errored * 4 == event.tries for event in rest)
 
