--- a/driftshed/common/__init__.py
+++ b/driftshed/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every command of the program shares: flags that are also read from the environment, and logs."""
+"""Shared by all commands: options that are also read from the environment, queries of a supervisor, and logs."""
--- a/driftshed/common/asking.py
+++ b/driftshed/common/asking.py
@@ -1,4 +1,5 @@
-"""Asking a supervisor's API from the command line: an answer, or a plain word and the exit code that says so."""
+"""HTTP query client for commands: returns a supervisor's answer, or ends the program with a message and an exit
+code."""
 
 from __future__ import annotations
 
@@ -9,17 +10,17 @@
 
 import click
 
-WITHIN = 5.0  # seconds for an answer
+ANSWER_TIMEOUT_S = 5.0
 
 
 def ask(supervisor: str, view: str, body: dict | None, off: str, bad: int = 1) -> object:
-    """What `/v1/VIEW` answers, to `body` if there is one. The program ends where there is no answer to use, with code 3
-    without one, 4 and `off` where the supervisor has no such view, `bad` where it turns the body down as no good, 1
-    where it refuses."""
+    """Returns the answer of `/v1/VIEW`, to a POST of `body` if one is given. Without a usable answer it prints the
+    reason and ends the program, with exit code 3 if there was no answer, 4 and the text `off` if the supervisor does
+    not have the view, `bad` if it rejected the body as invalid, and 1 if it refused the request."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{supervisor}/v1/{view}", data, {"content-type": "application/json"})
     try:
-        with urllib.request.urlopen(request, timeout=WITHIN) as answer:
+        with urllib.request.urlopen(request, timeout=ANSWER_TIMEOUT_S) as answer:
             return json.load(answer)
     except urllib.error.HTTPError as error:
         text = error.read().decode("utf-8", "replace")
@@ -30,5 +31,5 @@
         click.echo(off if error.code == 404 else text, err=True)
         sys.exit({404: 4, 400: bad}.get(error.code, 1))
     except (OSError, ValueError) as error:
-        click.echo(f"{supervisor}: no answer ({error}); name a supervisor that runs", err=True)
+        click.echo(f"{supervisor}: no answer ({error}); name a running supervisor", err=True)
         sys.exit(3)
--- a/driftshed/common/logs.py
+++ b/driftshed/common/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event name for each kind of thing that happened, JSON lines or for a console."""
+"""Structured logs: one event name for each kind of event, written as JSON lines or for a console."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 
 
 def make_log(form: str, level: str, stream=None) -> Callable[..., None]:
-    """`log(event, level="info", **fields)`, written to a stream (standard error unless one is given)."""
+    """Returns `log(event, level="info", **fields)`, which writes to a stream, by default standard error. `form`: "json"
+    or "console"; events below `level` are dropped."""
     stream = stream or sys.stderr
-    render = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
+    renderer = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
     logger = structlog.wrap_logger(
         structlog.PrintLogger(stream),
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
     )
--- a/driftshed/common/options.py
+++ b/driftshed/common/options.py
@@ -1,4 +1,4 @@
-"""Flags of commands."""
+"""Command options."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 import click
 
 
-def envvar(name: str) -> str:
+def environment_name(name: str) -> str:
+    """Returns the environment variable of an option."""
     return "DRIFTSHED_" + name.upper().replace("-", "_")
 
 
-def option(name: str, *names: str, **more: object) -> Callable:
-    """A click option that is also read from the environment."""
-    return click.option(f"--{name}", *names, envvar=envvar(name), show_default=True, **more)
+def option(name: str, *names: str, **attributes: object) -> Callable:
+    """Returns a click option that is also read from the environment; `attributes` are those of `click.option`."""
+    return click.option(f"--{name}", *names, envvar=environment_name(name), show_default=True, **attributes)
--- a/driftshed/net/http.py
+++ b/driftshed/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on the loop, both sides: a server with bounds on everything and a client with kept connections."""
+"""HTTP/1.1 on the loop: a server with bounds on all its resources, and a client with persistent connections."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from driftshed.net.stream import Listener, Stream, Tap, dial
 
 PHRASES = {status.value: status.phrase for status in HTTPStatus}
-MOST_PIPELINED = 16  # requests of one connection that wait behind the one being answered
+MAX_PIPELINED = 16  # requests of a connection queued behind the one being answered
 
 
 class Bounds(NamedTuple):
-    """What a server takes: sizes in bytes, times in seconds."""
+    """Limits of a server: sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 1 << 20
     out_bytes: int = 4 << 20
     connections: int = 16384
-    head_within: float = 10.0  # a request that was begun is whole within this
-    idle_for: float = 75.0  # a connection with nothing asked on it is closed after this
+    request_timeout: float = 10.0  # from the first byte of a request to its last
+    idle_for: float = 75.0  # a connection without a request is closed after this
 
 
 class Request:
-    """One request and the one answer to it. `on_gone` is called when its connection ends before the answer."""
+    """One request and its one answer. `on_gone` is called if the connection ends before the answer."""
 
     __slots__ = ("method", "path", "query", "headers", "body", "connection", "on_gone", "answered", "keep")
 
     def __init__(self, connection: ServerConnection) -> None:
+        """The connection fills in the request while it is received."""
         self.connection = connection
         self.method, self.path, self.query, self.body = "", "", "", b""
         self.headers: dict[bytes, bytes] = {}
@@ -40,8 +41,8 @@
         self.answered, self.keep = False, True
 
     def answer(self, status: int, body: bytes = b"", kind: str = "application/json", extra: str = "") -> None:
-        """Answers, once; `extra` is whole header lines, each ended by CR LF. After that, or when the connection has
-        ended, nothing happens."""
+        """Sends the answer. `extra` is complete header lines, each ended by CR LF. Has no effect after the first call,
+        or once the connection has ended."""
         if self.answered:
             return
         self.answered, self.on_gone = True, None
@@ -49,40 +50,42 @@
 
 
 class ServerConnection:
-    """One peer of a server: requests are answered one at a time, in the order in which they came."""
+    """One connection of a server: requests are answered one at a time, in the order of arrival."""
 
     __slots__ = ("server", "stream", "parser", "request", "waiting", "head_size", "timer", "broken", "target", "whole")
 
     def __init__(self, server: HttpServer, stream: Stream) -> None:
+        """Takes over the callbacks of the stream."""
         self.server, self.stream = server, stream
         self.parser = httptools.HttpRequestParser(self)
-        self.request: Request | None = None  # being read
-        self.waiting: deque[Request] = deque()  # read; the first is being answered
+        self.request: Request | None = None  # being received
+        self.waiting: deque[Request] = deque()  # received; the first is being answered
         self.head_size, self.broken, self.target, self.whole = 0, 0, b"", False
-        stream.on_data, stream.on_end = self._data, self._end
+        stream.on_data, stream.on_end = self._on_data, self._on_end
         self.timer: Timer | None = None
-        self._time(server.bounds.idle_for, self._idle)
+        self._set_timer(server.bounds.idle_for, self._on_idle)
 
     @property
     def peer(self) -> tuple[str, int]:
+        """The address and port of the client."""
         return self.stream.peer
 
-    def _time(self, seconds: float, call: Callable[[], object]) -> None:
+    def _set_timer(self, seconds: float, call: Callable[[], object]) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = self.server.loop.after(seconds, call)
 
-    def _idle(self) -> None:
+    def _on_idle(self) -> None:
         self.stream.abort("idle")
 
-    def _slow(self) -> None:
-        self._refuse(408, "the request was not whole in time")
+    def _on_request_timeout(self) -> None:
+        self._reject(408, "the request was not complete in time")
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if self.broken:
             return
         if self.request is None and not self.waiting:
-            self._time(self.server.bounds.head_within, self._slow)
+            self._set_timer(self.server.bounds.request_timeout, self._on_request_timeout)
         self.head_size += len(data)
         try:
             self.parser.feed_data(data)
@@ -92,25 +95,30 @@
             self.broken = self.broken or 400
         if self.broken:
             reasons = {413: "the body is too large", 431: "the headers are too large"}
-            self._refuse(self.broken, reasons.get(self.broken, "this is not HTTP/1.1 as we speak it"))
+            self._reject(self.broken, reasons.get(self.broken, "malformed or unsupported HTTP/1.1"))
             return
         bounds = self.server.bounds
         if self.request is not None and not self.whole and self.head_size > bounds.header_bytes:
-            self._refuse(431, "the headers are too large")
-        elif len(self.waiting) > MOST_PIPELINED:
+            self._reject(431, "the headers are too large")
+        elif len(self.waiting) > MAX_PIPELINED:
             self.stream.pause(True)
 
-    # What the parser calls.
+    # ---- callbacks of the parser ----
+
     def on_message_begin(self) -> None:
+        """Starts a request."""
         self.request, self.target, self.whole = Request(self), b"", False
 
     def on_url(self, url: bytes) -> None:
+        """Collects the request target, which may come in pieces."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Stores a header under its lower-case name; a repeated one replaces the first."""
         self.request.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
+        """Rejects a declared body length above the bound; raises ValueError to stop the parser."""
         self.whole = True
         length = self.request.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.server.bounds.body_bytes:
@@ -118,12 +126,14 @@
             raise ValueError("too large")
 
     def on_body(self, body: bytes) -> None:
+        """Collects the body; raises ValueError to stop the parser above the bound."""
         self.request.body += body
         if len(self.request.body) > self.server.bounds.body_bytes:
             self.broken = 413
             raise ValueError("too large")
 
     def on_message_complete(self) -> None:
+        """Queues the request, and has it handled if no other waits for its answer."""
         request, self.request, self.head_size = self.request, None, 0
         request.method = self.parser.get_method().decode("ascii", "replace")
         path, _, request.query = self.target.decode("latin-1").partition("?")
@@ -133,9 +143,9 @@
             self.timer = None
         self.waiting.append(request)
         if len(self.waiting) == 1:
-            self._next()
+            self._handle_next()
 
-    def _next(self) -> None:
+    def _handle_next(self) -> None:
         if self.waiting and not self.waiting[0].answered:
             self.server.handle(self.waiting[0])
 
@@ -143,10 +153,10 @@
         if self.stream.sock is None:
             return
         keep = request.keep and not self.server.closing
-        end = "\r\n" if keep else "connection: close\r\n\r\n"
+        last_header = "\r\n" if keep else "connection: close\r\n\r\n"
         head = (
             f"HTTP/1.1 {status} {PHRASES.get(status, 'Other')}\r\ncontent-type: {kind}\r\n"
-            f"content-length: {len(body)}\r\n{extra}{end}"
+            f"content-length: {len(body)}\r\n{extra}{last_header}"
         )
         self.stream.write(head.encode("latin-1") + body)
         if self.waiting and self.waiting[0] is request:
@@ -157,23 +167,23 @@
         if self.stream.sock is None:
             return
         if self.waiting:
-            self.server.loop.soon(self._next)
+            self.server.loop.soon(self._handle_next)
         elif self.request is None:
-            self._time(self.server.bounds.idle_for, self._idle)
-        if self.stream.paused and len(self.waiting) <= MOST_PIPELINED / 2:
+            self._set_timer(self.server.bounds.idle_for, self._on_idle)
+        if self.stream.paused and len(self.waiting) <= MAX_PIPELINED / 2:
             self.stream.pause(False)
 
-    def _refuse(self, status: int, reason: str) -> None:
-        """Answers what cannot be read, and ends the connection."""
+    def _reject(self, status: int, reason: str) -> None:
+        """Answers a request that cannot be read with an error, and ends the connection."""
         self.broken = self.broken or status
-        if self.waiting:  # those before it are answered first, or not at all
+        if self.waiting:  # answers before it are still due, and an error must not overtake them
             self.stream.abort("malformed")
             return
         request = self.request or Request(self)
         request.keep = False
         request.answer(status, self.server.refusal(reason))
 
-    def _end(self, reason: str) -> None:
+    def _on_end(self, reason: str) -> None:
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -182,15 +192,16 @@
         for request in waiting:
             request.answered = True
             if request.on_gone:
-                gone, request.on_gone = request.on_gone, None
-                gone()
+                on_gone, request.on_gone = request.on_gone, None
+                on_gone()
         self.parser = None
         if self.server.on_connection_end:
             self.server.on_connection_end(self, reason)
 
 
 class HttpServer:
-    """Serves `handle(request)` at one address. `refusal(reason)` makes the body of an answer to what is malformed."""
+    """Serves `handle(request)` at one address. `refusal(reason)` returns the body of an error answer to a malformed
+    request or a rejected connection."""
 
     def __init__(
         self,
@@ -201,8 +212,9 @@
         refusal: Callable[[str], bytes] = lambda reason: reason.encode(),
         shared: bool = False,
     ) -> None:
+        """Raises OSError if the address is not available. `shared`: other processes may listen at the same address."""
         self.loop, self.handle, self.bounds, self.refusal = loop, handle, bounds, refusal
-        self.connections: dict[ServerConnection, None] = {}  # in the order of their coming
+        self.connections: dict[ServerConnection, None] = {}  # in the order of acceptance
         self.on_connection_end: Callable[[ServerConnection, str], object] | None = None
         self.on_connection: Callable[[Stream], object] | None = None
         self.closing = False
@@ -228,7 +240,8 @@
             self.connections[ServerConnection(self, stream)] = None
 
     def close(self, now: bool = True) -> None:
-        """Listens no more. With `now` every connection ends too; else each ends after its next answer."""
+        """Stops listening. With `now` all connections end at once; else idle ones do, and the others after their next
+        answer."""
         self.closing = True
         self.listener.close()
         for connection in list(self.connections):
@@ -237,54 +250,59 @@
 
 
 class Answer(NamedTuple):
-    """What came of a call. `status` 0: none came, and `error` says why: "refused" and "unreachable" (nothing was
-    sent), "closed" and "reset" (sent, or some of it, when the connection ended), "late" (given up after its time)."""
+    """The result of a call. `status` 0: there was no answer, and `error` is the reason: "refused" or "unreachable"
+    (nothing was sent), "closed" or "reset" (the connection ended after some or all was sent), "late" (timed out)."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     error: str = ""
-    sent: bool = False  # some byte of the request may have reached the other side
-    kept: bool = False  # it went on a connection that had been used before
+    sent: bool = False  # some bytes of the request may have reached the server
+    kept: bool = False  # sent on a connection that had been used before
 
 
 class ClientConnection:
-    """One kept connection of a client, with at most one call on it."""
+    """One persistent connection of a client, with at most one call at a time."""
 
     __slots__ = ("client", "stream", "parser", "call", "headers", "body", "sent", "calls", "timer")
 
     def __init__(self, client: HttpClient, stream: Stream) -> None:
+        """Takes over the callbacks of the stream."""
         self.client, self.stream, self.call, self.timer = client, stream, None, None
         self.headers, self.body, self.sent, self.calls = {}, b"", False, 0
         self.parser = httptools.HttpResponseParser(self)
-        stream.on_data, stream.on_end, stream.on_open = self._data, self._end, self._open
+        stream.on_data, stream.on_end, stream.on_open = self._on_data, self._on_end, self._on_open
 
     def start(self, call: Call) -> None:
+        """Sends a call, at once or when the stream is connected."""
         self.call, self.sent, self.headers, self.body = call, False, {}, b""
         self.calls += 1
         if not self.stream.connecting:
-            self._open()
+            self._on_open()
 
-    def _open(self) -> None:
+    def _on_open(self) -> None:
         if self.call:
             self.sent = True
             self.stream.write(self.call.data())
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.stream.abort("malformed")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Stores a header under its lower-case name."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """Collects the body; raises ValueError to stop the parser above the client's bound."""
         self.body += body
         if len(self.body) > self.client.most_body:
             raise ValueError("too large")
 
     def on_message_complete(self) -> None:
+        """Completes the call, and keeps the connection for the next one if the server does."""
         call, self.call = self.call, None
         if call is None:
             return
@@ -297,7 +315,7 @@
             self.stream.abort("ended")
         call.done(answer)
 
-    def _end(self, reason: str) -> None:
+    def _on_end(self, reason: str) -> None:
         call, self.call = self.call, None
         self.client._lost(self)
         if call:
@@ -306,7 +324,7 @@
 
 
 class Call:
-    """One request of a client under way; `cancel()` gives it up and ends its connection."""
+    """One request of a client that is in progress; `cancel()` abandons it and ends its connection."""
 
     __slots__ = ("method", "path", "body", "kind", "extra", "host", "on_done", "timer", "connection")
 
@@ -320,17 +338,19 @@
         host: str,
         on_done: Callable[[Answer], object],
     ) -> None:
+        """`host` and `extra` are complete header lines; `kind` is the content type."""
         self.method, self.path, self.body, self.kind, self.extra, self.host = method, path, body, kind, extra, host
         self.on_done, self.timer, self.connection = on_done, None, None
 
     def data(self) -> bytes:
-        """The request as it goes on the wire."""
+        """Returns the encoded request."""
         head = f"{self.method} {self.path} HTTP/1.1\r\n{self.host}{self.extra}"
         if self.body or self.method in ("POST", "PUT"):
             head += f"content-type: {self.kind}\r\ncontent-length: {len(self.body)}\r\n"
         return head.encode("latin-1") + b"\r\n" + self.body
 
     def done(self, answer: Answer) -> None:
+        """Reports the answer, the first time only, and cancels the time-out."""
         if self.timer:
             self.timer.cancel()
         on_done, self.on_done = self.on_done, None
@@ -338,12 +358,13 @@
             on_done(answer)
 
     def cancel(self, error: str = "late") -> None:
+        """Ends the connection of an unfinished call; its answer has `error` as the reason."""
         if self.on_done is not None:
             self.connection.stream.abort(error)
 
 
 class HttpClient:
-    """Calls to one address over kept connections, one call a connection, the connection used last first."""
+    """Makes calls to one address over persistent connections, one call at a time on each, most recently used first."""
 
     def __init__(
         self,
@@ -355,11 +376,13 @@
         idle_most: int = 64,
         idle_for: float = 0.0,
     ) -> None:
-        self.idle_for = idle_for  # seconds after which an idle connection is ended; 0: never
+        """`most_body`: bound of an answer's body, in bytes; `idle_most`: idle connections kept; `tap()` makes each
+        stream's tap."""
+        self.idle_for = idle_for  # seconds after which an idle connection is closed; 0: never
         self.loop, self.address, self.source, self.most_body = loop, address, source, most_body
         self.tap, self.idle_most = tap, idle_most
         self.idle: list[ClientConnection] = []
-        self.all: dict[ClientConnection, None] = {}  # in the order of their making
+        self.all: dict[ClientConnection, None] = {}  # in the order of creation
         self.host = f"host: {address[0]}:{address[1]}\r\n"
 
     def call(
@@ -373,7 +396,7 @@
         kind: str = "application/json",
         fresh: bool = False,
     ) -> Call:
-        """Sends a request and tells `on_done(answer)`, once, within `within` seconds. `fresh`: on a new connection."""
+        """Sends a request and calls `on_done(answer)`, once, within `within` seconds. `fresh`: on a new connection."""
         call = Call(method, path, body, kind, extra, self.host, on_done)
         if self.idle and not fresh:
             connection = self.idle.pop()
@@ -411,12 +434,13 @@
             self.idle.remove(connection)
 
     def close(self) -> None:
+        """Ends all connections; calls in progress get an answer without status."""
         for connection in list(self.all):
             connection.stream.abort("closed")
 
 
 class Transport(NamedTuple):
-    """How HTTP is spoken: by sockets, or by whatever else makes servers and clients that are called the same way."""
+    """How HTTP connections are made: over sockets, or by another implementation with the same constructors."""
 
     server: Callable[..., HttpServer] = HttpServer
     client: Callable[..., HttpClient] = HttpClient
--- a/driftshed/net/stream.py
+++ b/driftshed/net/stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP stream on the loop: bounded output, one place where bytes come in and go out."""
+"""A non-blocking TCP stream on the loop with bounded output; all bytes in and out pass through it."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from driftshed.net.loop import READ, WRITE, Loop
 
-CHUNK = 65536  # bytes read at a time
-BACKLOG = 4096  # connections that the kernel holds for us
-AGAIN = 0.1  # seconds after which one that ran out of descriptors accepts again
+READ_BYTES = 65536  # largest read at a time
+LISTEN_BACKLOG = 4096  # connections that the kernel queues until they are accepted
+ACCEPT_RETRY_S = 0.1  # delay before accepting again after running out of descriptors
 
-# Called as tap(outward, data) with what passes on a stream's socket, and with b"" at its end.
+# Called as tap(outward, data) with the bytes sent and received on a stream, and as tap(False, b"") at its end.
 Tap = Callable[[bool, bytes], object]
 
 
 class Stream:
-    """Bytes to and from one peer. `on_data(data)` gets what came; `on_end(reason)` is called once, when the stream
-    is over for whatever reason: "ended", "reset", "stuck" (the peer does not read: the output outgrew its bound)
-    or what `abort` was given."""
+    """A byte stream to one peer; owns its socket. `on_data(data)` receives the bytes read; `on_end(reason)` is called
+    once, when the stream ends for any reason: "ended", "reset", "stuck" (the peer does not read and the output exceeded
+    its bound), or the reason given to `abort`."""
 
     __slots__ = (
         "loop",
@@ -41,6 +41,7 @@
     )
 
     def __init__(self, loop: Loop, sock: socket.socket, most_out: int, connecting: bool = False) -> None:
+        """`most_out`: bound of the unsent output, in bytes. `connecting`: the socket's connect is in progress."""
         self.loop, self.sock, self.most_out = loop, sock, most_out
         self.out = bytearray()
         self.on_data: Callable[[bytes], object] = lambda data: None
@@ -55,43 +56,43 @@
             self.peer = sock.getpeername()
         except OSError:
             self.peer = ("", 0)
-        self._watch()
+        self._update_events()
 
-    def _watch(self) -> None:
+    def _update_events(self) -> None:
         if self.sock is None:
             return
         events = (0 if self.paused or self.connecting else READ) | (WRITE if self.out or self.connecting else 0)
         if events != self.events:
             self.events = events
-            self.loop.watch(self.sock, events, self._ready)
+            self.loop.watch(self.sock, events, self._on_ready)
 
     def pause(self, paused: bool) -> None:
-        """Stops or resumes reading; the kernel then holds the peer back."""
+        """Stops or resumes reading; while stopped, TCP flow control holds the peer back."""
         self.paused = paused
-        self._watch()
+        self._update_events()
 
-    def _ready(self, events: int) -> None:
+    def _on_ready(self, events: int) -> None:
         if self.connecting:
-            code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code:
-                self.abort("refused" if code == errno.ECONNREFUSED else "unreachable")
+            error_code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error_code:
+                self.abort("refused" if error_code == errno.ECONNREFUSED else "unreachable")
                 return
             self.connecting = False
-            self._watch()
+            self._update_events()
             if self.on_open:
                 self.on_open()
             if self.sock is not None and self.out:
-                self._push()
+                self._flush()
             return
         if events & READ:
             self.pull()
         if events & WRITE and self.sock is not None:
-            self._push()
+            self._flush()
 
     def pull(self) -> None:
-        """Reads what has come, if anything."""
+        """Reads the bytes that have arrived, if any."""
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -105,7 +106,7 @@
             self.tap(False, data)
         self.on_data(data)
 
-    def _push(self) -> None:
+    def _flush(self) -> None:
         try:
             sent = self.sock.send(self.out)
         except (BlockingIOError, InterruptedError):
@@ -120,32 +121,32 @@
         if not self.out and self.closing:
             self.abort("ended")
             return
-        self._watch()
+        self._update_events()
         if not self.out and self.on_drained:
             self.on_drained()
 
     def write(self, data: bytes) -> None:
-        """Sends, now or as the peer reads. Guards against a peer that does not read: past its bound the stream is
-        dropped, not buffered for ever."""
+        """Sends now, or when the peer reads. A peer that does not read must not use up memory: once the unsent output
+        exceeds its bound, the stream is ended."""
         if self.sock is None or self.closing:
             return
         empty = not self.out
         self.out += data
         if empty and not self.connecting:
-            self._push()
+            self._flush()
         if self.sock is not None and len(self.out) > self.most_out:
             self.abort("stuck")
         elif self.sock is not None:
-            self._watch()
+            self._update_events()
 
     def finish(self) -> None:
-        """Ends the stream when all that was written has gone."""
+        """Ends the stream once all output is sent."""
         if not self.out:
             self.abort("ended")
         self.closing = True
 
     def abort(self, reason: str, hard: bool = False) -> None:
-        """Ends the stream now; `hard` sends a reset instead of an end."""
+        """Ends the stream now and drops unsent output; `hard` sends a reset instead of a regular end."""
         if self.sock is None:
             return
         sock, self.sock = self.sock, None
@@ -157,15 +158,15 @@
         if self.tap:
             self.tap(False, b"")
         self.on_end(reason)
-        self.on_data, self.on_end, self.on_open, self.on_drained = _nothing, _nothing, None, None
+        self.on_data, self.on_end, self.on_open, self.on_drained = _ignore, _ignore, None, None
 
 
-def _nothing(_: object) -> None:
+def _ignore(_: object) -> None:
     pass
 
 
 class Listener:
-    """Accepts connections at one address and hands each to `on_stream(stream)`."""
+    """Accepts connections at one address and passes each to `on_stream(stream)`."""
 
     def __init__(
         self,
@@ -175,17 +176,19 @@
         most_out: int = 1 << 20,
         shared: bool = False,
     ) -> None:
+        """Raises OSError if the address is not available. `most_out`: bound of each stream's unsent output, in bytes;
+        `shared`: other processes may listen at the same address."""
         self.loop, self.on_stream, self.most_out = loop, on_stream, most_out
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:  # several processes listen at one address, and the kernel deals connections out
+        if shared:  # several processes listen at one address; the kernel distributes connections
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
             self.sock.bind(address)
         except OSError:
             self.sock.close()
             raise
-        self.sock.listen(BACKLOG)
+        self.sock.listen(LISTEN_BACKLOG)
         self.sock.setblocking(False)
         self.address: tuple[str, int] = self.sock.getsockname()
         loop.watch(self.sock, READ, self._accept)
@@ -200,19 +203,20 @@
                 return
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # Guards against spinning while there are no descriptors left: those that wait stay in the kernel.
+                    # Do not spin while no descriptors are left: waiting connections stay in the kernel's queue.
                     self.loop.watch(self.sock, 0, None)
-                    self.loop.after(AGAIN, self._resume)
+                    self.loop.after(ACCEPT_RETRY_S, self._resume_accepting)
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.on_stream(Stream(self.loop, sock, self.most_out))
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self.sock is not None:
             self.loop.watch(self.sock, READ, self._accept)
 
     def close(self) -> None:
+        """Stops listening; accepted streams stay open."""
         if self.sock is not None:
             sock, self.sock = self.sock, None
             self.loop.watch(sock, 0, None)
@@ -222,20 +226,21 @@
 def dial(
     loop: Loop, address: tuple[str, int], source: str | None = None, most_out: int = 1 << 20, tap: Tap | None = None
 ) -> Stream:
-    """A stream to an address, from a source address where one is given; `on_open()` tells when it stands, `on_end`
-    with "refused" or "unreachable" that it does not. Raises OSError where the source cannot be had."""
+    """Returns a stream that connects to an address, from a source address if one is given. `on_open()` is called once
+    it is connected, `on_end` with "refused" or "unreachable" if it cannot be. Raises OSError if the source address is
+    not available."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
         if source:
             sock.bind((source, 0))
-        code = sock.connect_ex(address)
+        error_code = sock.connect_ex(address)
     except OSError:
         sock.close()
         raise
     stream = Stream(loop, sock, most_out, connecting=True)
     stream.peer, stream.tap = address, tap
-    if code not in (0, errno.EINPROGRESS):
-        loop.soon(lambda: stream.abort("refused" if code == errno.ECONNREFUSED else "unreachable"))
+    if error_code not in (0, errno.EINPROGRESS):
+        loop.soon(lambda: stream.abort("refused" if error_code == errno.ECONNREFUSED else "unreachable"))
     return stream
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -101,7 +101,7 @@
     ],
 )
 def test_what_cannot_be_read_is_refused_and_disturbs_nobody(loop, sent, status):
-    server = serve(loop, header_bytes=1000, body_bytes=1000, head_within=0.2)
+    server = serve(loop, header_bytes=1000, body_bytes=1000, request_timeout=0.2)
     raw, other = Raw(loop, server.address), Raw(loop, server.address)
     raw.sock.sendall(sent)
     until(loop, lambda: raw.read() and raw.ended)
