--- a/tests/test_crossings_loop.py
+++ b/tests/test_crossings_loop.py
@@ -1,4 +1,5 @@
-"""Crossings on the loop: what happens between two calls of one round, and a timer that comes with what it waits for."""
+"""Network fault tests of the loop: effects between two callbacks of one round, and a timer due together with the bytes
+it waits for."""
 
 import os
 import signal
@@ -12,8 +13,6 @@
 from tests.platforms import free_port
 from tests.test_net import until
 
-# ---- the loop --------------------------------------------------------------------------------------------------------
-
 
 @pytest.fixture
 def loop():
@@ -23,7 +22,7 @@
 
 
 def pairs(loop: Loop, count: int) -> tuple[list[Stream], list[socket.socket]]:
-    """Streams on the loop, and the other ends of them."""
+    """Returns streams on the loop and the sockets at their other ends."""
     streams, ends = [], []
     for _ in range(count):
         ours, theirs = socket.socketpair()
@@ -33,7 +32,7 @@
     return streams, ends
 
 
-def test_bytes_that_came_in_time_are_read_before_the_timer_that_waits_for_them(loop):
+def test_bytes_that_arrive_in_time_are_read_before_the_timer_that_waits_for_them(loop):
     (busy, awaited), (first, second) = pairs(loop, 2)
     order = []
 
@@ -48,40 +47,40 @@
     assert order == ["data", "timer"]
 
 
-def test_a_signal_is_heard_though_the_one_before_it_raises(loop):
-    heard, errors = [], []
+def test_a_signal_is_handled_although_the_one_before_it_raises(loop):
+    received, errors = [], []
     loop.on_error = errors.append
 
     def on_signal(number: int) -> None:
         if number == signal.SIGUSR1:
             raise ValueError("a reload that fails")
-        heard.append(number)
+        received.append(number)
 
     before = signal.getsignal(signal.SIGUSR1), signal.getsignal(signal.SIGUSR2)
     loop.on_signals((signal.SIGUSR1, signal.SIGUSR2), on_signal)
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGUSR2)
     try:
-        until(loop, lambda: heard)
+        until(loop, lambda: received)
     finally:
         signal.signal(signal.SIGUSR1, before[0]), signal.signal(signal.SIGUSR2, before[1])
-    assert heard == [signal.SIGUSR2] and len(errors) == 1
+    assert received == [signal.SIGUSR2] and len(errors) == 1
 
 
-def test_a_socket_closed_in_the_round_is_not_called_though_its_number_is_used_again(loop):
+def test_a_socket_closed_in_the_round_is_not_called_although_its_descriptor_is_reused(loop):
     streams, ends = pairs(loop, 2)
     called = []
-    made = []
+    replacements = []
 
-    def close_the_other(which: int):
+    def close_the_other(index: int):
         def on_data(data: bytes) -> None:
-            called.append(which)
-            number = streams[1 - which].sock.fileno()
-            streams[1 - which].abort("closed by the other")
-            again = pairs(loop, 1)
-            made.append(again)
-            assert again[0][0].sock.fileno() == number
-            again[0][0].on_data = lambda data: called.append("new")
+            called.append(index)
+            descriptor = streams[1 - index].sock.fileno()
+            streams[1 - index].abort("closed by the other")
+            replacement = pairs(loop, 1)
+            replacements.append(replacement)
+            assert replacement[0][0].sock.fileno() == descriptor
+            replacement[0][0].on_data = lambda data: called.append("new")
 
         return on_data
 
@@ -91,22 +90,22 @@
     for _ in range(5):
         loop.turn(time.monotonic() + 0.01)
     assert called in ([0], [1])
-    for end in [*ends, *made[0][1]]:
+    for end in [*ends, *replacements[0][1]]:
         end.close()
 
 
-def test_what_a_callback_does_to_the_round_holds_at_once(loop):
-    came, errors = [], []
+def test_a_callback_can_cancel_and_stop_within_the_same_round(loop):
+    called, errors = [], []
     loop.on_error = errors.append
-    second = loop.after(0.01, lambda: came.append("cancelled"))
+    second = loop.after(0.01, lambda: called.append("cancelled"))
     loop.at(second.at - 0.001, second.cancel)
     loop.after(0.012, lambda: 1 / 0)
-    loop.after(0.013, lambda: (came.append("after"), loop.stop()))
+    loop.after(0.013, lambda: (called.append("after"), loop.stop()))
     loop.run(time.monotonic() + 5)
-    assert came == ["after"] and [type(error) for error in errors] == [ZeroDivisionError]
+    assert called == ["after"] and [type(error) for error in errors] == [ZeroDivisionError]
 
 
-def test_a_write_that_ends_its_stream_from_inside_is_no_fault(loop):
+def test_a_write_may_end_its_stream_from_within_a_callback(loop):
     (stream,), (end,) = pairs(loop, 1)
     ended = []
     stream.on_end = lambda reason: (ended.append(reason), stream.write(b"more"), stream.abort("again"))
@@ -116,7 +115,7 @@
     assert len(ended) == 1 and stream.sock is None and not loop.selector.get_map()
 
 
-def test_a_connection_that_is_over_before_it_stands_is_told_once(loop):
+def test_a_connection_that_fails_before_it_is_established_is_reported_once(loop):
     ended = []
     for _ in range(3):
         stream = dial(loop, ("127.0.0.1", free_port()))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,5 @@
-"""The loop and HTTP over real sockets: bounds, order, time-outs. Tests poll for a condition under a generous bound."""
+"""The loop and HTTP over real sockets: bounds, order, time-outs. Tests poll for a condition within a generous time
+limit."""
 
 import socket
 import time
@@ -8,19 +9,19 @@
 from driftshed.net.http import Bounds, HttpClient, HttpServer
 from driftshed.net.loop import DEAD_TIMERS, Loop
 
-BOUND = 10.0  # seconds: a condition that has not come by then fails the test
+CONDITION_TIMEOUT_S = 10.0  # a condition that is not met by then fails the test
 
 
-def until(loop: Loop, condition, bound: float = BOUND) -> None:
+def until(loop: Loop, condition, bound: float = CONDITION_TIMEOUT_S) -> None:
     end = time.monotonic() + bound
     while not condition():
-        assert time.monotonic() < end, "the condition did not come"
+        assert time.monotonic() < end, "the condition was not met in time"
         loop.after(0.01, lambda: None)
         loop.turn(end)
 
 
 class Raw:
-    """A peer of bare bytes."""
+    """A peer that sends and receives raw bytes."""
 
     def __init__(self, loop: Loop, address) -> None:
         self.loop, self.sock, self.got, self.ended = loop, socket.create_connection(address), b"", False
@@ -49,27 +50,27 @@
     return HttpServer(loop, ("127.0.0.1", 0), handle, Bounds(**bounds))
 
 
-def test_timers_come_in_order_and_cancelled_ones_do_not_come(loop):
-    came = []
+def test_timers_are_called_in_order_and_cancelled_ones_are_not(loop):
+    called = []
     for k in (3, 1, 2):
-        loop.after(k / 100, lambda k=k: came.append(k))
-    loop.after(0.015, lambda: came.append("cancelled")).cancel()
-    until(loop, lambda: len(came) >= 3)
-    assert came == [1, 2, 3]
+        loop.after(k / 100, lambda k=k: called.append(k))
+    loop.after(0.015, lambda: called.append("cancelled")).cancel()
+    until(loop, lambda: len(called) >= 3)
+    assert called == [1, 2, 3]
 
 
-def test_cancelled_timers_do_not_pile_up(loop):
+def test_cancelled_timers_do_not_accumulate(loop):
     for _ in range(50 * DEAD_TIMERS):
         loop.after(1000, lambda: None).cancel()
     assert len(loop.timers) <= 2 * DEAD_TIMERS + 1
 
 
-def test_a_callback_that_raises_is_told_and_the_loop_goes_on(loop):
-    errors, came = [], []
+def test_an_exception_of_a_callback_is_reported_and_the_loop_continues(loop):
+    errors, called = [], []
     loop.on_error = errors.append
     loop.after(0, lambda: 1 / 0)
-    loop.after(0.01, lambda: came.append(1))
-    until(loop, lambda: came)
+    loop.after(0.01, lambda: called.append(1))
+    until(loop, lambda: called)
     assert isinstance(errors[0], ZeroDivisionError)
 
 
@@ -100,7 +101,7 @@
         (b"GET / HT", b"408"),
     ],
 )
-def test_what_cannot_be_read_is_refused_and_disturbs_nobody(loop, sent, status):
+def test_a_malformed_request_is_rejected_without_effect_on_other_connections(loop, sent, status):
     server = serve(loop, header_bytes=1000, body_bytes=1000, request_timeout=0.2)
     raw, other = Raw(loop, server.address), Raw(loop, server.address)
     raw.sock.sendall(sent)
@@ -127,7 +128,7 @@
     assert ended == ["stuck"]
 
 
-def test_connections_over_the_cap_are_told_so(loop):
+def test_connections_over_the_limit_are_answered_with_503(loop):
     server = serve(loop, connections=2)
     held = [Raw(loop, server.address) for _ in range(2)]
     until(loop, lambda: len(server.connections) == 2)
@@ -141,7 +142,7 @@
     until(loop, lambda: b"/in" in fourth.read())
 
 
-def test_idle_connections_end_and_a_request_learns_that_its_peer_is_gone(loop):
+def test_idle_connections_end_and_a_request_is_notified_when_its_peer_is_gone(loop):
     gone, asked = [], []
 
     def handle(request) -> None:
@@ -154,17 +155,17 @@
     until(loop, lambda: asked)
     leaver.sock.close()
     until(loop, lambda: gone)
-    asked[0].answer(200, b"too late")  # nothing happens
+    asked[0].answer(200, b"too late")  # has no effect
     until(loop, lambda: idle.read() == b"" and idle.ended)
 
 
-def test_a_client_tells_never_sent_from_perhaps_sent(loop):
+def test_a_client_distinguishes_never_sent_from_perhaps_sent(loop):
     answers = {}
     server = serve(loop, lambda request: request.connection.stream.abort("reset", hard=True))
-    silent = serve(loop, lambda request: None)
+    unresponsive = serve(loop, lambda request: None)
     free = socket.socket()
     free.bind(("127.0.0.1", 0))
-    for name, address in (("refused", free.getsockname()), ("reset", server.address), ("late", silent.address)):
+    for name, address in (("refused", free.getsockname()), ("reset", server.address), ("late", unresponsive.address)):
         client = HttpClient(loop, address)
         client.call("POST", "/", b"{}", lambda answer, name=name: answers.update({name: answer}), 0.3)
     until(loop, lambda: len(answers) == 3)
@@ -176,7 +177,7 @@
     }
 
 
-def test_a_client_keeps_its_connection(loop):
+def test_a_client_reuses_its_connection(loop):
     server, answers = serve(loop), []
     client = HttpClient(loop, server.address)
     for k in range(5):
