--- a/driftshed/core/messages.py
+++ b/driftshed/core/messages.py
@@ -224,7 +224,7 @@
 
 class RosterNews(Struct, forbid_unknown_fields=True):
     """A roster update. `whole`: a full snapshot, in which servers not named are gone; else a delta, whose `version`
-    must follow the last one."""
+    must be one more than the last."""
 
     version: Count
     whole: bool
