--- a/driftshed/core/hub.py
+++ b/driftshed/core/hub.py
@@ -146,7 +146,7 @@
             return
         unjoined = next((p for p, record in self.records.items() if not record.joined), None)
         if unjoined is None:
-            raise Refused(503, f"{self.max_records} proxies are joined, which is the limit; come back later")
+            raise Refused(503, f"{self.max_records} proxies are joined and no more are kept; come back later")
         del self.records[unjoined]
 
     def leave(self, proxy: int) -> bool:
--- a/driftshed/core/messages.py
+++ b/driftshed/core/messages.py
@@ -42,7 +42,7 @@
             raise ValueError
         return ipaddress.IPv4Address(address).packed + port_number.to_bytes(2, "big")
     except ValueError:
-        raise BadName(f"server {name[:64]!r}: expected an IPv4 address, a colon and a port") from None
+        raise BadName(f"server {name[:64]!r}: an IPv4 address, a colon and a port are wanted") from None
 
 
 # ---- changes of a proxy's state -------------------------------------------------------------------------------
--- a/driftshed/net/http.py
+++ b/driftshed/net/http.py
@@ -79,7 +79,7 @@
         self.stream.abort("idle")
 
     def _on_request_timeout(self) -> None:
-        self._reject(408, "the request was not complete in time")
+        self._reject(408, "the request was not whole in time")
 
     def _on_data(self, data: bytes) -> None:
         if self.broken:
@@ -95,7 +95,7 @@
             self.broken = self.broken or 400
         if self.broken:
             reasons = {413: "the body is too large", 431: "the headers are too large"}
-            self._reject(self.broken, reasons.get(self.broken, "malformed or unsupported HTTP/1.1"))
+            self._reject(self.broken, reasons.get(self.broken, "this is not HTTP/1.1 as we speak it"))
             return
         bounds = self.server.bounds
         if self.request is not None and not self.whole and self.head_size > bounds.header_bytes:
