--- a/driftshed/evacuation/command.py
+++ b/driftshed/evacuation/command.py
@@ -1,4 +1,4 @@
-"""`driftshed zone`: what stands on zones, and orders by hand."""
+"""`driftshed zone`: shows the state of zones, and orders by hand to leave them or return to them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from driftshed.common.asking import ask
 
 
-def _ask(supervisor: str, body: dict | None = None) -> object:
-    return ask(supervisor, "zones", body, "this supervisor leaves no zones: start it with --leave-zones")
+def _query(supervisor: str, body: dict | None = None) -> object:
+    return ask(supervisor, "zones", body, "this supervisor does not leave zones: start it with --leave-zones")
 
 
 @click.group()
@@ -28,34 +28,36 @@
 @supervisor
 @click.option("--json", "as_json", is_flag=True, help="print one array and nothing else")
 def status(supervisor: str, as_json: bool) -> None:
-    """What stands on each zone, and what this supervisor's proxies met there."""
-    rows = _ask(supervisor)
+    """Shows the stage of each zone, and how this supervisor's proxies observe it."""
+    rows = _query(supervisor)
     if as_json:
         click.echo(json.dumps(rows))
         return
-    table = Table("zone", "left", "stage", "seen from here", "the rest bears", "account", box=None)
+    table = Table("zone", "left", "stage", "seen from here", "can be left", "account", box=None)
     for row in rows:
         stage = row["stage"] or {"phase": "-", "account": "", "by": None}
         by = f" by {stage['by']}" if stage.get("by") else ""
-        seen = f"{row['verdict']} for {row['lasted']} s"
+        verdict = f"{row['verdict']} for {row['lasted']} s"
         table.add_row(
-            row["zone"], f"{row['share']:.0%}", stage["phase"] + by, seen, f"{row['bears']:.0%}", stage["account"]
+            row["zone"], f"{row['share']:.0%}", stage["phase"] + by, verdict, f"{row['bears']:.0%}", stage["account"]
         )
     Console(width=160).print(table)
 
 
-def _order(what: str, zone: str, supervisor: str, dry: bool, **more: object) -> None:
-    answer = _ask(supervisor, {"zone": zone, "what": what, "by": getpass.getuser(), "dry": dry, **more})
+def _send_order(what: str, zone: str, supervisor: str, dry: bool, **more: object) -> None:
+    answer = _query(supervisor, {"zone": zone, "what": what, "by": getpass.getuser(), "dry": dry, **more})
     stage = answer["stage"]
-    said = "proposed" if answer["proposed"] else "would be"
-    click.echo(f"{said}: {zone} {stage['phase']}, {stage['share']:.0%} of it left")
+    verb = "proposed" if answer["proposed"] else "would be"
+    click.echo(f"{verb}: {zone} {stage['phase']}, {stage['share']:.0%} of it left")
     for name, row in answer["servers"].items():
-        click.echo(f"  {name}: {row['ready']} servers carry, {row['left']} are left")
+        click.echo(f"  {name}: {row['ready']} servers in use, {row['left']} left")
 
 
-share = click.option("--share", type=click.FloatRange(0, 1), default=1.0, help="of its servers that are left")
-dry = click.option("--dry-run", "dry", is_flag=True, help="say what it would be, and do nothing")
-lasts = click.option("--for", "lasts", type=click.FloatRange(1, 86400), default=3600.0, help="seconds that it binds")
+share = click.option("--share", type=click.FloatRange(0, 1), default=1.0, help="of its servers that is left")
+dry = click.option("--dry-run", "dry", is_flag=True, help="print the resulting stage, and do nothing")
+lasts = click.option(
+    "--for", "lasts", type=click.FloatRange(1, 86400), default=3600.0, help="seconds for which the order is valid"
+)
 
 
 @zone.command()
@@ -66,7 +68,7 @@
 @share
 def leave(name: str, supervisor: str, dry: bool, lasts: float, share: float) -> None:
     """Leaves a zone or region by hand."""
-    _order("leave", name, supervisor, dry, lasts=lasts, share=share)
+    _send_order("leave", name, supervisor, dry, lasts=lasts, share=share)
 
 
 @zone.command()
@@ -75,8 +77,8 @@
 @dry
 @lasts
 def hold(name: str, supervisor: str, dry: bool, lasts: float) -> None:
-    """Holds what stands on a zone, whatever is seen."""
-    _order("hold", name, supervisor, dry, lasts=lasts)
+    """Holds the stage of a zone or region, whatever is observed."""
+    _send_order("hold", name, supervisor, dry, lasts=lasts)
 
 
 @zone.command(name="return")
@@ -84,8 +86,8 @@
 @supervisor
 @dry
 def back(name: str, supervisor: str, dry: bool) -> None:
-    """Begins to return to a zone or region, in steps."""
-    _order("return", name, supervisor, dry)
+    """Begins the return to a zone or region, in steps."""
+    _send_order("return", name, supervisor, dry)
 
 
 @zone.command()
@@ -94,5 +96,5 @@
 @dry
 @share
 def alone(name: str, supervisor: str, dry: bool, share: float) -> None:
-    """Lets a part of what is left in again at this supervisor alone, while its store is away; say it to each."""
-    _order("alone", name, supervisor, dry, share=share)
+    """Returns to a part of what is left at this supervisor alone, while its store is unreachable; order it at each."""
+    _send_order("alone", name, supervisor, dry, share=share)
--- a/driftshed/evacuation/overlay.py
+++ b/driftshed/evacuation/overlay.py
@@ -1,8 +1,8 @@
-"""What stands on zones, laid over the list that the module hears. Free of I/O.
+"""Applies the shares of zones that are left to the roster that the module receives. Free of I/O.
 
-A server of the share that is left is told as draining: the module moves its work away within the grace, under its own
-caps, and takes it back as a cold one when it is told as ready again. Which servers those are goes by lots drawn from
-their ids, the same for all supervisors."""
+A server in the share that is left is listed as draining: the module moves its work away within the grace, under its own
+limits, and uses it as a cold one when it is listed as ready again. Servers are selected in the order of a hash of their
+ids, which is the same at all supervisors."""
 
 from __future__ import annotations
 
@@ -10,80 +10,92 @@
 
 from driftshed import interface as face
 
-FLOOR = 1  # servers that are listed ready below which nothing is left
+MIN_READY_SERVERS = 1  # with fewer that are listed ready and not left, nothing is left
 
 
-def lot(server: face.Server) -> bytes:
+def hash_order(server: face.Server) -> bytes:
+    """Returns the sort key by which servers of a zone are left: a hash of the id."""
     return hashlib.blake2b(server, digest_size=8).digest()
 
 
 class Overlay:
-    """`shares`: by zone, what is left of it; `warm_within`: seconds until a started server is warm. Times are seconds
-    on the clock that the list's starts are told in."""
+    """The listed servers, and those of them that are left.
+
+    `shares`: by zone, the share of its ready servers that is left. Times are seconds on the clock of the start times in
+    the roster."""
 
     def __init__(self, zones: int, warm_within: float = 0.0) -> None:
+        """Starts with `zones` zones of which nothing is left; `warm_within`: seconds until a started server is warm."""
         self.shares, self.warm_within = [0.0] * zones, warm_within
         self.entries: dict[face.Server, face.Entry] = {}  # as listed
-        self.out: set[face.Server] = set()
-        self.out_at: dict[face.Server, float] = {}  # since when it is left
-        self.back_at: dict[face.Server, float] = {}  # of one that was let in again: when it is to be taken for started
+        self.left: set[face.Server] = set()
+        self.left_at: dict[face.Server, float] = {}  # time since which it is left
+        self.cold_since: dict[face.Server, float] = {}  # start time to list for a server that has returned
 
     def wanted(self) -> set[face.Server]:
-        """The servers that are left by the shares that stand."""
-        out: set[face.Server] = set()
+        """Returns the servers that are to be left by the current shares."""
+        left: set[face.Server] = set()
         ready = [entry for entry in self.entries.values() if entry.state == face.READY]
         for zone, share in enumerate(self.shares):
             if share > 0:
-                own = sorted((lot(entry.server), entry.server) for entry in ready if entry.zone == zone)
-                # Guards against a trickle of a small zone that lets nobody in, and so shows nothing.
-                out.update(server for _, server in own[: int(share * len(own) + 1e-9)])
-        # Guards against proxies left bare: where nobody else is ready, what was agreed gives way.
-        return out if len(ready) - len(out) >= FLOOR else set()
-
-    def hear(self, listing: face.Listing, now: float) -> face.Listing:
-        """A piece of news of the list, as the module is to hear it, with those whose being left changes by it."""
+                ordered = sorted((hash_order(entry.server), entry.server) for entry in ready if entry.zone == zone)
+                # Guards against a small return to a small zone that admits no server, and so yields no evidence.
+                left.update(server for _, server in ordered[: int(share * len(ordered) + 1e-9)])
+        # Guards against proxies without a usable server: if no other is ready, the agreed shares are ignored.
+        return left if len(ready) - len(left) >= MIN_READY_SERVERS else set()
+
+    def apply_listing(self, listing: face.Listing, now: float) -> face.Listing:
+        """Applies an update of the roster and returns it as the module is to receive it.
+
+        The result includes the servers that are left or return as a consequence of the update."""
         if listing.kind in (face.FULL, face.CACHED):
             self.entries = {}
         for entry in listing.entries:
             if entry.state == face.GONE:
                 self.entries.pop(entry.server, None)
-                self.back_at.pop(entry.server, None)
+                self.cold_since.pop(entry.server, None)
             else:
                 if entry.started != getattr(self.entries.get(entry.server), "started", entry.started):
-                    self.back_at.pop(entry.server, None)
+                    self.cold_since.pop(entry.server, None)
                 self.entries[entry.server] = entry
-        before = self.out
-        self._settle(now)
-        changed = {entry.server for entry in listing.entries} | (before ^ self.out)
+        previous = self.left
+        self._update_left(now)
+        changed = {entry.server for entry in listing.entries} | (previous ^ self.left)
         gone = [entry for entry in listing.entries if entry.state == face.GONE]
         if listing.kind == face.DELTA:
-            shown = [self._shown(self.entries[name]) for name in changed if name in self.entries]
-            return face.Listing(listing.version, listing.kind, (*shown, *gone))
-        return face.Listing(listing.version, listing.kind, tuple(map(self._shown, self.entries.values())))
-
-    def take(self, shares: list[float], version: int, now: float) -> face.Listing | None:
-        """New shares stand: what the module is to hear of it, if anything changes."""
-        self.shares, before = shares, self.out
-        self._settle(now)
-        changed = [self.entries[name] for name in self.entries if name in before ^ self.out]
+            listed = [self._effective_entry(self.entries[name]) for name in changed if name in self.entries]
+            return face.Listing(listing.version, listing.kind, (*listed, *gone))
+        return face.Listing(listing.version, listing.kind, tuple(map(self._effective_entry, self.entries.values())))
+
+    def set_shares(self, shares: list[float], version: int, now: float) -> face.Listing | None:
+        """Applies new shares and returns the resulting update for the module, None if nothing changes.
+
+        `shares` is kept, not copied."""
+        self.shares, previous = shares, self.left
+        self._update_left(now)
+        changed = [self.entries[name] for name in self.entries if name in previous ^ self.left]
         if not changed:
             return None
-        return face.Listing(version, face.DELTA, tuple(map(self._shown, changed)))
+        return face.Listing(version, face.DELTA, tuple(map(self._effective_entry, changed)))
 
-    def _settle(self, now: float) -> None:
+    def _update_left(self, now: float) -> None:
         wanted = self.wanted()
-        for server in self.out - wanted:
-            idle = now - self.out_at.pop(server, now)
+        for server in self.left - wanted:
+            idle_s = now - self.left_at.pop(server, now)
             if server in self.entries:
-                # What stood idle has cooled as long as it would have warmed: one that was left for a moment is warm.
-                self.back_at[server] = now - max(0.0, self.warm_within - idle)
-        self.out_at |= dict.fromkeys(wanted - self.out, now)
-        self.out = wanted
+                # An idle server cools as fast as it warms: one that was left for a moment is still warm.
+                self.cold_since[server] = now - max(0.0, self.warm_within - idle_s)
+        self.left_at |= dict.fromkeys(wanted - self.left, now)
+        self.left = wanted
 
-    def _shown(self, entry: face.Entry) -> face.Entry:
-        if entry.server in self.out:
+    def _effective_entry(self, entry: face.Entry) -> face.Entry:
+        if entry.server in self.left:
             return entry._replace(state=face.DRAINING) if entry.state == face.READY else entry
-        back = self.back_at.get(entry.server)
-        if back is not None and entry.state == face.READY and (entry.started is None or entry.started < back):
-            return entry._replace(started=back)
+        cold_since = self.cold_since.get(entry.server)
+        if (
+            cold_since is not None
+            and entry.state == face.READY
+            and (entry.started is None or entry.started < cold_since)
+        ):
+            return entry._replace(started=cold_since)
         return entry
--- a/driftshed/evacuation/retrace.py
+++ b/driftshed/evacuation/retrace.py
@@ -1,25 +1,25 @@
-"""Recorded decisions on zones, decided again. Free of I/O."""
+"""Replay of recorded decisions on zones. Free of I/O."""
 
 from __future__ import annotations
 
 import msgspec
 
-from driftshed.evacuation.stages import Limits, Sight, Stage, next_stage, word
+from driftshed.evacuation.stages import Limits, Observation, Stage, decide_vote, next_stage
 
-NEXT = msgspec.json.Decoder(tuple[str, Stage | None, Sight, Limits, tuple[str, ...]])
-WORD = msgspec.json.Decoder(tuple[Stage | None, Stage, Sight, Limits])
+NEXT_DECODER = msgspec.json.Decoder(tuple[str, Stage | None, Observation, Limits, tuple[str, ...]])
+VOTE_DECODER = msgspec.json.Decoder(tuple[Stage | None, Stage, Observation, Limits])
 
 
 def decided_again(row: dict) -> str:
-    """ "" where a recorded decision (trace/schema.py) comes out as it was recorded, else how it differs."""
+    """Repeats a recorded decision (trace/schema.py); returns "" if the result is the same, else the difference."""
     try:
         if row["what"] == "next":
-            said = next_stage(*NEXT.decode(row["given"]))
+            result = next_stage(*NEXT_DECODER.decode(row["given"]))
         elif row["what"] == "word":
-            said = word(*WORD.decode(row["given"]))
+            result = decide_vote(*VOTE_DECODER.decode(row["given"]))
         else:
-            return f"{row['what']!r} is no decision on a zone that this program knows"
+            return f"{row['what']!r} is not a known decision on a zone"
     except msgspec.DecodeError as error:
-        return f"what it rests on cannot be read: {error}"
-    again = msgspec.json.encode(said)
-    return "" if again == row["said"] else f"was {row['said'].decode('utf-8', 'replace')} and is {again.decode()}"
+        return f"the inputs of the decision cannot be read: {error}"
+    encoded = msgspec.json.encode(result)
+    return "" if encoded == row["said"] else f"was {row['said'].decode('utf-8', 'replace')} and is {encoded.decode()}"
