--- a/driftshed/evacuation/__init__.py
+++ b/driftshed/evacuation/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving a zone that fails as a fleet, and returning to it in steps; off unless a supervisor takes part in a fleet."""
+"""Leaving a failing zone as a fleet, and returning to it in steps. Off unless a supervisor participates in a fleet."""
--- a/driftshed/policy/__init__.py
+++ b/driftshed/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of policy that take hold at every supervisor or at none. Nothing of it is imported unless asked for."""
+"""Agreed changes of a fleet's policy, applied at every supervisor or at none. Imported only where policies are on."""
--- a/driftshed/policy/part.py
+++ b/driftshed/policy/part.py
@@ -341,7 +341,7 @@
         if self.agent.tiers > 1 and (record.waits is UNSET or record.waits < required_silence_s - 1e-9):
             return (
                 False,
-                f"silent supervisors may go on by themselves for {required_silence_s:g} s, and it waits less than that",
+                f"it waits less than the {required_silence_s:g} s for which silent supervisors may go on by themselves",
             )
         if self.agent.tiers > 1 and self.course.scheduled is not None and not self.apply_error:
             # It votes once it has applied the committed version: one that returns delays nobody.
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -54,7 +54,7 @@
         self.hosts = {name: f"127.0.1.{k + 1}" for k, name in enumerate(names)}
         super().__init__(names, seed)
         self.proxies = [self._proxy(number) for number in range(proxies)]
-        self._look()
+        self._record_proxy_policies()
 
     def start(self, name: str) -> None:
         host, loop = self.hosts[name], self.loop
@@ -94,13 +94,13 @@
         instance.hub.apply = record_orders
         version = [1]
 
-        def churn() -> None:  # changes the roster, so that there is always something to order
+        def change_roster() -> None:  # so that there is always something to order
             version[0] += 1
             state = "ready" if version[0] % 2 else "gone"
             service.hear_roster(RosterNews(version[0], False, [self._server(9, state, 1e5 + version[0])]))
-            seat.after(0.4, churn)
+            seat.after(0.4, change_roster)
 
-        seat.after(0.4, churn)
+        seat.after(0.4, change_roster)
 
     @staticmethod
     def _server(number: int, state: str = "ready", started: float | None = None) -> ListedServer:
@@ -130,12 +130,12 @@
             transport=self.network.transport(host),
         )
 
-    def _look(self) -> None:
+    def _record_proxy_policies(self) -> None:
         for number, proxy in enumerate(self.proxies):
             rows, policy = self.proxy_policies[number], proxy.tables.policy
             if not rows or rows[-1][1] != policy:
                 rows.append((self.loop.now, policy))
-        self.network.loop_seat.after(0.02, self._look)
+        self.network.loop_seat.after(0.02, self._record_proxy_policies)
 
     def stop_store(self, seconds: float) -> None:
         if not self.store_seat.ended:
@@ -181,7 +181,7 @@
 
 
 def check_policies(fleet: PolicyFleet) -> None:
-    """Checks the invariants of a history: versions only rise, and the bound on one policy everywhere holds."""
+    """Raises AssertionError unless versions only rise, and one policy is in force everywhere within the bound."""
     versions = [
         read_change(record.standing.body)[0].version
         for record in fleet.history()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -62,7 +62,7 @@
         ("[regions]", "[evacuation]\npaec = 2\n[regions]", "'paec' is none of"),
     ],
 )
-def test_a_document_that_cannot_be_says_where_and_what_to_do(old, new, message):
+def test_an_invalid_document_is_rejected_with_place_and_remedy(old, new, message):
     with pytest.raises(BadDocument, match="(?s)"):
         policies.read(TEXT.replace(old, new))
     with pytest.raises(BadDocument) as error:
@@ -70,7 +70,7 @@
     assert message in str(error.value)
 
 
-def test_what_can_never_be_met_is_said():
+def test_unsatisfiable_documents_are_reported():
     assert policies.never_met(policies.read(TEXT)) == []
     slow = policies.read(TEXT.replace("queue-cap = 1500", "queue-cap = 1500\nlines-per-second = 300"))
     assert "under the channel's worst time of 5.52 s" in policies.never_met(slow)[0]
@@ -78,7 +78,7 @@
     assert any("under one whole table" in text for text in policies.never_met(small))
 
 
-def test_what_a_running_fleet_may_not_be_asked():
+def test_changes_that_a_running_fleet_cannot_make():
     old = policies.read(TEXT)
     changed = policies.read(TEXT.replace("2.5", "2.7").replace("objective = 0.5", "objective = 0.6"))
     assert policies.disallowed_changes(old, changed) == []
@@ -113,7 +113,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(DOCUMENTS, DOCUMENTS)
-def test_the_canonical_form_is_one_and_differences_add_up(one, other):
+def test_the_canonical_text_is_unique_and_differences_are_complete(one, other):
     text = policies.canonical(one)
     again = policies.parse(text)
     assert policies.canonical(again) == text and policies.digest(again) == policies.digest(one)
@@ -135,7 +135,7 @@
         lambda at: st.text(max_size=8).map(lambda part: TEXT[:at] + part + TEXT[at + len(part) :])
     )
 )
-def test_the_reader_takes_or_refuses_whatever_comes(text):
+def test_readers_accept_or_reject_any_text(text):
     for reader in (policies.read, policies.parse):
         try:
             assert isinstance(reader(text), Document)
@@ -150,7 +150,7 @@
     return StoredVersion(version, epoch or version, state, f"d{version}", "{}", "somebody", "", 1.0, 0.5, "s0,s1")
 
 
-def test_what_was_kept_is_there_after_a_start_and_only_the_newest_stay(tmp_path):
+def test_the_store_persists_versions_and_retains_only_the_newest(tmp_path):
     store = Keep(tmp_path, "f", "s0")
     for version in range(1, 260):
         store.put(stored_version(version))
@@ -167,7 +167,7 @@
     assert not reopened.assented() and reopened.latest_committed().version == 259
 
 
-def test_files_that_cannot_be_used_say_why(tmp_path):
+def test_unusable_store_files_are_reported_with_the_reason(tmp_path):
     Keep(tmp_path / "a", "f", "s0").close()
     for fleet, name in (("g", "s0"), ("f", "s1")):
         with pytest.raises(BadKeep, match="not to"):
@@ -187,7 +187,7 @@
         Keep(tmp_path / "c", "f", "s0")
 
 
-def test_a_disk_that_takes_nothing_leaves_what_was_there(tmp_path):
+def test_a_full_or_read_only_disk_leaves_the_store_unchanged(tmp_path):
     store = Keep(tmp_path, "f", "s0")
     store.put(stored_version(1))
     pages = store.connection.execute("PRAGMA page_count").fetchone()[0]
@@ -210,7 +210,7 @@
 FACTS = policies.facts(policies.read(TEXT), 0, 3)
 
 
-def some_events(random: Random, now: float, listed: bool) -> list:
+def random_events(random: Random, now: float, listed: bool) -> list:
     events: list = []
     if not listed:
         rows = tuple(
@@ -221,11 +221,11 @@
     for _ in range(random.randrange(6)):
         server = bytes([127, 0, 0, random.randrange(1, 13), 31, 64])
         tries = random.randrange(1, 9)
-        events.append(heard(random, server, tries))
+        events.append(random_report(random, server, tries))
     return events
 
 
-def heard(random: Random, server: bytes, tries: int) -> face.Heard:
+def random_report(random: Random, server: bytes, tries: int) -> face.Heard:
     errored = random.randrange(2) * tries // 2
     return face.Heard(errored, server, tries, 0.5, random.randrange(3), random.uniform(0.05, 0.4), None)
 
@@ -235,16 +235,16 @@
     one, other, random = Brain(FACTS, seed, 0.0), Brain(FACTS, seed, 0.0), Random(seed)
     for step in range(400):
         now = step * 0.1
-        events = some_events(random, now, step > 0)
+        events = random_events(random, now, step > 0)
         if step % 37 == 5:
             other = carried(other, FACTS, FACTS)
         assert one.handle(now, events) == other.handle(now, events), step
 
 
-def test_a_switch_takes_what_follows_from_the_facts_and_keeps_what_was_learnt():
+def test_a_switch_applies_the_new_facts_and_keeps_what_was_learnt():
     brain, random = Brain(FACTS, 1, 0.0), Random(1)
     for step in range(200):
-        brain.handle(step * 0.1, some_events(random, step * 0.1, step > 0))
+        brain.handle(step * 0.1, random_events(random, step * 0.1, step > 0))
     slower = FACTS.operations[0]._replace(latency_objective=0.7)
     new = FACTS._replace(queue_cap=3000.0, drain_grace=4.0, operations=(slower,))
     switched, fresh = carried(brain, FACTS, new), Brain(new, 1, 0.0)
@@ -276,7 +276,7 @@
     writer, random, instance = Rows(), Random(3), Instance(FACTS, 3, "run", 0.0)
     Recording(instance, writer)
     for step in range(120):
-        instance.news += some_events(random, step * 0.1, step > 0)
+        instance.news += random_events(random, step * 0.1, step > 0)
         instance.turn(step * 0.1)
         if step == 50:
             instance.switch(FACTS._replace(queue_cap=400.0, drain_grace=4.0), 1, step * 0.1)
@@ -288,7 +288,7 @@
     assert [verdict.said for verdict in replay.verdicts()] == ["differs" if lost else "same"]
 
 
-def test_what_is_held_back_goes_out_in_its_order_but_for_lines_that_ended_meanwhile():
+def test_frozen_orders_are_sent_later_in_order_except_for_lines_that_ended():
     instance, frozen = Instance(FACTS, 1, "run", 0.0), [True]
     instance.still = lambda: frozen[0]
     one, two = (bytes([127, 0, 0, k, 31, 64]) for k in (1, 2))
@@ -308,7 +308,7 @@
     return PolicyFleet(tmp_path)
 
 
-def test_a_change_takes_hold_everywhere_at_one_moment(fleet):
+def test_a_change_becomes_active_everywhere_at_the_same_time(fleet):
     fleet.up()
     fleet.run(3)
     assert {proxy.tables.policy for proxy in fleet.proxies} == {0}
@@ -330,7 +330,7 @@
     check_policies(fleet)
 
 
-def test_an_objection_or_a_silent_one_means_nowhere(fleet):
+def test_an_objection_or_a_silent_supervisor_prevents_a_change(fleet):
     fleet.up()
     fleet.parts["b"].instance.check_switch = lambda facts: "no room"
     assert fleet.ask("a", 2.6)["version"] == 1
@@ -348,7 +348,7 @@
     check_policies(fleet)
 
 
-def test_one_that_is_gone_is_named_fenced_and_learns_what_stands_before_it_takes_proxies(fleet):
+def test_a_supervisor_named_as_gone_is_fenced_and_reads_the_policy_before_proxies_join(fleet):
     fleet.up()
     fleet.ask("a", 2.6)
     fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
@@ -369,7 +369,7 @@
     check_policies(fleet)
 
 
-def test_a_store_that_was_restored_from_an_old_copy_takes_nobody_back(fleet):
+def test_a_store_that_was_restored_from_an_old_copy_reverts_nobody(fleet):
     fleet.up()
     fleet.ask("a", 2.6)
     fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
@@ -388,7 +388,7 @@
     assert all("2 was committed: restore it" in part.apply_error for part in fleet.parts.values())
 
 
-def test_a_policy_under_which_the_module_raises_is_taken_back_by_all(fleet):
+def test_a_policy_under_which_the_module_raises_is_reverted_by_all(fleet):
     fleet.up()
     fleet.ask("a", 2.6)
     fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
@@ -402,7 +402,7 @@
     check_policies(fleet)
 
 
-def test_a_policy_that_cannot_be_kept_is_objected_to(fleet):
+def test_a_policy_that_cannot_be_stored_is_objected_to(fleet):
     fleet.up()
     fleet.parts["c"].keep.connection.execute("PRAGMA query_only = 1")
     fleet.ask("a", 2.6)
@@ -411,7 +411,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_drawn_histories_hold(tmp_path, seed):
+def test_invariants_hold_in_drawn_histories(tmp_path, seed):
     fleet = drawn_history(tmp_path, seed)
     check_policies(fleet)
     check_records(fleet)
@@ -420,10 +420,10 @@
 WRITES = Agent._write
 
 
-def test_without_the_hold_past_the_lease_two_policies_order_at_a_time(fleet, monkeypatch):
+def test_without_freezing_past_the_lease_two_policies_order_at_a_time(fleet, monkeypatch):
     monkeypatch.setattr(part, "may_change_tables", lambda known, now: True)
     with pytest.raises(AssertionError, match="c ordered by policy 1"):
-        test_one_that_is_gone_is_named_fenced_and_learns_what_stands_before_it_takes_proxies(fleet)
+        test_a_supervisor_named_as_gone_is_fenced_and_reads_the_policy_before_proxies_join(fleet)
 
 
 def left_with_one_behind(fleet) -> None:
@@ -450,7 +450,7 @@
         assert [policy for _, policy in rows] == sorted(policy for _, policy in rows)
 
 
-def test_without_the_stamp_a_proxy_goes_back(fleet, monkeypatch):
+def test_without_the_version_check_a_proxy_goes_back(fleet, monkeypatch):
     monkeypatch.setattr(Tables, "check_policy", lambda self, policy: None)
     decoder = msgspec.json.Decoder(JoinAnswer)
     accepts_all = lambda body: msgspec.structs.replace(decoder.decode(body), policy=1 << 30)  # noqa: E731
@@ -460,7 +460,7 @@
         check_policies(fleet)
 
 
-def test_of_two_changes_at_once_one_wins_and_the_other_is_told_by_which(fleet):
+def test_of_two_concurrent_changes_one_wins_and_the_other_reports_why(fleet):
     fleet.up()
     fleet.ask("a", 2.6)
     fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
@@ -477,7 +477,7 @@
 def test_without_the_compare_and_set_two_changes_at_once_are_both_written(fleet):
     take_out("epochs")
     try:
-        test = test_of_two_changes_at_once_one_wins_and_the_other_is_told_by_which
+        test = test_of_two_concurrent_changes_one_wins_and_the_other_reports_why
         with pytest.raises(AssertionError):
             test(fleet)
     finally:
--- a/tests/test_policy_model.py
+++ b/tests/test_policy_model.py
@@ -1,5 +1,6 @@
 """Model of changes of policy with all interleavings of proposals, votes, commits, reads, expired leases, crashes,
-starts and changes that do without a supervisor's vote. The program's own rules decide who may order."""
+starts and changes that do without a supervisor's vote. The program's own rules decide who may order, and the number of
+states is checked."""
 
 from typing import NamedTuple
 
@@ -106,7 +107,7 @@
 
 
 @pytest.mark.parametrize("count, least", [(2, 1_000), (3, 50_000)])
-def test_no_two_policies_order_after_the_bound_and_none_that_was_not_settled(count, least):
+def test_no_two_policies_order_after_the_bound_and_none_that_was_not_committed(count, least):
     found = explore(State((Supervisor(),) * count), moves_of(), violation_with(), 1_000_000)
     assert found.whole and not found.broken and found.states > least, found
 
@@ -120,6 +121,6 @@
     ],
     ids=["no patience", "no doubt", "no hold"],
 )
-def test_each_guard_taken_out_is_seen(moves, violation):
+def test_removing_any_guard_is_detected(moves, violation):
     found = explore(State((Supervisor(),) * 3), moves, violation, 1_000_000)
     assert "after the bound" in found.broken and found.way, found
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -47,7 +47,7 @@
         store.close()
 
 
-def test_a_writer_that_is_killed_loses_nothing_that_it_said_and_tears_nothing(tmp_path):
+def test_a_killed_writer_loses_no_acknowledged_version_and_leaves_no_torn_one(tmp_path):
     for seed in range(8):  # all in one file
         acknowledged, stored = cut_short(tmp_path, seed)
         assert stored in (acknowledged, acknowledged + 1)
@@ -164,7 +164,7 @@
     assert "is in force" in run(stage, tmp_path, "s0", "show").stdout
 
 
-def test_the_command_line_says_plainly_what_is_wrong(tmp_path):
+def test_the_command_line_reports_errors_plainly(tmp_path):
     def policy(*command: str) -> subprocess.CompletedProcess:
         line = [sys.executable, "-m", "driftshed.cli", "policy", *command]
         return subprocess.run(line, capture_output=True, text=True, timeout=30)
