--- a/driftshed/evacuation/evidence.py
+++ b/driftshed/evacuation/evidence.py
@@ -14,7 +14,8 @@
 
 WINDOW_PERIODS = 6  # length of the window, in report periods
 MIN_TRIES = 5  # of one zone in another within the window; with fewer there is no verdict
-# Thresholds: share of tries that errored, multiple of the usual latency, share of tries that errored.
+# A zone is unhealthy from this share of errored tries or this multiple of the usual latency on, and dead from the third
+# value on, again a share of errored tries.
 UNHEALTHY_ERROR_SHARE, UNHEALTHY_SLOWDOWN, DEAD_ERROR_SHARE = 0.3, 3.0, 0.9
 OVERLOAD_LATENCY_SHARE = 0.6  # of the mean latency objective: at this mean latency, many answers miss the objective
 LEARNING_PERIODS = 60  # report periods over which the usual latency and concurrency are averaged
@@ -53,7 +54,7 @@
     """Sums of tries over a sliding window. Times are seconds on one monotonic clock; zones are given by index."""
 
     def __init__(self, facts: face.StartFacts) -> None:
-        """Takes the report period and the operations' latency objectives from the start facts."""
+        """Starts without tries; reads the report period and the latency objectives of the operations from `facts`."""
         self.window_s = WINDOW_PERIODS * facts.report_period
         self.learning_rate = 1 / LEARNING_PERIODS
         self.objective = sum(each.latency_objective for each in facts.operations) / len(facts.operations)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -254,7 +254,7 @@
     assert found.whole and not found.broken and found.states > 50, found
 
 
-class Life(NamedTuple):
+class RecordState(NamedTuple):
     """The record of a zone and two supervisors: the committed stage and the one before it, the proposed stage and the
     one that its proposer had read, who has assented, and what each supervisor has read, None since a restart."""
 
@@ -266,11 +266,11 @@
     read: tuple
 
 
-def lives(compares: bool, bound: int = 8):
+def record_moves(compares: bool, bound: int = 8):
     """The moves of two supervisors with any observations; without `compares` a proposal overwrites what is there."""
     observations = [WELL, observed(), observed(dead=True), observed(Verdict.HEALTHY, strained=True)]
 
-    def moves(now: Life):
+    def moves(now: RecordState):
         for who, read in enumerate(now.read):
             seen = (now.epoch, now.committed)
             with_read = lambda new, who=who: now.read[:who] + (new,) + now.read[who + 1 :]  # noqa: E731
@@ -291,12 +291,12 @@
                         yield f"{who} assents", now._replace(assents=now.assents | {who})
         if len(now.assents) == 2:
             new = now.proposed[0]
-            yield "settled", Life(now.epoch + 1, now.committed, new, None, frozenset(), now.read)
+            yield "settled", RecordState(now.epoch + 1, now.committed, new, None, frozenset(), now.read)
 
     return moves
 
 
-def no_step_skipped(now: Life) -> str:
+def no_step_skipped(now: RecordState) -> str:
     if now.epoch:
         try:
             follows(now.previous, now.committed, LIMITS)
@@ -306,10 +306,10 @@
 
 
 def test_two_supervisors_never_skip_a_step_or_act_under_an_older_epoch():
-    start = Life(0, None, None, None, frozenset(), ((0, None), (0, None)))
-    found = explore(start, lives(True), no_step_skipped, 400_000)
+    start = RecordState(0, None, None, None, frozenset(), ((0, None), (0, None)))
+    found = explore(start, record_moves(True), no_step_skipped, 400_000)
     assert found.whole and not found.broken and found.states > 10_000, found
-    found = explore(start, lives(False), no_step_skipped, 400_000)
+    found = explore(start, record_moves(False), no_step_skipped, 400_000)
     assert found.broken and found.way, "the compare-and-set is not needed?"
 
 
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -92,14 +92,14 @@
     )
 
 
-def runs(stage) -> dict[str, int | None]:
+def active_versions(stage) -> dict[str, int | None]:
     return {name: view["runs"] if (view := stage.get(name, "policy")) else None for name in stage.names}
 
 
 def test_a_change_from_the_command_line_with_supervisors_killed_paused_and_cut_off(stage, tmp_path):
     result = run(stage, tmp_path, "s1", "propose", grace=2.5)
     assert result.returncode == 0 and "version 1 holds everywhere" in result.stdout, result
-    assert runs(stage) == dict.fromkeys(stage.names, 1)
+    assert active_versions(stage) == dict.fromkeys(stage.names, 1)
 
     # One that is cut off cannot vote: the change is applied nowhere, and everyone drops it.
     stage.do(lambda: stage.to_store["s2"].hold())
@@ -117,7 +117,7 @@
     )
     result = run(stage, tmp_path, "s0", "propose", "--despite", "s2", grace=2.7)
     assert result.returncode == 0 and "version 2 holds everywhere; away: s2" in result.stdout, result
-    assert runs(stage) == {"s0": 2, "s1": 2, "s2": 1} and stage.get("s2", "policy")["holds_still"]
+    assert active_versions(stage) == {"s0": 2, "s1": 2, "s2": 1} and stage.get("s2", "policy")["holds_still"]
 
     # Its connection is restored: it finds itself fenced, and after a restart it applies the version in force.
     stage.do(lambda: stage.to_store["s2"].release())
@@ -126,7 +126,7 @@
     stage.supervisors["s2"].kill()
     stage.supervisors["s2"].start()
     stage.supervisors["s2"].await_listening()
-    stage.until(lambda: runs(stage) == dict.fromkeys(stage.names, 2))
+    stage.until(lambda: active_versions(stage) == dict.fromkeys(stage.names, 2))
 
     # The proposer dies with its proposal open while another is stopped: somebody else completes it.
     stage.supervisors["s1"].signal(signal.SIGSTOP)
@@ -137,14 +137,14 @@
     stage.supervisors["s0"].await_listening()
     stage.until(
         lambda: (
-            len(set(runs(stage).values())) == 1
+            len(set(active_versions(stage).values())) == 1
             and all(
                 (view := stage.get(name, "policy")) and view["open"] is None and not view["holds_still"]
                 for name in stage.names
             )
         )
     )
-    assert runs(stage)["s0"] in (2, 3)
+    assert active_versions(stage)["s0"] in (2, 3)
 
     # The store dies and restarts: the version in force stays.
     stage.store.kill()
@@ -160,7 +160,7 @@
     rows = json.loads(run(stage, tmp_path, "s2", "history", "--json").stdout)
     assert rows[0]["version"] in (3, 4) and rows[0]["why"] == "as it was"
     assert f"version {rows[0]['version']} holds everywhere" in results[-1].stdout
-    assert runs(stage) == dict.fromkeys(stage.names, rows[0]["version"])
+    assert active_versions(stage) == dict.fromkeys(stage.names, rows[0]["version"])
     assert "is in force" in run(stage, tmp_path, "s0", "show").stdout
 
 
