--- a/driftshed/policy/command.py
+++ b/driftshed/policy/command.py
@@ -109,13 +109,9 @@
         click.echo(json.dumps(view))
         return
     standing = view["standing"]
-    headline = (
-        "no policy is in force"
-        if standing is None
-        else f"version {standing['version']} is in force, {standing['digest']}"
-    )
-    click.echo(f"{headline}; everywhere within {view['everywhere_within']:.1f} s of its commit")
-    table = Table("supervisor", "state", "version", box=None)
+    headline = "no policy stands" if standing is None else f"version {standing['version']} stands, {standing['digest']}"
+    click.echo(f"{headline}; everywhere within {view['everywhere_within']:.1f} s of its settling")
+    table = Table("supervisor", "state", "goes by", box=None)
     for name, (state, version) in view["members"].items():
         table.add_row(name, state, "-" if version is None else str(version))
     Console(width=120).print(table)
@@ -123,13 +119,13 @@
         totals = view["whole"]
         active = ", ".join(f"{count} run {version}" for version, count in totals["policies"].items())
         click.echo(
-            f"all regions: {totals['living']} of {totals['expected']} living, {totals['leaving']} leaving, "
-            f"{totals['silent']} silent; {active}"
+            f"the whole: {totals['living']} of {totals['expected']} live, {totals['leaving']} leave, "
+            f"{totals['silent']} are silent; {active}"
         )
     if view["cannot"]:
         click.echo(f"{view['by']}: {view['cannot']}")
     if view["holds_still"]:
-        click.echo(f"{view['by']} has frozen its tables")
+        click.echo(f"{view['by']} holds its tables still")
     if view["open"]:
         open_record = view["open"]
         votes = "; ".join(
@@ -137,7 +133,7 @@
         )
         click.echo(
             f"open: epoch {open_record['epoch']} of {open_record['by']}; "
-            f"no vote yet from {', '.join(open_record['missing'])}" + (f" ({votes})" if votes else "")
+            f"no word yet from {', '.join(open_record['missing'])}" + (f" ({votes})" if votes else "")
         )
 
 
@@ -269,12 +265,12 @@
         if snapshot != previous:
             members = ", ".join(f"{name} {state} {version}" for name, (state, version) in view["members"].items())
             waiting = (
-                f"; open: epoch {open_record['epoch']}, waiting for {', '.join(open_record['missing'])}"
+                f"; open: epoch {open_record['epoch']}, waits for {', '.join(open_record['missing'])}"
                 if open_record
                 else ""
             )
-            frozen = "; tables frozen" if view["holds_still"] else ""
-            click.echo(f"version {snapshot[0]} is in force; {members}{waiting}{frozen}")
+            frozen = "; holds still" if view["holds_still"] else ""
+            click.echo(f"version {snapshot[0]} stands; {members}{waiting}{frozen}")
             previous = snapshot
         time.sleep(POLL_INTERVAL_S)
 
@@ -294,7 +290,7 @@
         reason = f": {row['why']}" if row["why"] else ""
         click.echo(
             f"version {row['version']} {row['state']} {at} by {row['who']}, {row['digest']}, {row['took']:.2f} s"
-            f"{', votes of ' + row['assents'] if row['assents'] else ''}{reason}"
+            f"{', words of ' + row['assents'] if row['assents'] else ''}{reason}"
         )
         predecessor = next((other for other in committed if other["version"] < row["version"]), None)
         old = policies.parse(predecessor["text"]) if predecessor is not None else None
