--- a/driftshed/coordination/__init__.py
+++ b/driftshed/coordination/__init__.py
@@ -1,2 +1,3 @@
-"""What several supervisors know of each other and agree on, over a store that speaks ZooKeeper's client protocol. It
-adds; every rule is kept by one supervisor alone (docs/coordination.md)."""
+"""Membership and agreement among several supervisors, over a store with ZooKeeper's client protocol.
+
+Coordination is additive: a single supervisor satisfies every rule without it (docs/coordination.md)."""
--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Ballot, Barred, Record
+from driftshed.coordination.agreement import Barred, Record, Vote
 from driftshed.coordination.folder import Folder, Names
 from driftshed.coordination.lease import DRIFT, Lease
 from driftshed.coordination.members import BadMember, Member, Roll, read_member, write_member
@@ -100,7 +100,7 @@
         self.stat: Stat | None = None
         self.since = 0.0  # when the record was first seen as it is
         self.opened = 0.0  # when its epoch was first seen
-        self.ballots: dict[str, Ballot] = {}
+        self.ballots: dict[str, Vote] = {}
         self.box: Folder | None = None
         self.spoke = 0  # the last epoch that our word on is in the store
         self.busy = self.reading = self.swept = False
@@ -369,7 +369,7 @@
             return
         if topic.record is not None:
             self.gone[name] = topic.record.epoch
-            if len(self.gone) > agreement.MOST_RECORDS:
+            if len(self.gone) > agreement.MAX_TOPICS:
                 del self.gone[next(iter(self.gone))]
         if topic.timer:
             topic.timer.cancel()
@@ -435,7 +435,7 @@
         # Guards against one that opens and can never be settled: what was settled is held beside what was proposed.
         agreement.write(agreement.settled(make(None, 1)))  # Barred where it is too large
         proposal = Proposal(token, make, done)
-        if topic not in self.topics and len(self.topics) >= agreement.MOST_RECORDS:
+        if topic not in self.topics and len(self.topics) >= agreement.MAX_TOPICS:
             raise Barred(f"{len(self.topics)} topics are there: end some first")
         known = self._topic(topic)
         known.proposals.append(proposal)
@@ -462,7 +462,7 @@
         """What a copy is to be, where it is not as the fleet above has its record."""
         if topic.above is None:
             return None
-        return agreement.copied(topic.record, topic.above, self.name, self.roll.expected)
+        return agreement.replicated(topic.record, topic.above, self.name, self.roll.expected)
 
     def end(self, topic: str, epoch: int, why: str, done: Callable[[bool, str], object] = lambda ok, why: None) -> None:
         """Ends what stands on a topic under this epoch: `done(True, "")`, or why not."""
@@ -529,7 +529,7 @@
                 return
         withdrawn = next((each.withdrawn for each in topic.proposals if each.token == record.token), "")
         if withdrawn:
-            self._settle(topic, agreement.voided(record, withdrawn))
+            self._settle(topic, agreement.aborted(record, withdrawn))
             return
         # The proposer goes first while it lives, then the others one after the other: all would do the same.
         order = self.roll.order()
@@ -578,13 +578,13 @@
         result = agreement.outcome(record, topic.ballots, away)
         late_at = topic.opened + record.patience
         if result is UNSET and self.loop.clock() >= late_at:
-            result = agreement.impatient(record, topic.ballots)
+            result = agreement.timed_out(record, topic.ballots)
         if result is UNSET:
             self._time(topic, min(late_at, next_at), lambda: self._look(topic))
         else:
             self._settle(topic, result)
 
-    def _away(self, record: Record, ballots: dict[str, Ballot]) -> tuple[frozenset[str], float]:
+    def _away(self, record: Record, ballots: dict[str, Vote]) -> tuple[frozenset[str], float]:
         """Who of those whose word is missing counts as away, and when that may change though nothing comes. Guards
         against a roll that is behind what the store has told: one that came back before the record was made is in it.
         """
@@ -626,8 +626,8 @@
         self._ask(GetData(f"{self.records.path}/{topic.name}"), got)
 
     def _speak(self, topic: Topic, record: Record, assent: bool, why: str) -> None:
-        ballot = Ballot(self.name, record.epoch, assent, why[:1024], self.incarnation)
-        path = f"{self.records.path}/{topic.name}/{agreement.ballot_name(record.epoch, self.name)}"
+        ballot = Vote(self.name, record.epoch, assent, why[:1024], self.incarnation)
+        path = f"{self.records.path}/{topic.name}/{agreement.vote_node_name(record.epoch, self.name)}"
         topic.busy = True
 
         def said(error: int, result: object) -> None:
@@ -721,7 +721,10 @@
         record, now = topic.record, self.loop.clock()
         if topic.busy or record is None or agreement.pending(record) or not self.holds() or not self._leads():
             return
-        path, kept = f"{self.records.path}/{topic.name}", agreement.binds(record, now - topic.since, self.lease.drift)
+        path, kept = (
+            f"{self.records.path}/{topic.name}",
+            agreement.is_valid(record, now - topic.since, self.lease.drift),
+        )
         topic.swept = True
 
         def again() -> None:
--- a/driftshed/coordination/agreement.py
+++ b/driftshed/coordination/agreement.py
@@ -1,9 +1,9 @@
-"""Agreed records: their life, told by plain rules. Free of I/O, clocks and chance.
+"""State machine of agreed records. No I/O, clocks or randomness.
 
-A topic has one record at a time. It is proposed, which takes the next epoch of the fleet; those that it names assent or
-object, each once and for good; it is settled or voided by one compare-and-set on it, by anybody. What was settled last
-stands until something newer is settled or it is ended. The store's order of these writes is the order of what was
-agreed: nothing here goes by anybody's clock."""
+A topic has one record at a time. A proposal allocates the next epoch of the fleet; each named voter assents or objects
+once, irrevocably; any supervisor then commits or aborts the record with one compare-and-set. The value committed last
+stays in force until a newer one is committed or it is ended. The store's write order is the order of agreement; no rule
+here depends on a clock."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from msgspec.structs import replace
 
 MOST_BYTES = 65536  # of a record
-MOST_RECORDS = 1024  # topics
-MOST_NEEDS = 64
-TOPIC = re.compile(r"[A-Za-z0-9_.:-]{1,96}")
-Why = Annotated[str, Meta(max_length=1024)]
+MAX_TOPICS = 1024  # topics, each with one record
+MAX_VOTERS = 64
+TOPIC_NAME = re.compile(r"[A-Za-z0-9_.:-]{1,96}")
+Reason = Annotated[str, Meta(max_length=1024)]
 
 
 class Barred(ValueError):
-    """What is asked of a record cannot be as things stand; the text says why."""
+    """An operation that the state of a record does not allow, or malformed data; the message gives the reason."""
 
 
 class Standing(Struct, frozen=True):
-    """What was settled last. `binds_for`: seconds, None without end."""
+    """The value committed last. `binds_for`: validity in seconds, None for unlimited."""
 
     epoch: int
     token: str
@@ -36,8 +36,9 @@
 
 
 class Record(Struct, frozen=True):
-    """One topic. `token`: of the one proposal that made it, so that its writer knows it again after an answer that was
-    lost. `quorum`: how many of `needs` must assent. `patience`: seconds that it may stay open, by whoever's clock."""
+    """The record of one topic. `token` identifies the proposal that created it, so that its writer recognises it after
+    a lost answer. `quorum`: how many of the voters in `needs` must assent. `patience`: proposal timeout in seconds,
+    measured on the clock of whoever evaluates it."""
 
     topic: str
     epoch: Annotated[int, Meta(ge=1)]
@@ -50,77 +51,78 @@
     patience: Annotated[float, Meta(gt=0, le=86400)]
     binds_for: float | None = None
     standing: Standing | None = None
-    why: Why = ""
-    passed: bool = False  # its own proposal was settled; also told once what stood is ended
-    # In tiers alone. `copied`: of a record of the fleet above, whose word ends it; `waits`: seconds of silence after
-    # which one that is named counts as away, so that its word is not needed; `away`: who counted so in the end.
+    why: Reason = ""
+    passed: bool = False  # its own proposal was committed; stays set after the committed value is ended
+    # Hierarchies only. `copied`: replicated from the parent fleet, whose decision ends it; `waits`: seconds of silence
+    # after which a voter counts as absent, so that its vote is not needed; `away`: the voters counted as absent.
     copied: bool | UnsetType = UNSET
     waits: Annotated[float, Meta(ge=0)] | UnsetType = UNSET
     away: tuple[str, ...] | UnsetType = UNSET
 
 
-class Ballot(Struct, frozen=True):
-    """What one supervisor says of one epoch of a record, once and for good."""
+class Vote(Struct, frozen=True):
+    """The irrevocable vote of one supervisor on one epoch of a record."""
 
     name: str
     epoch: int
     assent: bool
-    why: Why = ""
+    why: Reason = ""
     incarnation: int = 0
 
 
-RECORDS, BALLOTS = msgspec.json.Decoder(Record), msgspec.json.Decoder(Ballot)
+RECORD_DECODER, VOTE_DECODER = msgspec.json.Decoder(Record), msgspec.json.Decoder(Vote)
 
 
-def write(thing: Record | Ballot) -> bytes:
-    """Barred where it is larger than a record may be."""
-    data = msgspec.json.encode(thing)
+def write(message: Record | Vote) -> bytes:
+    """Encodes a record or a vote as JSON. Raises Barred above MOST_BYTES."""
+    data = msgspec.json.encode(message)
     if len(data) > MOST_BYTES:
         raise Barred(f"{len(data)} bytes, {MOST_BYTES} at the most: put less into it")
     return data
 
 
 def read_record(topic: str, data: bytes) -> Record:
-    """Barred where the data is no record of this topic."""
+    """Decodes the record of a topic. Raises Barred for malformed data and for a record of another topic."""
     try:
-        record = RECORDS.decode(data[: MOST_BYTES + 1])
+        record = RECORD_DECODER.decode(data[: MOST_BYTES + 1])
     except msgspec.DecodeError as error:
         raise Barred(f"{topic}: {error}") from None
     if record.topic != topic:
-        raise Barred(f"{topic}: it is a record of {record.topic[:80]!r}")
+        raise Barred(f"{topic}: the node holds a record of {record.topic[:80]!r}")
     return record
 
 
-def ballot_name(epoch: int, name: str) -> str:
+def vote_node_name(epoch: int, name: str) -> str:
+    """Name of the store node with the vote of one supervisor on one epoch."""
     return f"{epoch}.{name}"
 
 
-def read_ballot(node: str, data: bytes) -> Ballot:
-    """Barred where the data is not the ballot that the node's name says."""
+def read_ballot(node: str, data: bytes) -> Vote:
+    """Decodes a vote. Raises Barred for malformed data and where the vote does not match its node name."""
     try:
-        ballot = BALLOTS.decode(data[: MOST_BYTES + 1])
+        vote = VOTE_DECODER.decode(data[: MOST_BYTES + 1])
     except msgspec.DecodeError as error:
         raise Barred(f"{node}: {error}") from None
-    if ballot_name(ballot.epoch, ballot.name) != node:
-        raise Barred(f"{node}: it is the word of {ballot.name[:64]} on {ballot.epoch}")
-    return ballot
+    if vote_node_name(vote.epoch, vote.name) != node:
+        raise Barred(f"{node}: the node holds the vote of {vote.name[:64]} on epoch {vote.epoch}")
+    return vote
 
 
 def pending(record: Record | None) -> bool:
-    """Whether it is not known yet what becomes of a record: words are missing, or the word of the fleet above."""
+    """Whether a record is undecided: votes are missing, or the decision of the parent fleet is."""
     return record is not None and record.state in ("open", "ready", "refused")
 
 
-def check(topic: str, needs: tuple[str, ...], quorum: int, patience: float) -> None:
-    """Barred where a proposal like this could never be settled."""
-    if not TOPIC.fullmatch(topic):
-        raise Barred(f"{topic[:100]!r}: a topic of letters, digits and . : - _ is wanted, 96 at the most")
-    if not needs or len(set(needs)) < len(needs) or len(needs) > MOST_NEEDS:
-        raise Barred(f"{len(needs)} are named: 1 to {MOST_NEEDS}, each once")
-    if not 1 <= quorum <= len(needs):
-        raise Barred(f"{quorum} of {len(needs)} cannot assent")
-    if not 0 < patience <= 86400:
-        raise Barred(f"{patience} s of patience: above 0 and 86400 at the most")
+def check(topic: str, voters: tuple[str, ...], quorum: int, proposal_timeout: float) -> None:
+    """Validates the parameters of a proposal; raises Barred where it could never be committed."""
+    if not TOPIC_NAME.fullmatch(topic):
+        raise Barred(f"{topic[:100]!r}: a topic must be 1 to 96 letters, digits, . : - or _")
+    if not voters or len(set(voters)) < len(voters) or len(voters) > MAX_VOTERS:
+        raise Barred(f"{len(voters)} voters: name 1 to {MAX_VOTERS}, each once")
+    if not 1 <= quorum <= len(voters):
+        raise Barred(f"{quorum} of {len(voters)} cannot assent")
+    if not 0 < proposal_timeout <= 86400:
+        raise Barred(f"{proposal_timeout} s of patience: must be above 0 and at most 86400")
 
 
 def proposed(
@@ -130,142 +132,162 @@
     by: str,
     token: str,
     body: object,
-    needs: tuple[str, ...],
+    voters: tuple[str, ...],
     quorum: int,
-    patience: float,
-    binds_for: float | None = None,
-    waits: float | UnsetType = UNSET,
+    proposal_timeout: float,
+    valid_for: float | None = None,
+    absence_timeout: float | UnsetType = UNSET,
 ) -> Record:
-    """The record that a proposal makes of what is there. Barred while another proposal is open, or where the epoch
-    would not rise."""
-    check(topic, needs, quorum, patience)
+    """Returns the record that a proposal writes over `old`. Raises Barred while another proposal is open, or where the
+    epoch would not rise."""
+    check(topic, voters, quorum, proposal_timeout)
     if pending(old):
         raise Barred(f"{topic}: epoch {old.epoch} of {old.by} is open")
     if old is not None and epoch <= old.epoch:
-        raise Barred(f"{topic}: epoch {epoch} is not above {old.epoch}")
-    standing = old.standing if old is not None else None
-    return Record(topic, epoch, "open", by, token, body, needs, quorum, patience, binds_for, standing, waits=waits)
-
-
-def copied(old: Record | None, above: Record, by: str, needs: tuple[str, ...]) -> Record | None:
-    """What a fleet whose record is `old` is to hold of a record of the fleet above; None where `old` will do. What is
-    open above is asked below; what ended above ends below, also where the word from below was not waited for."""
-    if old is not None and old.epoch > above.epoch:
+        raise Barred(f"{topic}: epoch {epoch} is not higher than {old.epoch}")
+    committed = old.standing if old is not None else None
+    return Record(
+        topic,
+        epoch,
+        "open",
+        by,
+        token,
+        body,
+        voters,
+        quorum,
+        proposal_timeout,
+        valid_for,
+        committed,
+        waits=absence_timeout,
+    )
+
+
+def replicated(old: Record | None, parent: Record, by: str, voters: tuple[str, ...]) -> Record | None:
+    """Returns what a fleet whose record is `old` must store for a record of its parent fleet; None where `old` is up to
+    date. A record open in the parent is put to the vote here; one decided in the parent is decided here, even if the
+    parent did not wait for this fleet's vote."""
+    if old is not None and old.epoch > parent.epoch:
         return None
-    if pending(above):
-        if old is not None and old.epoch == above.epoch:
+    if pending(parent):
+        if old is not None and old.epoch == parent.epoch:
             return None
         return Record(
-            above.topic,
-            above.epoch,
+            parent.topic,
+            parent.epoch,
             "open",
             by,
-            above.token,
-            above.body,
-            needs,
-            len(needs),
-            above.patience,
-            above.binds_for,
-            above.standing,
+            parent.token,
+            parent.body,
+            voters,
+            len(voters),
+            parent.patience,
+            parent.binds_for,
+            parent.standing,
             copied=True,
-            waits=above.waits,
+            waits=parent.waits,
         )
-    if old is None and above.standing is None:
+    if old is None and parent.standing is None:
         return None
-    if old is not None and (old.epoch, old.state, old.standing) == (above.epoch, above.state, above.standing):
+    if old is not None and (old.epoch, old.state, old.standing) == (parent.epoch, parent.state, parent.standing):
         return None
-    if old is None or old.epoch < above.epoch:
+    if old is None or old.epoch < parent.epoch:
         old = Record(
-            above.topic,
-            above.epoch,
+            parent.topic,
+            parent.epoch,
             "open",
             by,
-            above.token,
-            above.body,
-            needs,
-            len(needs),
-            above.patience,
-            above.binds_for,
+            parent.token,
+            parent.body,
+            voters,
+            len(voters),
+            parent.patience,
+            parent.binds_for,
             copied=True,
-            waits=above.waits,
+            waits=parent.waits,
         )
-    return replace(old, state=above.state, standing=above.standing, passed=above.passed, why=above.why)
+    return replace(old, state=parent.state, standing=parent.standing, passed=parent.passed, why=parent.why)
 
 
-def word_above(record: Record | None, epoch: int) -> tuple[bool, str] | None:
-    """The word of a fleet, in the fleet above it, on the record of an epoch: what its own copy came to, whoever gives
-    it. None while that is open."""
+def vote_for_parent(record: Record | None, epoch: int) -> tuple[bool, str] | None:
+    """The vote (assent, why) of a fleet in its parent fleet: the outcome of its own replica of that epoch, whichever
+    delegate casts it. None while the replica is open."""
     if record is None or record.epoch != epoch or record.state == "open":
         return None
     return record.state not in ("refused", "void"), record.why
 
 
 def settled(record: Record) -> Record:
-    _open(record)
-    standing = Standing(record.epoch, record.token, record.by, record.body, record.binds_for)
-    return replace(record, state="settled", standing=standing, passed=True)
+    """Returns the record committed, with its own body as the value in force. Raises Barred unless it is open."""
+    _require_open(record)
+    committed = Standing(record.epoch, record.token, record.by, record.body, record.binds_for)
+    return replace(record, state="settled", standing=committed, passed=True)
+
 
+def aborted(record: Record, why: str) -> Record:
+    """Returns the record aborted; the value in force before stays. Raises Barred unless it is open.
 
-def voided(record: Record, why: str) -> Record:
-    """What stood before stands on. Guards against a copy taken for ended because somebody here objects: the fleet above
-    may have done without the word from here, so it is refused until the end from above is known."""
-    _open(record)
+    A replica becomes refused instead, until the parent's decision is known: the parent may have decided without this
+    fleet's vote, so an objection here does not end the record."""
+    _require_open(record)
     return replace(record, state="void" if record.copied is UNSET else "refused", why=why[:1024])
 
 
 def ended(record: Record, epoch: int, why: str) -> Record:
-    """What was settled under this epoch binds no more. Barred where that is not what stands."""
+    """Returns the record with the value committed under this epoch revoked. Raises Barred where another value or none
+    is in force, and while a proposal is open."""
     if record.standing is None or record.standing.epoch != epoch:
-        stands = "nothing" if record.standing is None else f"epoch {record.standing.epoch}"
-        raise Barred(f"{record.topic}: {stands} stands, not epoch {epoch}")
+        in_force = "nothing" if record.standing is None else f"epoch {record.standing.epoch}"
+        raise Barred(f"{record.topic}: {in_force} stands, not epoch {epoch}")
     if pending(record):
         raise Barred(f"{record.topic}: epoch {record.epoch} of {record.by} is open")
     return replace(record, state="ended", standing=None, why=why[:1024])
 
 
-def _open(record: Record) -> None:
+def _require_open(record: Record) -> None:
     if record.state != "open":
         raise Barred(f"{record.topic}: epoch {record.epoch} is {record.state}")
 
 
-def outcome(record: Record, ballots: dict[str, Ballot], away: frozenset[str] = frozenset()) -> Record | UnsetType:
-    """What the words that were given make of an open record; UNSET while they are too few. Words are for good, so what
-    is read late or in part never brings another outcome than what is read whole. `away`: whose word is not needed. A
-    copy that all assent to is ready: the fleet above has the last word."""
-    words = [ballots[name] for name in record.needs if name in ballots and ballots[name].epoch == record.epoch]
-    objections = [word for word in words if not word.assent]
-    without = sorted(away & set(missing(record, ballots)))
-    if len(words) - len(objections) + len(without) >= record.quorum:
-        if without:
-            record = replace(record, away=tuple(without))
+def outcome(record: Record, votes: dict[str, Vote], absent: frozenset[str] = frozenset()) -> Record | UnsetType:
+    """Returns the decided record that the votes lead to; UNSET while there are too few. Votes are irrevocable, so a
+    late or partial read never leads to another outcome than a complete one. `absent`: voters whose vote is not needed.
+    A replica that all assent to becomes ready: the parent fleet decides."""
+    cast = [votes[name] for name in record.needs if name in votes and votes[name].epoch == record.epoch]
+    objections = [vote for vote in cast if not vote.assent]
+    not_needed = sorted(absent & set(missing(record, votes)))
+    if len(cast) - len(objections) + len(not_needed) >= record.quorum:
+        if not_needed:
+            record = replace(record, away=tuple(not_needed))
         return settled(record) if record.copied is UNSET else replace(record, state="ready")
     if len(record.needs) - len(objections) < record.quorum:
-        return voided(record, "; ".join(f"{word.name}: {word.why}" for word in objections))
+        return aborted(record, "; ".join(f"{vote.name}: {vote.why}" for vote in objections))
     return UNSET
 
 
-def missing(record: Record, ballots: dict[str, Ballot]) -> list[str]:
-    """Whose word on an open record is not known."""
-    return [name for name in record.needs if name not in ballots or ballots[name].epoch != record.epoch]
+def missing(record: Record, votes: dict[str, Vote]) -> list[str]:
+    """Voters whose vote on an open record is not known."""
+    return [name for name in record.needs if name not in votes or votes[name].epoch != record.epoch]
 
 
-def impatient(record: Record, ballots: dict[str, Ballot]) -> Record:
-    """An open record whose time is over."""
-    return voided(record, f"no word within {record.patience:g} s from {', '.join(missing(record, ballots))}")
+def timed_out(record: Record, votes: dict[str, Vote]) -> Record:
+    """Returns an open record aborted because its proposal timeout has passed."""
+    return aborted(record, f"no word within {record.patience:g} s from {', '.join(missing(record, votes))}")
 
 
-def newer(record: Record, than: Record | None) -> bool:
-    """Whether a record that was read may take the place of the one that is held: what is seen of a topic only rises."""
+def newer(record: Record, held: Record | None) -> bool:
+    """Whether a record that was read may replace the one held: the observed state of a topic only advances."""
     rank = ("open", "ready", "refused", "void", "settled", "ended")
-    if than is None or record.epoch != than.epoch:
-        return than is None or record.epoch > than.epoch
-    return rank.index(record.state) >= rank.index(than.state)
+    if held is None or record.epoch != held.epoch:
+        return held is None or record.epoch > held.epoch
+    return rank.index(record.state) >= rank.index(held.state)
 
 
-def binds(record: Record, seen_for: float, drift: float) -> bool:
-    """Whether anybody may still go by what the record says. `seen_for`: seconds since whoever asks first saw it as it
-    is; others saw it later at the most by the drift of their clocks and may still hold to it."""
+def is_valid(record: Record, observed_for: float, drift: float) -> bool:
+    """Whether any supervisor may still act on the record. `observed_for`: seconds since the caller first read it in
+    this state; others, whose clocks differ by up to `drift`, may still act on it for that much longer."""
     if pending(record):
         return True
-    standing = record.standing
-    return standing is not None and (standing.binds_for is None or seen_for < standing.binds_for * (1 + 2 * drift))
+    committed = record.standing
+    return committed is not None and (
+        committed.binds_for is None or observed_for < committed.binds_for * (1 + 2 * drift)
+    )
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -100,7 +100,7 @@
             own = self.topics[topic].record if topic in self.topics else None
             known = self.compared.get(topic)
             if known is None or known[0] is not record or known[1] is not own:
-                behind = agreement.copied(own, record, self.name, self.roll.expected) is not None
+                behind = agreement.replicated(own, record, self.name, self.roll.expected) is not None
                 known = self.compared[topic] = record, own, behind
             if known[2]:
                 return True
@@ -109,7 +109,7 @@
     @staticmethod
     def _copy_of(record: Record, below: Agent, expected: tuple[str, ...]) -> Record | None:
         topic = below.topics.get(record.topic)
-        return agreement.copied(topic.record if topic is not None else None, record, below.name, expected)
+        return agreement.replicated(topic.record if topic is not None else None, record, below.name, expected)
 
     def _read_above(self, topic: str, data: bytes, stat: Stat) -> None:
         try:
@@ -117,7 +117,7 @@
         except Barred as error:
             self.log("bad_record", level="warning", why=str(error))
             return
-        if topic in self.above or len(self.above) < agreement.MOST_RECORDS:
+        if topic in self.above or len(self.above) < agreement.MAX_TOPICS:
             self.above[topic] = record
 
     def _gone_above(self, topic: str) -> None:
@@ -232,7 +232,7 @@
     @staticmethod
     def _word(below: Agent, record: Record) -> tuple[bool, str] | None:
         topic = below.topics.get(record.topic)
-        return agreement.word_above(topic.record if topic is not None else None, record.epoch)
+        return agreement.vote_for_parent(topic.record if topic is not None else None, record.epoch)
 
     def _tell(self, topic: Topic) -> None:
         super()._tell(topic)
--- a/driftshed/coordination/tiers.py
+++ b/driftshed/coordination/tiers.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, UnsetType
 
-from driftshed.coordination.agreement import MOST_NEEDS
+from driftshed.coordination.agreement import MAX_VOTERS
 from driftshed.coordination.members import BadMember, Digest, Member, Row, check_name
 
 FORM = 1
@@ -163,8 +163,8 @@
 
 
 def _count(count: int, what: str, whose: str, remedy: str) -> None:
-    if count > MOST_NEEDS:
-        raise BadTiers(f"{count} {what} in {whose}, {MOST_NEEDS} at the most: {remedy}")
+    if count > MAX_VOTERS:
+        raise BadTiers(f"{count} {what} in {whose}, {MAX_VOTERS} at the most: {remedy}")
 
 
 # ---- beats ----------------------------------------------------------------------------------------------------
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -32,7 +32,7 @@
         self.roll = Roll(expected, loop.clock())
         self.strange = not expected  # with nobody named, all that are there are taken as expected
         self.records: dict[str, agreement.Record] = {}
-        self.words: dict[str, list[agreement.Ballot]] = {}
+        self.words: dict[str, list[agreement.Vote]] = {}
         self.boxes: dict[str, Folder] = {}
         self.members = Folder(self._ask, f"{root}/members", self._member, lambda node: None, self._look, self._none)
         self.folder = Folder(self._ask, f"{root}/records", self._record, lambda name: None, self._look, self._none)
--- a/tests/test_coordination_model.py
+++ b/tests/test_coordination_model.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Ballot, Barred
+from driftshed.coordination.agreement import Barred, Vote
 from driftshed.lab.model import explore
 
 # ---- leases and fences: starts of one name, a store, clocks that drift ------------------------------------------
@@ -230,12 +230,12 @@
             if record is not None and record.state == "open":
                 if peer.spoke < record.epoch:
                     for assent in (True, False):
-                        word = ("word", Ballot(name, record.epoch, assent))
+                        word = ("word", Vote(name, record.epoch, assent))
                         yield f"{name} says {assent}", put(k, peer._replace(flight=("ask", word), spoke=record.epoch))
                 words = {word.name: word for word in peer.words if word.epoch == record.epoch}
                 result = agreement.outcome(record, words)
                 if result is UNSET:
-                    result = agreement.impatient(record, words)
+                    result = agreement.timed_out(record, words)
                 yield f"{name}: {result.state}", put(k, peer._replace(flight=("ask", ("put", result, version, None))))
             yield f"{name} asks", put(k, peer._replace(flight=("ask", ("read",))))
         if state.crashes:
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -363,7 +363,7 @@
     fleet = fleet_up(tmp_path, cells=1, members=2)
     made = fleet.asks(fleet.names[-1], 3.3)
     fleet.until(lambda: CELL in fleet.words_up("r1", made), 5, 0.001)
-    word = agreement.Ballot(CELL, made, False, "I would rather not")
+    word = agreement.Vote(CELL, made, False, "I would rather not")
     fleet.writes("r1", SetData(f"{RECORDS}/{made}.{CELL}", agreement.write(word)))
     with pytest.raises(AssertionError, match="the word .* changed"):
         check_records(fleet)
--- a/tests/test_tiers_decisions.py
+++ b/tests/test_tiers_decisions.py
@@ -8,7 +8,7 @@
 
 from driftshed.cli import main
 from driftshed.coordination import agreement, tiers
-from driftshed.coordination.agreement import Ballot, Record, Standing
+from driftshed.coordination.agreement import Record, Standing, Vote
 from driftshed.coordination.members import Digest, Member, Roll
 from driftshed.coordination.tiers import BadTiers, Beat, Beats, read_tiers
 
@@ -161,63 +161,63 @@
 
 
 def test_what_is_open_above_is_asked_below_once():
-    copy = agreement.copied(None, above(), "n1", ("n1", "n2"))
+    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
     assert (copy.state, copy.epoch, copy.token, copy.body, copy.copied) == ("open", 7, "t7", {"version": 2}, True)
     assert (copy.needs, copy.quorum, copy.standing, copy.waits) == (("n1", "n2"), 2, STOOD, 3.0)
     for state in ("open", "ready", "refused"):
-        assert agreement.copied(copy, above(state), "n1", ("n1", "n2")) is None
-        assert agreement.copied(None, above(state), "n1", ("n1", "n2")) == copy
-    assert agreement.copied(above(epoch=8), above(), "n1", ("n1", "n2")) is None  # a newer one is there
+        assert agreement.replicated(copy, above(state), "n1", ("n1", "n2")) is None
+        assert agreement.replicated(None, above(state), "n1", ("n1", "n2")) == copy
+    assert agreement.replicated(above(epoch=8), above(), "n1", ("n1", "n2")) is None  # a newer one is there
 
 
 @pytest.mark.parametrize("below", ["open", "ready", "refused"])
 def test_what_ended_above_ends_below_whatever_was_said_below(below):
-    copy = agreement.copied(None, above(), "n1", ("n1", "n2"))
+    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
     copy = agreement.replace(copy, state=below)
     new = Standing(7, "t7", "north", {"version": 2})
-    ended = agreement.copied(copy, above("settled", standing=new, passed=True), "n1", ("n1", "n2"))
+    ended = agreement.replicated(copy, above("settled", standing=new, passed=True), "n1", ("n1", "n2"))
     assert (ended.state, ended.standing, ended.passed) == ("settled", new, True) and agreement.newer(ended, copy)
-    assert agreement.copied(ended, above("settled", standing=new, passed=True), "n1", ("n1", "n2")) is None
-    void = agreement.copied(copy, above("void", why="no"), "n1", ("n1", "n2"))
+    assert agreement.replicated(ended, above("settled", standing=new, passed=True), "n1", ("n1", "n2")) is None
+    void = agreement.replicated(copy, above("void", why="no"), "n1", ("n1", "n2"))
     assert (void.state, void.standing, void.why) == ("void", STOOD, "no") and agreement.newer(void, copy)
 
 
 def test_what_stands_above_stands_below_though_nothing_was_asked():
-    copy = agreement.copied(None, above("void"), "n1", ("n1",))
+    copy = agreement.replicated(None, above("void"), "n1", ("n1",))
     assert (copy.state, copy.epoch, copy.standing) == ("void", 7, STOOD)
-    assert agreement.copied(None, above("void", standing=None), "n1", ("n1",)) is None
+    assert agreement.replicated(None, above("void", standing=None), "n1", ("n1",)) is None
 
 
 def test_a_copy_that_all_assent_to_is_ready_and_one_that_somebody_objects_to_refused():
-    copy = agreement.copied(None, above(), "n1", ("n1", "n2"))
-    yes = {name: Ballot(name, 7, True) for name in ("n1", "n2")}
+    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
+    yes = {name: Vote(name, 7, True) for name in ("n1", "n2")}
     ready = agreement.outcome(copy, yes)
     assert ready.state == "ready" and agreement.pending(ready) and ready.standing == STOOD
-    assert agreement.word_above(ready, 7) == (True, "")
-    refused = agreement.outcome(copy, yes | {"n2": Ballot("n2", 7, False, "too far")})
+    assert agreement.vote_for_parent(ready, 7) == (True, "")
+    refused = agreement.outcome(copy, yes | {"n2": Vote("n2", 7, False, "too far")})
     assert refused.state == "refused" and agreement.pending(refused)
-    assert agreement.word_above(refused, 7) == (False, "n2: too far")
-    late = agreement.impatient(copy, {"n1": yes["n1"]})
+    assert agreement.vote_for_parent(refused, 7) == (False, "n2: too far")
+    late = agreement.timed_out(copy, {"n1": yes["n1"]})
     assert late.state == "refused" and "n2" in late.why
-    assert agreement.word_above(copy, 7) is None and agreement.word_above(ready, 8) is None
-    assert agreement.word_above(None, 7) is None
+    assert agreement.vote_for_parent(copy, 7) is None and agreement.vote_for_parent(ready, 8) is None
+    assert agreement.vote_for_parent(None, 7) is None
 
 
 def test_a_word_of_one_that_is_away_is_not_needed_and_an_objection_is_never_done_without():
-    copy = agreement.copied(None, above(), "n1", ("n1", "n2"))
-    one = {"n1": Ballot("n1", 7, True)}
+    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
+    one = {"n1": Vote("n1", 7, True)}
     assert agreement.outcome(copy, one) is agreement.UNSET
     ready = agreement.outcome(copy, one, frozenset({"n2"}))
     assert ready.state == "ready" and ready.away == ("n2",)
-    said = one | {"n2": Ballot("n2", 7, False, "no")}
+    said = one | {"n2": Vote("n2", 7, False, "no")}
     assert agreement.outcome(copy, said, frozenset({"n2"})).state == "refused"
 
 
 def test_a_flat_fleets_record_is_written_as_before():
     record = agreement.proposed(None, "policy", 1, "a", "t", 1, ("a",), 1, 3.0)
     assert b"copied" not in agreement.write(record) and b"waits" not in agreement.write(record)
-    assert agreement.outcome(record, {"a": Ballot("a", 1, True)}).state == "settled"
-    assert agreement.voided(record, "no").state == "void"
+    assert agreement.outcome(record, {"a": Vote("a", 1, True)}).state == "settled"
+    assert agreement.aborted(record, "no").state == "void"
 
 
 # ---- who is away --------------------------------------------------------------------------------------------------
--- a/tests/test_tiers_model.py
+++ b/tests/test_tiers_model.py
@@ -9,7 +9,7 @@
 import pytest
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Ballot, Record
+from driftshed.coordination.agreement import Record, Vote
 from driftshed.lab.model import explore
 from driftshed.policy.change import Known, may_change_tables, waited_out
 
@@ -100,7 +100,7 @@
     names = tuple("abcd"[: len(said)])
     record = Record("policy", 1, "open", "a", "t", None, names, len(names), 1.0)
     ballots = {
-        name: Ballot(name, 1, word != 2) for name, word, gone in zip(names, said, without, strict=True) if word or gone
+        name: Vote(name, 1, word != 2) for name, word, gone in zip(names, said, without, strict=True) if word or gone
     }
     found = agreement.outcome(record, ballots)
     return found.state if isinstance(found, Record) else "open"
