--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -18,7 +18,7 @@
 from driftshed.coordination.agreement import Barred, Record, Vote
 from driftshed.coordination.folder import Folder, Names
 from driftshed.coordination.lease import DRIFT, Lease
-from driftshed.coordination.members import BadMember, Member, Roll, read_member, write_member
+from driftshed.coordination.members import Member, MemberError, Roll, read_member, write_member
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.announce import Announcer, Standing
@@ -171,7 +171,7 @@
             self.zxid = max(self.zxid, self.client.session.zxid)
         client.session.zxid = self.zxid
         self.client = client
-        self.roll.read_at = None
+        self.roll.complete_since = None
         for folder in (self.members, self.records, *self.others):
             folder.forget()
         for topic in self.topics.values():
@@ -182,7 +182,7 @@
         if state is State.ON:
             self.loop.soon(self._begin)
         else:
-            self.roll.read_at = None
+            self.roll.complete_since = None
             for folder in (self.members, self.records, *self.others):
                 folder.away()
 
@@ -226,7 +226,7 @@
         return (
             self.chair.standing is Standing.LISTED
             and not self.stopped
-            and not self.roll.has_older(self.name, self.incarnation)
+            and not self.roll.has_earlier_incarnation(self.name, self.incarnation)
             and self.roll.highest.get(self.name, 0) == self.incarnation
             and self.lease.holds(self.loop.clock(), session.proved_at, session.timeout)
         )
@@ -271,7 +271,7 @@
     def _member(self, node: str, data: bytes, stat: Stat) -> None:
         try:
             member = read_member(node, data)
-        except BadMember as error:
+        except MemberError as error:
             self.log("bad_member", level="warning", why=str(error))
             return
         if member.name == self.name and self.incarnation and member.incarnation > self.incarnation:
@@ -283,15 +283,15 @@
         self._rolled()
 
     def _member_gone(self, node: str) -> None:
-        self.roll.vanished(node, self.loop.clock())
+        self.roll.remove_node(node, self.loop.clock())
         self._rolled()
 
     def _roll_whole(self) -> None:
         # A new session read all anew: who went while we were away has no node that could tell of it.
         for node in [node for node in self.roll.nodes if node not in self.members.names]:
-            self.roll.vanished(node, self.loop.clock())
-        if self.roll.read_at is None:
-            self.roll.read_at = self.loop.clock()
+            self.roll.remove_node(node, self.loop.clock())
+        if self.roll.complete_since is None:
+            self.roll.complete_since = self.loop.clock()
         self._rolled()
 
     def _rolled(self) -> None:
@@ -555,9 +555,9 @@
 
     def _disagrees(self, record: Record) -> tuple[bool, str] | None:
         """Guards against supervisors that were told different tiers: words of other members than ours would do."""
-        if record.waits is UNSET or frozenset(record.needs) == self.roll.named:
+        if record.waits is UNSET or frozenset(record.needs) == self.roll.expected_set:
             return None
-        odd = sorted(self.roll.named ^ frozenset(record.needs))[:4]
+        odd = sorted(self.roll.expected_set ^ frozenset(record.needs))[:4]
         return False, f"its tiers are not those of {record.by}, by {', '.join(odd)}: give all the same --tiers"
 
     def _ballot(self, topic: Topic, node: str, data: bytes) -> None:
--- a/driftshed/coordination/members.py
+++ b/driftshed/coordination/members.py
@@ -1,7 +1,7 @@
-"""Who is there: what a supervisor says of itself, and what its peers make of it. Free of I/O.
+"""Fleet membership: the data each supervisor publishes, and the membership view that its peers derive. No I/O.
 
 A start of a supervisor is the node NAME~INCARNATION; the incarnation rises by one with each start, by compare-and-set
-(roster/announce.py). The highest that was seen of a name counts, whatever nodes are left."""
+(roster/announce.py). The highest incarnation seen of a name is the valid one, whichever nodes remain."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from msgspec import UNSET, Meta, Struct, UnsetType
 from msgspec.structs import replace
 
-MOST_BYTES = 16384  # of a node's data
-MOST_STRANGERS = 64  # kept besides the expected ones
-NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
+MAX_MEMBER_BYTES = 16384  # data of a member node
+MAX_UNKNOWN_PEERS = 64  # remembered in addition to the expected supervisors
+NAME_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 
 
-class BadMember(ValueError):
-    """A node that says nothing that can be used; the text says why."""
+class MemberError(ValueError):
+    """A member node with an invalid name or unusable data; the message gives the reason."""
 
 
 class Digest(Struct, frozen=True):
-    """What a fleet is, in a word of bounded size. `policies`: how many of the living run which version."""
+    """Bounded-size summary of a fleet: counts of supervisors. `policies`: how many live supervisors run each policy
+    version."""
 
     expected: Annotated[int, Meta(ge=0)] = 0
     living: Annotated[int, Meta(ge=0)] = 0
@@ -32,96 +33,108 @@
 
 
 class Member(Struct, frozen=True):
-    """A supervisor as it announces itself. A reader takes what it knows of it: a newer build may say more."""
+    """The data that a supervisor publishes about itself. Unknown fields are ignored: a newer build may add some."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
-    address: Annotated[str, Meta(max_length=64)] = ""  # where proxies join it
+    address: Annotated[str, Meta(max_length=64)] = ""  # address:port that proxies join
     build: Annotated[str, Meta(max_length=64)] = ""
     state: Literal["serving", "leaving"] = "serving"
-    policy: Annotated[int, Meta(ge=0)] = 0  # the version that it runs
-    proxies: Annotated[int, Meta(ge=0)] = 0  # that it serves
-    zones: dict[str, int] = {}  # of these proxies
-    inside: dict[str, str] = {}  # of zones whose own proxies it serves, while one is in question: what these met there
+    policy: Annotated[int, Meta(ge=0)] = 0  # policy version in use
+    proxies: Annotated[int, Meta(ge=0)] = 0  # number of proxies served
+    zones: dict[str, int] = {}  # the same proxies, counted by zone
+    inside: dict[str, str] = {}  # by zone in question: the evidence of the zone's own proxies that it serves
     incarnation: Annotated[int, Meta(ge=0)] = 0
-    digest: Digest | UnsetType = UNSET  # of a fleet that it speaks for
+    digest: Digest | UnsetType = UNSET  # of the fleet whose delegate it is
 
 
-DECODER = msgspec.json.Decoder(Member)
+MEMBER_DECODER = msgspec.json.Decoder(Member)
 
 
-def check_name(name: str) -> str:
-    """A supervisor's name; BadMember says what it may be."""
-    if not NAME.fullmatch(name):
-        raise BadMember(f"{name[:80]!r}: a name of letters, digits, '.', '-' and '_' is wanted, 64 at the most")
+def validate_name(name: str) -> str:
+    """Returns a valid supervisor name unchanged; raises MemberError otherwise."""
+    if not NAME_PATTERN.fullmatch(name):
+        raise MemberError(
+            f"{name[:80]!r}: a name of letters, digits, '.', '-' and '_' is required, at most 64 characters"
+        )
     return name
 
 
 def write_member(member: Member) -> bytes:
+    """Encodes the data of a member node as JSON."""
     return msgspec.json.encode(member)
 
 
-def split(node: str) -> tuple[str, int]:
-    """Name and incarnation of a node; BadMember where it is no member's."""
-    name, tilde, number = node.rpartition("~")
-    if not tilde or not NAME.fullmatch(name) or not (number.isascii() and number.isdigit() and len(number) < 10):
-        raise BadMember(f"{node[:80]!r} is no NAME~INCARNATION")
+def parse_node_name(node: str) -> tuple[str, int]:
+    """Splits a node name into name and incarnation; raises MemberError where it is not NAME~INCARNATION."""
+    name, separator, number = node.rpartition("~")
+    if (
+        not separator
+        or not NAME_PATTERN.fullmatch(name)
+        or not (number.isascii() and number.isdigit() and len(number) < 10)
+    ):
+        raise MemberError(f"{node[:80]!r} is not of the form NAME~INCARNATION")
     return name, int(number)
 
 
 def read_member(node: str, data: bytes) -> Member:
-    """The member of this node; BadMember where it cannot be."""
-    name, incarnation = split(node)
+    """Decodes the data of a member node; raises MemberError for malformed data or data of another start."""
+    name, incarnation = parse_node_name(node)
     try:
-        member = DECODER.decode(data[: MOST_BYTES + 1])
+        member = MEMBER_DECODER.decode(data[: MAX_MEMBER_BYTES + 1])
     except msgspec.DecodeError as error:
-        raise BadMember(f"{node}: {error}") from None
+        raise MemberError(f"{node}: {error}") from None
     if (member.name, member.incarnation) != (name, incarnation):
-        raise BadMember(f"{node}: it says {member.name}, incarnation {member.incarnation}")
+        raise MemberError(f"{node}: the data is of {member.name}, incarnation {member.incarnation}")
     return member
 
 
 class Present(NamedTuple):
+    """A member node that exists in the store."""
+
     member: Member
-    czxid: int  # when its node was made, in the store's order
-    since: float  # seconds on the own clock
+    czxid: int  # transaction that created the node: the store's order
+    since: float  # when it was first read, in seconds on the local clock
 
 
 class Row(NamedTuple):
-    """One line of the roll. `state`: living, leaving, silent, never seen, stranger. `since`: seconds ago."""
+    """One supervisor in the membership view. `state`: living, leaving, silent, never seen or stranger. `since`: seconds
+    that it has been in this state."""
 
     name: str
     state: str
     since: float | None
-    starts: int  # that were seen beyond the first
+    starts: int  # starts observed after the first
     member: Member | None
 
 
 class Roll:
-    """The expected ones told from the living, the silent, the restarted and the strangers. Times are seconds on the own
-    monotonic clock."""
+    """Membership view: tells which supervisors are expected, living, silent, restarted or unknown. Times are seconds on
+    the local monotonic clock."""
 
     def __init__(self, expected: tuple[str, ...], now: float) -> None:
-        self.expect(expected)
-        self.began = now
-        self.read_at: float | None = None  # since when all that come and go are seen, None while they are not
-        self.nodes: dict[str, Present] = {}  # by node
-        self.highest: dict[str, int] = {}  # incarnation, of each name that was ever seen
-        self.starts: dict[str, int] = {}  # seen beyond the first
-        self.silent: dict[str, tuple[float, Member]] = {}  # since when, and what it last said
-        self.there: dict[str, set[int]] = {}  # by name: incarnations that have a node
-        self._living: dict[str, Present] | None = None  # as they follow from the above; None once that has changed
+        """`expected`: names of all supervisors of the fleet, the local one included."""
+        self.set_expected(expected)
+        self.started_at = now
+        self.complete_since: float | None = None  # since when every arrival and departure is observed; None while not
+        self.nodes: dict[str, Present] = {}  # by node name
+        self.highest: dict[str, int] = {}  # highest incarnation of each name ever seen
+        self.restarts: dict[str, int] = {}  # starts observed after the first, by name
+        self.silent: dict[str, tuple[float, Member]] = {}  # since when, and the data last published
+        self.incarnations: dict[str, set[int]] = {}  # by name: those that have a node
+        self._living: dict[str, Present] | None = None  # cached; None once invalid
         self._order: list[str] | None = None
         self._addresses: list[str] | None = None
 
-    def expect(self, names: tuple[str, ...]) -> None:
-        self.expected, self.named = names, frozenset(names)
-        self._changed()
+    def set_expected(self, names: tuple[str, ...]) -> None:
+        """Replaces the names of the supervisors of the fleet."""
+        self.expected, self.expected_set = names, frozenset(names)
+        self._invalidate()
 
-    def _changed(self) -> None:
+    def _invalidate(self) -> None:
         self._living = self._order = self._addresses = None
 
     def appeared(self, node: str, member: Member, czxid: int, now: float) -> None:
-        """A node was read, for the first time or again."""
+        """Records the data of a node read for the first time or again; `czxid` is the node's creation transaction."""
         old = self.nodes.get(node)
         since = old.since if old is not None and old.czxid == czxid else now
         present = self.nodes[node] = Present(member, czxid, since)
@@ -140,42 +153,43 @@
                 )
             )
         ):
-            if self._living.get(member.name) is old:  # only counts have changed: most words do no more
+            if self._living.get(member.name) is old:  # only counts changed, as in most updates: the caches stay valid
                 self._living[member.name] = present
             return
-        self._changed()
-        self.there.setdefault(member.name, set()).add(member.incarnation)
-        known = self.highest.get(member.name)
-        if known is not None and member.incarnation > known:
-            self.starts[member.name] = self.starts.get(member.name, 0) + 1
-        self.highest[member.name] = max(known or 0, member.incarnation)
+        self._invalidate()
+        self.incarnations.setdefault(member.name, set()).add(member.incarnation)
+        highest = self.highest.get(member.name)
+        if highest is not None and member.incarnation > highest:
+            self.restarts[member.name] = self.restarts.get(member.name, 0) + 1
+        self.highest[member.name] = max(highest or 0, member.incarnation)
         self.silent.pop(member.name, None)
-        self._bound()
-
-    def vanished(self, node: str, now: float) -> None:
-        gone = self.nodes.pop(node, None)
-        self._changed()
-        if gone is not None:
-            rest = self.there.get(gone.member.name, set())
-            rest.discard(gone.member.incarnation)
-            if not rest:
-                self.there.pop(gone.member.name, None)
-        if gone is not None and gone.member.name not in self._by_name():
-            self.silent[gone.member.name] = now, gone.member
-            self._bound()
-
-    def _bound(self) -> None:
-        """Guards against strangers without end: those longest silent are forgotten."""
-        strangers = [name for name in self.highest if name not in self.named]
-        for name in sorted(strangers, key=lambda name: self.silent.get(name, (float("inf"), None))[0]):
-            if len(strangers) <= MOST_STRANGERS or name not in self.silent:
+        self._evict_unknown_peers()
+
+    def remove_node(self, node: str, now: float) -> None:
+        """Records that a node is gone; its supervisor is silent unless its latest start has another node."""
+        removed = self.nodes.pop(node, None)
+        self._invalidate()
+        if removed is not None:
+            remaining = self.incarnations.get(removed.member.name, set())
+            remaining.discard(removed.member.incarnation)
+            if not remaining:
+                self.incarnations.pop(removed.member.name, None)
+        if removed is not None and removed.member.name not in self._by_name():
+            self.silent[removed.member.name] = now, removed.member
+            self._evict_unknown_peers()
+
+    def _evict_unknown_peers(self) -> None:
+        """Bounds the memory for unknown peers: those silent for longest are forgotten first."""
+        unknown = [name for name in self.highest if name not in self.expected_set]
+        for name in sorted(unknown, key=lambda name: self.silent.get(name, (float("inf"), None))[0]):
+            if len(unknown) <= MAX_UNKNOWN_PEERS or name not in self.silent:
                 break
-            strangers.remove(name)
-            for known in (self.highest, self.starts, self.silent):
-                known.pop(name, None)
+            unknown.remove(name)
+            for by_name in (self.highest, self.restarts, self.silent):
+                by_name.pop(name, None)
 
     def _by_name(self) -> dict[str, Present]:
-        """Of each name the start that counts: the highest, where its node is there."""
+        """The node of the highest incarnation of each name, where it exists."""
         by_name = {}
         for present in self.nodes.values():
             name, incarnation = present.member.name, present.member.incarnation
@@ -184,52 +198,56 @@
         return by_name
 
     def living(self) -> dict[str, Present]:
-        """The expected ones whose last start is there."""
+        """The expected supervisors whose latest start has a node, by name."""
         if self._living is None:
-            self._living = {name: present for name, present in self._by_name().items() if name in self.named}
+            self._living = {name: present for name, present in self._by_name().items() if name in self.expected_set}
         return self._living
 
     def away(self, now: float) -> dict[str, float]:
-        """For how many seconds at the least each expected one that has no node, of whatever start, has had none. Guards
-        against silence that is put together from before and after a time in which we saw nothing ourselves."""
-        if self.read_at is None:
+        """For how many seconds at least each expected supervisor without a node of any start has had none.
+
+        Counts only the time since the view last became complete: silence from before and after a period in which this
+        supervisor observed nothing must not be added up."""
+        if self.complete_since is None:
             return {}
         return {
-            name: now - max(self.read_at, self.silent[name][0] if name in self.silent else self.read_at)
+            name: now - max(self.complete_since, self.silent[name][0] if name in self.silent else self.complete_since)
             for name in self.expected
-            if name not in self.there
+            if name not in self.incarnations
         }
 
     def order(self) -> list[str]:
-        """The living, the longest there first: the first has the lead. It has no right that a compare-and-set does not
-        give; the order spares the others the same work."""
+        """Names of the living, longest present first; the first is the leader. Leadership grants nothing beyond what a
+        compare-and-set grants; it only saves the others from doing the same work."""
         if self._order is None:
             self._order = sorted(living := self.living(), key=lambda name: living[name].czxid)
         return self._order
 
     def addresses(self) -> list[str]:
-        """Where proxies may dial: the living that are not about to leave."""
+        """Addresses that proxies may dial: those of living supervisors that are not about to leave."""
         if self._addresses is None:
             living = [present.member for present in self.living().values()]
             self._addresses = sorted(each.address for each in living if each.address and each.state == "serving")
         return self._addresses
 
-    def has_older(self, name: str, incarnation: int) -> bool:
-        return any(each < incarnation for each in self.there.get(name, ()))
+    def has_earlier_incarnation(self, name: str, incarnation: int) -> bool:
+        """Whether an earlier start of a name still has a node."""
+        return any(each < incarnation for each in self.incarnations.get(name, ()))
 
     def rows(self, now: float) -> list[Row]:
+        """The view as rows: the expected supervisors in their order, then unknown peers by name."""
         by_name, rows = self._by_name(), []
-        strangers = sorted(set(self.highest) - set(self.expected))
-        for name in [*self.expected, *strangers]:
-            starts = self.starts.get(name, 0)
+        unknown = sorted(set(self.highest) - set(self.expected))
+        for name in [*self.expected, *unknown]:
+            starts = self.restarts.get(name, 0)
             if name in by_name:
                 present = by_name[name]
                 state = "leaving" if present.member.state == "leaving" else "living"
-                state = state if name in self.named else "stranger"
+                state = state if name in self.expected_set else "stranger"
                 rows.append(Row(name, state, now - present.since, starts, present.member))
             elif name in self.silent:
                 since, member = self.silent[name]
                 rows.append(Row(name, "silent", now - since, starts, member))
-            elif name in self.named:
-                rows.append(Row(name, "never seen", now - self.began, starts, None))
+            elif name in self.expected_set:
+                rows.append(Row(name, "never seen", now - self.started_at, starts, None))
         return rows
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -11,7 +11,7 @@
 import click
 
 from driftshed.coordination.agent import Agent
-from driftshed.coordination.members import BadMember, Member, check_name
+from driftshed.coordination.members import Member, MemberError, validate_name
 from driftshed.coordination.parting import apart
 from driftshed.coordination.tiered import Tiered
 from driftshed.coordination.tiers import BadTiers, Tiers, read_tiers
@@ -28,8 +28,8 @@
     names = tuple(filter(None, (each.strip() for each in expected.split(","))))
     try:
         for each in (name, *names):
-            check_name(each)
-    except BadMember as error:
+            validate_name(each)
+    except MemberError as error:
         raise click.BadParameter(str(error), param_hint="--name or --expected") from None
     if name not in names or len(set(names)) < len(names):
         text = f"{expected!r}: name every supervisor of the fleet once, {name!r} among them"
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -13,7 +13,7 @@
 from driftshed.coordination.agreement import Barred, Record
 from driftshed.coordination.folder import Folder, Names
 from driftshed.coordination.lease import DRIFT
-from driftshed.coordination.members import BadMember, Digest, Member, split
+from driftshed.coordination.members import Digest, Member, MemberError, parse_node_name
 from driftshed.coordination.tiers import Beat, Beats, Fleet, Tiers
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
@@ -90,8 +90,8 @@
         self.named = False
         for node in self.cells.names:
             try:
-                self.named = self.named or split(node)[0] == self.place.region.name
-            except BadMember as error:
+                self.named = self.named or parse_node_name(node)[0] == self.place.region.name
+            except MemberError as error:
                 self.log("bad_member", level="warning", why=str(error))
 
     def _lags(self) -> bool:
--- a/driftshed/coordination/tiers.py
+++ b/driftshed/coordination/tiers.py
@@ -16,7 +16,7 @@
 from msgspec import UNSET, Meta, Struct, UnsetType
 
 from driftshed.coordination.agreement import MAX_VOTERS
-from driftshed.coordination.members import BadMember, Digest, Member, Row, check_name
+from driftshed.coordination.members import Digest, Member, MemberError, Row, validate_name
 
 FORM = 1
 MOST_FILE = 1 << 20  # bytes of a tiers file
@@ -142,8 +142,8 @@
 
     def take(name: str, what: str) -> None:
         try:
-            check_name(name)
-        except BadMember as error:
+            validate_name(name)
+        except MemberError as error:
             raise BadTiers(f"{what}: {error}") from None
         if name in (".", ".."):
             raise BadTiers(f"{what}: {name!r} is no name: take another")
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -10,7 +10,7 @@
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Barred
 from driftshed.coordination.folder import Folder
-from driftshed.coordination.members import BadMember, Roll, read_member
+from driftshed.coordination.members import MemberError, Roll, read_member
 from driftshed.net.loop import Timers
 from driftshed.roster.client import RosterClient
 from driftshed.roster.jute import EXPIRED, Event
@@ -56,10 +56,10 @@
     def _member(self, node: str, data: bytes, stat: object) -> None:
         try:
             member = read_member(node, data)
-        except BadMember:
+        except MemberError:
             return
         if self.strange:
-            self.roll.expect(tuple(sorted({*self.roll.expected, member.name})))
+            self.roll.set_expected(tuple(sorted({*self.roll.expected, member.name})))
         self.roll.appeared(node, member, stat.czxid, self.loop.clock())
 
     def _record(self, name: str, data: bytes, stat: object) -> None:
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -8,7 +8,7 @@
 from driftshed.coordination.agent import SWEEP_AFTER, Agent
 from driftshed.coordination.agreement import Barred
 from driftshed.coordination.lease import Lease
-from driftshed.coordination.members import MOST_STRANGERS, BadMember, Member, Roll, read_member, write_member
+from driftshed.coordination.members import MAX_UNKNOWN_PEERS, Member, MemberError, Roll, read_member, write_member
 from driftshed.roster.announce import Standing
 from driftshed.roster.jute import ANY_VERSION, SetData
 from tests.fleets import ROOT, TIMEOUT, Fleet, check
@@ -394,7 +394,7 @@
     ],
 )
 def test_bad_members_are_told(name, data):
-    with pytest.raises(BadMember):
+    with pytest.raises(MemberError):
         read_member(name, data)
 
 
@@ -405,10 +405,10 @@
 
 def test_strangers_are_bounded():
     roll = Roll(("a",), 0.0)
-    for k in range(3 * MOST_STRANGERS):
+    for k in range(3 * MAX_UNKNOWN_PEERS):
         roll.appeared(f"s{k}~1", Member(f"s{k}", incarnation=1), k, float(k))
-        roll.vanished(f"s{k}~1", float(k))
-    assert len(roll.rows(500.0)) == MOST_STRANGERS + 1 and len(roll.highest) == MOST_STRANGERS
+        roll.remove_node(f"s{k}~1", float(k))
+    assert len(roll.rows(500.0)) == MAX_UNKNOWN_PEERS + 1 and len(roll.highest) == MAX_UNKNOWN_PEERS
 
 
 def test_what_could_be_opened_and_never_be_settled_is_refused_when_it_is_proposed():
--- a/tests/test_tiers_decisions.py
+++ b/tests/test_tiers_decisions.py
@@ -226,22 +226,22 @@
 def test_silence_is_counted_from_when_the_roll_was_watched_without_a_gap():
     roll = Roll(("a", "b", "c"), 0.0)
     assert roll.away(5.0) == {}
-    roll.read_at = 1.0
+    roll.complete_since = 1.0
     roll.appeared("a~1", Member("a", incarnation=1), 1, 1.0)
     roll.appeared("b~1", Member("b", incarnation=1), 2, 1.0)
     assert roll.away(5.0) == {"c": 4.0}
-    roll.vanished("b~1", 6.0)
+    roll.remove_node("b~1", 6.0)
     assert roll.away(8.0) == {"b": 2.0, "c": 7.0}
-    roll.read_at = 20.0  # away ourselves meanwhile
+    roll.complete_since = 20.0  # this supervisor was disconnected in between
     assert roll.away(21.0) == {"b": 1.0, "c": 1.0}
 
 
 def test_one_whose_older_start_is_still_there_is_not_away():
     roll = Roll(("a",), 0.0)
-    roll.read_at = 0.0
+    roll.complete_since = 0.0
     roll.appeared("a~1", Member("a", incarnation=1), 1, 0.0)
     roll.appeared("a~2", Member("a", incarnation=2), 2, 0.0)
-    roll.vanished("a~2", 1.0)
+    roll.remove_node("a~2", 1.0)
     assert "a" not in roll.living() and roll.away(100.0) == {}
 
 
