--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -1,10 +1,11 @@
-"""One supervisor's part in coordination: its own node, its peers, and the records. It turns what the store tells into
-requests; it decides nothing by itself but what `members`, `lease` and `agreement` say. Thin: timers and a way to dial
-are handed in, so the same code runs on sockets and in virtual time.
+"""Coordination agent of one supervisor: its member node, its peers and the agreed records.
 
-For each topic one function, `_look`, compares what is wanted with what stands and asks for the difference, one request
-at a time. Whatever leaves open what happened (a lost connection, a lost answer, a version that moved on) ends in a new
-look at the record itself."""
+It translates notifications of the store into requests; the decisions are made by `members`, `lease` and `agreement`.
+Timers and the dial function are injected, so the same code runs on sockets and in virtual time.
+
+For each topic one function, `_evaluate`, compares the desired state with the stored one and requests the difference,
+one request at a time. After anything that leaves the outcome unknown (a lost connection, a lost answer, a version
+conflict) the record itself is read again."""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Barred, Record, Vote
-from driftshed.coordination.folder import Folder, Names
+from driftshed.coordination.folder import ChildNames, Folder
 from driftshed.coordination.lease import DRIFT, Lease
 from driftshed.coordination.members import Member, MemberError, Roll, read_member, write_member
 from driftshed.net.loop import Timer, Timers
@@ -41,80 +42,87 @@
 )
 from driftshed.roster.session import State
 
-STAGGER = 0.5  # of the session's time-out: how much later each next one in the order does what the first has not done
-SWEEP_AFTER = 20.0  # seconds that an ended record is kept for whoever asks what became of it
-SAY_EVERY = 1.0  # seconds between changes of what a supervisor says of itself, at the least
-AGAIN = 0.2  # seconds until a request whose outcome is open is looked up again
+STAGGER_FRACTION = 0.5  # of the session timeout: delay per rank before the next in order does what the first has not
+SWEEP_DELAY_S = 20.0  # how long a decided record is kept, so that its outcome can still be read
+PUBLISH_INTERVAL_S = 1.0  # minimum interval between updates of the own member node
+RETRY_DELAY_S = 0.2  # delay before a request with an unknown outcome is checked or repeated
 
-Judge = Callable[[Record], "tuple[bool, str] | None"]
+VoteFunction = Callable[[Record], "tuple[bool, str] | None"]
 
 
-class Chair(Announcer):
-    """The node of this supervisor: NAME~INCARNATION."""
+class MemberRegistration(Announcer):
+    """Registers this supervisor as the node NAME~INCARNATION and forwards session events to its agent."""
 
-    def __init__(self, agent: Agent, *given: object) -> None:
+    def __init__(self, agent: Agent, *args: object) -> None:
+        """`args`: arguments of `Announcer`."""
         self.agent = agent
-        super().__init__(*given)
+        super().__init__(*args)
 
     @property
     def name(self) -> str:
+        """Name of the supervisor, without the incarnation."""
         return self.node.name
 
     def data(self) -> bytes:
+        """Encoded member data with the current incarnation."""
         return write_member(replace(self.node, incarnation=self.epoch))
 
     def _begin(self) -> None:
         super()._begin()
-        self.agent.new_session(self.client)
+        self.agent.attach_session(self.client)
 
     def _state(self, state: State) -> None:
-        self.agent.session_state(state)
+        self.agent.handle_session_state(state)
         super()._state(state)
 
     def _event(self, event: Event) -> None:
-        self.agent.heard(event)
+        self.agent.handle_event(event)
 
 
 class Proposal:
-    """What a caller holds of its proposal. `state`: waiting, open, then settled, void, lost (another's was there
-    first), refused, or unknown; `why` says more. `done(proposal)` is called once it is none of the first two."""
+    """A caller's handle on its proposal. `state`: waiting or open, then one of settled, void, lost (another proposal
+    was first), refused or unknown; `why` gives the reason."""
 
-    def __init__(self, token: str, make: Callable[[Record | None, int], Record], done: Callable) -> None:
-        self.token, self.make, self.done = token, make, done
+    def __init__(self, token: str, build_record: Callable[[Record | None, int], Record], on_done: Callable) -> None:
+        """`build_record(old, epoch)` returns the record to write; `on_done(proposal)` is called once, at the end."""
+        self.token, self.build_record, self.on_done = token, build_record, on_done
         self.state, self.why, self.epoch = "waiting", "", 0
-        self.withdrawn = ""  # why, once its writer wants it back
-        self.tried = 0  # the epoch of a write whose outcome is open
+        self.withdraw_reason = ""  # the reason, once the proposal is to be withdrawn
+        self.attempted_epoch = 0  # epoch of the last write, unless that write is known to have failed
 
-    def end(self, state: str, why: str = "") -> None:
+    def finish(self, state: str, why: str = "") -> None:
+        """Sets the final state and calls `on_done`; ignored after the first call."""
         if self.state in ("waiting", "open"):
             self.state, self.why = state, why
-            self.done(self)
+            self.on_done(self)
 
 
-class Topic:
-    """What is known of one topic: the record as last read, since when, and what is under way."""
+class TopicState:
+    """Local state of one topic: the record as last read, pending requests and local proposals."""
 
     def __init__(self, name: str) -> None:
+        """A topic whose record has not been read."""
         self.name = name
         self.record: Record | None = None
         self.stat: Stat | None = None
-        self.since = 0.0  # when the record was first seen as it is
-        self.opened = 0.0  # when its epoch was first seen
+        self.observed_since = 0.0  # when the record was first read in its present state
+        self.opened = 0.0  # when its epoch was first read
         self.ballots: dict[str, Vote] = {}
-        self.box: Folder | None = None
-        self.spoke = 0  # the last epoch that our word on is in the store
-        self.busy = self.reading = self.swept = False
+        self.vote_folder: Folder | None = None
+        self.voted_epoch = 0  # last epoch for which the own vote is known to be stored
+        self.write_pending = self.read_pending = self.swept = False
         self.proposals: list[Proposal] = []
-        self.ending: tuple[int, str, Callable[[bool, str], object]] | None = None
-        self.above: Record | None = None  # as the fleet above has it, where its record is to be copied here
+        self.pending_end: tuple[int, str, Callable[[bool, str], object]] | None = None
+        self.parent_record: Record | None = None  # the parent fleet's record, where it is replicated here
         self.timer: Timer | None = None
 
 
 class Agent:
-    """`expected`: names of the supervisors of the fleet, this one's among them. `judge(record)`: the word on an open
-    record, (assent, why), or None to be asked again. `on_record(record)`: a topic stands anew. `on_roll()`: the living
-    changed. `seed` is to be another at each start. `lag`: seconds for which one who is away counts as there beyond what
-    a record says, in a fleet whose members speak for others."""
+    """Takes part in one fleet on behalf of a supervisor.
+
+    Callbacks that the owner may replace: `judge(record)` returns the vote (assent, why) on an open record, or None to
+    be asked again; `on_record(record)` after a record changed; `on_membership_change()` after the living changed;
+    `on_fenced()` once another start of the same name has taken over."""
 
     def __init__(
         self,
@@ -128,100 +136,118 @@
         log: Callable[..., object] = lambda event, **fields: None,
         dial: Callable[..., Stream] = dial,
         drift: float = DRIFT,
-        pause: float | None = None,
-        lag: float = 0.0,
+        max_pause: float | None = None,
+        absence_margin: float = 0.0,
     ) -> None:
-        self.loop, self.root, self.log, self.timeout, self.lag = loop, root, log, timeout, lag
+        """`expected`: names of all supervisors of the fleet, this one included. `timeout`: of the session, in seconds.
+        `seed` must differ at each start. `drift`, `max_pause`: see `Lease`. `absence_margin`: seconds added to a
+        record's limit before an absent voter is skipped, in a fleet whose members are delegates of other fleets."""
+        self.loop, self.root, self.log, self.timeout, self.absence_margin = loop, root, log, timeout, absence_margin
         self.tiers = 1
-        self.lease, self.roll = Lease(timeout, drift, pause), Roll(expected, loop.clock())
-        self.addresses: list[str] = []  # where proxies may dial, by the roll as it stands
-        self.topics: dict[str, Topic] = {}
-        self.gone: dict[str, int] = {}  # epochs of topics that were swept
-        # Guards against two processes of one name whose proposals look alike: whose it is tells who reads it again.
-        self.run, self.number = f"{Random(f'run {seed}').getrandbits(48):x}", 0
-        self.judge: Judge = lambda record: None
+        self.lease, self.roll = Lease(timeout, drift, max_pause), Roll(expected, loop.clock())
+        self.addresses: list[str] = []  # that proxies may dial, by the current membership view
+        self.topics: dict[str, TopicState] = {}
+        self.swept_epochs: dict[str, int] = {}  # by topic: epoch of the record when it was swept
+        # The run id distinguishes the proposals of two processes of one name when records are read again.
+        self.run, self.proposal_count = f"{Random(f'run {seed}').getrandbits(48):x}", 0
+        self.judge: VoteFunction = lambda record: None
         self.on_record: Callable[[Record], object] = lambda record: None
-        self.on_roll: Callable[[], object] = lambda: None
+        self.on_membership_change: Callable[[], object] = lambda: None
         self.on_fenced: Callable[[], object] = lambda: None
-        self.written = self.not_believed = 0
+        self.written = self.stale_reads = 0
         self.client, self.zxid = None, 0
-        self.members = Folder(self._ask, f"{root}/members", self._member, self._member_gone, self._roll_whole)
+        self.members = Folder(
+            self._send, f"{root}/members", self._member_updated, self._member_removed, self._members_complete
+        )
         self.records = Folder(
-            self._ask, f"{root}/records", self._record, self._record_gone, self._records_whole, self._make_records
+            self._send,
+            f"{root}/records",
+            self._record_updated,
+            self._record_removed,
+            self._records_complete,
+            self._create_records_folder,
         )
-        self.others: list[Folder | Names] = []  # folders of other fleets that it reads besides
+        self.other_folders: list[Folder | ChildNames] = []  # folders of other fleets that are read as well
         self.stopped = False
-        self.say_due: Timer | None = None
-        self.woken: Timer | None = None
-        self.chair = Chair(self, loop, hosts, f"{root}/members", member, timeout, seed, self._stood, dial)
+        self.publish_timer: Timer | None = None
+        self.wake_timer: Timer | None = None
+        self.chair = MemberRegistration(
+            self, loop, hosts, f"{root}/members", member, timeout, seed, self._registration_changed, dial
+        )
 
-    # ---- the session ------------------------------------------------------------------------------------------
+    # ---- session ------------------------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
+        """Name of this agent in its fleet."""
         return self.chair.name
 
     @property
     def incarnation(self) -> int:
+        """Number of this start of the name; 0 before one is assigned."""
         return self.chair.epoch
 
-    def new_session(self, client: object) -> None:
-        # Guards against a store that answers from an older state than we have seen: it does not let us in.
+    def attach_session(self, client: object) -> None:
+        """Continues with the client of a new session; all folders are read again."""
+        # The store refuses a session whose zxid is ahead of it, which guards against a store that restarted from an
+        # older state than this agent has read.
         if self.client is not None:
             self.zxid = max(self.zxid, self.client.session.zxid)
         client.session.zxid = self.zxid
         self.client = client
         self.roll.complete_since = None
-        for folder in (self.members, self.records, *self.others):
-            folder.forget()
+        for folder in (self.members, self.records, *self.other_folders):
+            folder.reset()
         for topic in self.topics.values():
-            topic.box, topic.busy, topic.reading = None, False, False
+            topic.vote_folder, topic.write_pending, topic.read_pending = None, False, False
 
-    def session_state(self, state: State) -> None:
+    def handle_session_state(self, state: State) -> None:
+        """Reads the folders once the session is connected; marks them as outdated in any other state."""
         self.log("fleet_session", state=state.value)
         if state is State.ON:
             self.loop.soon(self._begin)
         else:
             self.roll.complete_since = None
-            for folder in (self.members, self.records, *self.others):
-                folder.away()
+            for folder in (self.members, self.records, *self.other_folders):
+                folder.mark_disconnected()
 
     def _begin(self) -> None:
         if self.client.session.state is State.ON:
-            for folder in (self.members, self.records, *self.others):
-                folder.begin()
+            for folder in (self.members, self.records, *self.other_folders):
+                folder.refresh()
             for topic in self.topics.values():
-                if topic.box is not None:
-                    topic.box.begin()
+                if topic.vote_folder is not None:
+                    topic.vote_folder.refresh()
 
-    def _stood(self, standing: Standing) -> None:
+    def _registration_changed(self, standing: Standing) -> None:
         self.log("fleet_standing", state=standing.value, incarnation=self.chair.epoch)
         if standing is Standing.FENCED:
             self.on_fenced()
         elif standing is Standing.LISTED:
             self._begin()
-            self._look_all()
+            self._evaluate_all()
 
-    def _ask(self, request: Request, then: Callable[[int, object], object]) -> None:
+    def _send(self, request: Request, then: Callable[[int, object], object]) -> None:
         client = self.client
 
-        def done(error: int, result: object) -> None:
+        def on_reply(error: int, result: object) -> None:
             if client is self.client and error != EXPIRED and not self.stopped:
                 then(error, result)
 
-        client.ask(request, done)
+        client.ask(request, on_reply)
 
-    def heard(self, event: Event) -> None:
-        if not any(folder.heard(event) for folder in (self.members, self.records, *self.others)):
+    def handle_event(self, event: Event) -> None:
+        """Dispatches a watch event to the folder concerned."""
+        if not any(folder.handle_event(event) for folder in (self.members, self.records, *self.other_folders)):
             for topic in self.topics.values():
-                if topic.box is not None and topic.box.heard(event):
+                if topic.vote_folder is not None and topic.vote_folder.handle_event(event):
                     return
 
-    # ---- what may be acted on ---------------------------------------------------------------------------------
+    # ---- lease and values in force ---------------------------------------------------------------------------------
 
     def holds(self) -> bool:
-        """Whether this start of this supervisor may act now on what was agreed: its session is proven to stand, and no
-        other start of its name is there."""
+        """Whether this start of the supervisor may act on agreed records now: its session is proven valid, and no other
+        start of its name is registered."""
         session = self.client.session
         return (
             self.chair.standing is Standing.LISTED
@@ -232,115 +258,117 @@
         )
 
     def lease_until(self) -> float:
-        """When the lease ends unless it is proven anew, in seconds on the own clock."""
-        return self.lease.until(self.client.session.proved_at, self.client.session.timeout)
+        """When the lease ends unless it is renewed, in seconds on the local monotonic clock."""
+        return self.lease.expires_at(self.client.session.proved_at, self.client.session.timeout)
 
     def acts(self) -> bool:
-        """Whether what was agreed for its whole fleet, through all tiers, may be acted on now."""
+        """Whether records agreed for the entire fleet, across all levels of a hierarchy, may be acted on now."""
         return self.holds()
 
     def acts_until(self) -> float:
-        """When that ends unless it is proven anew, in seconds on the own clock."""
+        """When the permission of `acts` ends unless it is renewed, in seconds on the local monotonic clock."""
         return self.lease_until()
 
     def herd_wait(self, most: float) -> float:
-        """Seconds, `most` at the most, to wait before a proposal that all may come to make at the same moment."""
+        """Proposal backoff in seconds, at most `most`: a delay before a proposal that all agents may make at once."""
         return 0.0
 
     def undecided(self, topic: str) -> bool:
-        """Whether a record of a fleet above is open, whose end may be there before it is heard of here."""
+        """Whether a replica of a parent fleet's record is undecided; the parent may already have decided it."""
         record = self.topics[topic].record if topic in self.topics else None
         return agreement.pending(record) and record.copied is not UNSET
 
     def agreed(self, topic: str) -> agreement.Standing | None:
-        """What stands on a topic, to act on now; None without a lease, and where nothing is settled."""
+        """The committed value of a topic, for acting on it now; None without a lease or without a value in force."""
         return self.standing(topic) if self.holds() else None
 
     def standing(self, topic: str) -> agreement.Standing | None:
-        """What stands on a topic as it was last read, lease or not: to look at, not to act on anew."""
-        known = self.topics.get(topic)
-        return known.record.standing if known is not None and known.record is not None else None
+        """The committed value of a topic as last read, with or without a lease: for display, not for new actions."""
+        topic_state = self.topics.get(topic)
+        return topic_state.record.standing if topic_state is not None and topic_state.record is not None else None
 
     def is_open(self, topic: str) -> bool:
-        """Whether a proposal waits on a topic, as it was last read."""
-        known = self.topics.get(topic)
-        return known is not None and agreement.pending(known.record)
+        """Whether the record of a topic was undecided when it was last read."""
+        topic_state = self.topics.get(topic)
+        return topic_state is not None and agreement.pending(topic_state.record)
 
     # ---- members ----------------------------------------------------------------------------------------------
 
-    def _member(self, node: str, data: bytes, stat: Stat) -> None:
+    def _member_updated(self, node: str, data: bytes, stat: Stat) -> None:
         try:
             member = read_member(node, data)
         except MemberError as error:
             self.log("bad_member", level="warning", why=str(error))
             return
         if member.name == self.name and self.incarnation and member.incarnation > self.incarnation:
-            # Guards against two processes under one name: the older one says so and does nothing more.
+            # Of two processes with one name the older one logs this and stops acting.
             self.log("fenced", level="error", by=member.incarnation, own=self.incarnation)
             self.chair.fence()
             return
         self.roll.appeared(node, member, stat.czxid, self.loop.clock())
-        self._rolled()
+        self._membership_changed()
 
-    def _member_gone(self, node: str) -> None:
+    def _member_removed(self, node: str) -> None:
         self.roll.remove_node(node, self.loop.clock())
-        self._rolled()
+        self._membership_changed()
 
-    def _roll_whole(self) -> None:
-        # A new session read all anew: who went while we were away has no node that could tell of it.
+    def _members_complete(self) -> None:
+        # After a new session no watch reports the nodes that were removed before it.
         for node in [node for node in self.roll.nodes if node not in self.members.names]:
             self.roll.remove_node(node, self.loop.clock())
         if self.roll.complete_since is None:
             self.roll.complete_since = self.loop.clock()
-        self._rolled()
+        self._membership_changed()
 
-    def _rolled(self) -> None:
+    def _membership_changed(self) -> None:
         self.addresses = self.roll.addresses()
-        self.on_roll()
-        self._look_all()
+        self.on_membership_change()
+        self._evaluate_all()
 
     def say(self, **changes: object) -> None:
-        """Changes what this supervisor says of itself; written at a bounded pace, and only where it differs."""
+        """Publishes changed fields of the own member data; rate-limited, and written only if something differs."""
         node = replace(self.chair.node, **changes)
         if node == self.chair.node:
             return
-        wait = SAY_EVERY if changes.keys() & {"state", "digest"} else self._say_wait()
+        delay = PUBLISH_INTERVAL_S if changes.keys() & {"state", "digest"} else self._publish_delay()
         self.chair.node = node
-        if self.say_due is not None and self.say_due.at > self.loop.clock() + wait:
-            self.say_due.cancel()
-            self.say_due = None
-        if self.say_due is None:
-            self.say_due = self.loop.after(wait, self._say)
+        if self.publish_timer is not None and self.publish_timer.at > self.loop.clock() + delay:
+            self.publish_timer.cancel()
+            self.publish_timer = None
+        if self.publish_timer is None:
+            self.publish_timer = self.loop.after(delay, self._publish)
 
-    def _say_wait(self) -> float:
-        return SAY_EVERY
+    def _publish_delay(self) -> float:
+        return PUBLISH_INTERVAL_S
 
     def fence_out(self, name: str) -> None:
-        """Takes an epoch of another supervisor's name: a start of it that is not there, but may only be stopped, finds
-        out when it wakes and is silent from then on. A new start takes the next."""
+        """Consumes an incarnation of another supervisor's name, so that a start of it that is only suspended finds
+        itself fenced when it resumes. A new start uses the next incarnation."""
         self._write(SetData(f"{self.root}/members-epochs/{name}", b"", ANY_VERSION), lambda error, result: None)
 
-    def _say(self) -> None:
-        self.say_due = None
+    def _publish(self) -> None:
+        self.publish_timer = None
         if self.chair.standing is Standing.LISTED:
             self._write(SetData(self.chair.path, self.chair.data()), lambda error, result: None)
 
-    # ---- records as they are read -----------------------------------------------------------------------------
+    # ---- reading records -----------------------------------------------------------------------------
 
-    def _make_records(self) -> None:
+    def _create_records_folder(self) -> None:
         self._write(
             Create(self.records.path, b""),
             lambda error, result: (
-                self.records.begin() if error in (OK, NODE_EXISTS) else self.loop.after(AGAIN, self.records.begin)
+                self.records.refresh()
+                if error in (OK, NODE_EXISTS)
+                else self.loop.after(RETRY_DELAY_S, self.records.refresh)
             ),
         )
 
-    def _topic(self, name: str) -> Topic:
-        return self.topics.setdefault(name, Topic(name))
+    def _topic(self, name: str) -> TopicState:
+        return self.topics.setdefault(name, TopicState(name))
 
-    def _record(self, name: str, data: bytes, stat: Stat) -> None:
+    def _record_updated(self, name: str, data: bytes, stat: Stat) -> None:
         topic, now = self._topic(name), self.loop.clock()
-        topic.reading = False
+        topic.read_pending = False
         try:
             record = agreement.read_record(name, data)
         except Barred as error:
@@ -348,394 +376,427 @@
             return
         old = topic.record
         older = topic.stat is not None and stat.mzxid < topic.stat.mzxid
-        if older or not agreement.newer(record, old) or record.epoch <= self.gone.get(name, 0):
-            # Guards against a store that answers from an older state: what was seen of a record only rises.
-            self.not_believed += 1
+        if older or not agreement.newer(record, old) or record.epoch <= self.swept_epochs.get(name, 0):
+            # A store replica may answer from an older state; the observed state of a record only advances.
+            self.stale_reads += 1
             self.log("not_believed", level="warning", topic=name, epoch=record.epoch, mzxid=stat.mzxid)
             return
         topic.record, topic.stat = record, stat
         if old is None or old.epoch != record.epoch:
-            topic.opened, topic.ballots, topic.box = now, {}, None
+            topic.opened, topic.ballots, topic.vote_folder = now, {}, None
         if old != record:
-            topic.since, topic.swept = now, False
+            topic.observed_since, topic.swept = now, False
             self.log("record", topic=name, epoch=record.epoch, state=record.state, by=record.by, why=record.why)
             self.on_record(record)
-        self._tell(topic)
-        self._look(topic)
+        self._notify_proposers(topic)
+        self._evaluate(topic)
 
-    def _record_gone(self, name: str) -> None:
+    def _record_removed(self, name: str) -> None:
         topic = self.topics.pop(name, None)
         if topic is None:
             return
         if topic.record is not None:
-            self.gone[name] = topic.record.epoch
-            if len(self.gone) > agreement.MAX_TOPICS:
-                del self.gone[next(iter(self.gone))]
+            self.swept_epochs[name] = topic.record.epoch
+            if len(self.swept_epochs) > agreement.MAX_TOPICS:
+                del self.swept_epochs[next(iter(self.swept_epochs))]
         if topic.timer:
             topic.timer.cancel()
-        if topic.proposals or topic.ending:
-            again = self._topic(name)
-            again.proposals, again.ending = topic.proposals, topic.ending
-            self._tell(again)
-            self._look(again)
+        if topic.proposals or topic.pending_end:
+            recreated = self._topic(name)
+            recreated.proposals, recreated.pending_end = topic.proposals, topic.pending_end
+            self._notify_proposers(recreated)
+            self._evaluate(recreated)
 
-    def _records_whole(self) -> None:
+    def _records_complete(self) -> None:
         for name in [
             name for name, topic in self.topics.items() if topic.record is not None and name not in self.records.names
         ]:
-            self._record_gone(name)
-        self._look_all()
+            self._record_removed(name)
+        self._evaluate_all()
 
-    def _tell(self, topic: Topic) -> None:
-        """Whoever proposed here learns what became of it."""
+    def _notify_proposers(self, topic: TopicState) -> None:
+        """Updates the local proposals on a topic, and ends those whose outcome the record shows."""
         record = topic.record
         for proposal in list(topic.proposals):
             if record is not None and record.token == proposal.token:
                 proposal.state = "open" if proposal.state == "waiting" else proposal.state
                 proposal.epoch = record.epoch
                 if record.state == "settled":
-                    proposal.end("settled")
+                    proposal.finish("settled")
                 elif not agreement.pending(record):
-                    proposal.end("settled" if record.passed else "void", record.why)
+                    proposal.finish("settled" if record.passed else "void", record.why)
             elif record is not None and record.standing is not None and record.standing.token == proposal.token:
-                proposal.end("settled")
-            elif (had := max(proposal.epoch, proposal.tried)) and record is not None and record.epoch > had:
-                # Guards against a guess: a later epoch than ours stands, and what it followed on is not told any more.
-                proposal.end("unknown", "the topic went on before this was read")
+                proposal.finish("settled")
+            elif (
+                (own_epoch := max(proposal.epoch, proposal.attempted_epoch))
+                and record is not None
+                and record.epoch > own_epoch
+            ):
+                # The record has a later epoch than the proposal and no longer shows the outcome: do not guess it.
+                proposal.finish("unknown", "the topic advanced before the outcome was read")
             elif proposal.epoch and record is None:
-                proposal.end("unknown", "the topic was swept before this was read")
+                proposal.finish("unknown", "the topic was swept before the outcome was read")
             elif agreement.pending(record):
-                proposal.end("lost", f"epoch {record.epoch} of {record.by} was there first")
+                proposal.finish("lost", f"epoch {record.epoch} of {record.by} was there first")
         topic.proposals = [each for each in topic.proposals if each.state in ("waiting", "open")]
 
-    # ---- what is wanted ---------------------------------------------------------------------------------------
+    # ---- desired state ---------------------------------------------------------------------------------------
 
     def propose(
         self,
         topic: str,
         body: object,
-        needs: tuple[str, ...],
+        voters: tuple[str, ...],
         quorum: int,
-        patience: float,
+        proposal_timeout: float,
         done: Callable[[Proposal], object] = lambda proposal: None,
-        binds_for: float | None = None,
+        valid_for: float | None = None,
         waits: float | UnsetType = UNSET,
     ) -> Proposal:
-        """Proposes for a topic; `quorum` of `needs` must assent within `patience` seconds. Barred where that can never
-        be. What becomes of it is told to `done`, also when this process lost contact meanwhile. `waits`: seconds of
-        silence after which one that is named is done without; for ever unless given."""
-        agreement.check(topic, needs, quorum, patience)
-        self.number += 1
-        token = f"{self.name}~{self.run}#{self.number}"
-
-        def make(old: Record | None, epoch: int) -> Record:
-            words = needs, quorum, patience, binds_for, waits
-            return agreement.proposed(old, topic, epoch, self.name, token, body, *words)
-
-        # Guards against one that opens and can never be settled: what was settled is held beside what was proposed.
-        agreement.write(agreement.settled(make(None, 1)))  # Barred where it is too large
-        proposal = Proposal(token, make, done)
+        """Proposes a value for a topic; `quorum` of `voters` must assent within `proposal_timeout` seconds.
+
+        `done(proposal)` is called with the outcome, also after a temporary loss of contact. `valid_for`: validity of
+        the value in seconds, unlimited unless given. `waits`: seconds of silence after which an absent voter is
+        skipped; never unless given. Raises Barred where the proposal could never be committed."""
+        agreement.check(topic, voters, quorum, proposal_timeout)
+        self.proposal_count += 1
+        token = f"{self.name}~{self.run}#{self.proposal_count}"
+
+        def build_record(old: Record | None, epoch: int) -> Record:
+            parameters = voters, quorum, proposal_timeout, valid_for, waits
+            return agreement.proposed(old, topic, epoch, self.name, token, body, *parameters)
+
+        # A committed record holds the body twice, as the proposal and as the value in force. One too large for that
+        # could be opened, but never committed.
+        agreement.write(agreement.settled(build_record(None, 1)))  # raises Barred
+        proposal = Proposal(token, build_record, done)
         if topic not in self.topics and len(self.topics) >= agreement.MAX_TOPICS:
-            raise Barred(f"{len(self.topics)} topics are there: end some first")
-        known = self._topic(topic)
-        known.proposals.append(proposal)
-        self._look(known)
+            raise Barred(f"{len(self.topics)} topics exist: end some first")
+        topic_state = self._topic(topic)
+        topic_state.proposals.append(proposal)
+        self._evaluate(topic_state)
         return proposal
 
     def withdraw(self, topic: str, proposal: Proposal, why: str = "withdrawn") -> None:
-        """Takes an own proposal back, if it is not settled by then; `done` tells."""
-        proposal.withdrawn = why
-        known = self._topic(topic)
-        if proposal.state == "waiting" and not known.busy:
-            proposal.end("void", why)
-            known.proposals = [each for each in known.proposals if each is not proposal]
-        self._look(known)
-
-    def copy(self, record: Record) -> None:
-        """Wants a topic to stand here as it does in the fleet above: asked here while it is open there, ended here as
-        it ended there."""
+        """Withdraws a local proposal unless it is committed first; its `on_done` receives the outcome."""
+        proposal.withdraw_reason = why
+        topic_state = self._topic(topic)
+        if proposal.state == "waiting" and not topic_state.write_pending:
+            proposal.finish("void", why)
+            topic_state.proposals = [each for each in topic_state.proposals if each is not proposal]
+        self._evaluate(topic_state)
+
+    def replicate(self, record: Record) -> None:
+        """Replicates a record of the parent fleet: put to the vote here while it is open there, then decided as
+        there."""
         topic = self._topic(record.topic)
-        topic.above = record
-        self._look(topic)
+        topic.parent_record = record
+        self._evaluate(topic)
 
-    def behind(self, topic: Topic) -> Record | None:
-        """What a copy is to be, where it is not as the fleet above has its record."""
-        if topic.above is None:
+    def replica_update(self, topic: TopicState) -> Record | None:
+        """The record that a replica must become to match the parent fleet's; None if it matches or is no replica."""
+        if topic.parent_record is None:
             return None
-        return agreement.replicated(topic.record, topic.above, self.name, self.roll.expected)
+        return agreement.replicated(topic.record, topic.parent_record, self.name, self.roll.expected)
 
-    def end(self, topic: str, epoch: int, why: str, done: Callable[[bool, str], object] = lambda ok, why: None) -> None:
-        """Ends what stands on a topic under this epoch: `done(True, "")`, or why not."""
-        known = self._topic(topic)
-        known.ending = epoch, why, done
-        self._look(known)
+    def end(
+        self, topic: str, epoch: int, why: str, on_done: Callable[[bool, str], object] = lambda ok, why: None
+    ) -> None:
+        """Ends the value in force of a topic, committed under this epoch: `done(True, "")`, or `done(False,
+        reason)`."""
+        topic_state = self._topic(topic)
+        topic_state.pending_end = epoch, why, on_done
+        self._evaluate(topic_state)
 
     def look(self) -> None:
-        """Asks `judge` again where it had no word yet."""
-        self._look_all()
+        """Evaluates all topics, and so calls `judge` again where it has returned None."""
+        self._evaluate_all()
 
-    def _look_all(self) -> None:
+    def _evaluate_all(self) -> None:
         for topic in list(self.topics.values()):
-            self._look(topic)
+            self._evaluate(topic)
 
-    def _look(self, topic: Topic) -> None:
-        """Asks for what differs between what is wanted of a topic and what stands, if anything is."""
-        if topic.busy or topic.reading or not self.records.whole:
+    def _evaluate(self, topic: TopicState) -> None:
+        """Requests the difference between the desired and the stored state of a topic, if there is one."""
+        if topic.write_pending or topic.read_pending or not self.records.whole:
             return
         record = topic.record
         if not self.holds():
-            # Guards against a word or a write that rests on a lease that is over; it is looked at again once proven.
-            if self._wants(topic):
-                self._wake()
+            # No vote or write without a valid lease; the topic is evaluated again until it is valid.
+            if self._has_work(topic):
+                self._schedule_wake()
             return
-        if copy := self.behind(topic):
-            self._copy(topic, copy)
+        if replica := self.replica_update(topic):
+            self._write_replica(topic, replica)
         elif agreement.pending(record):
             if record.state == "open":
-                self._look_open(topic, record)
-        elif topic.ending is not None:
-            self._end(topic)
+                self._evaluate_open(topic, record)
+        elif topic.pending_end is not None:
+            self._write_end(topic)
         elif topic.proposals:
-            self._propose(topic, topic.proposals[0])
-        elif record is not None and not topic.swept and self._leads():
-            self._time(topic, topic.since + SWEEP_AFTER, lambda: self._sweep(topic))
+            self._write_proposal(topic, topic.proposals[0])
+        elif record is not None and not topic.swept and self._is_leader():
+            self._set_timer(topic, topic.observed_since + SWEEP_DELAY_S, lambda: self._sweep(topic))
 
-    def _wants(self, topic: Topic) -> bool:
-        return bool(topic.proposals or topic.ending or agreement.pending(topic.record) or self.behind(topic))
+    def _has_work(self, topic: TopicState) -> bool:
+        return bool(
+            topic.proposals or topic.pending_end or agreement.pending(topic.record) or self.replica_update(topic)
+        )
 
-    def _wake(self) -> None:
-        if self.woken is None:
-            self.woken = self.loop.after(AGAIN, self._awake)
+    def _schedule_wake(self) -> None:
+        if self.wake_timer is None:
+            self.wake_timer = self.loop.after(RETRY_DELAY_S, self._on_wake)
 
-    def _awake(self) -> None:
-        self.woken = None
-        self._look_all()
+    def _on_wake(self) -> None:
+        self.wake_timer = None
+        self._evaluate_all()
 
-    def _time(self, topic: Topic, at: float, call: Callable[[], object]) -> None:
+    def _set_timer(self, topic: TopicState, at: float, callback: Callable[[], object]) -> None:
         if topic.timer:
             topic.timer.cancel()
-        topic.timer = self.loop.at(at, call)
+        topic.timer = self.loop.at(at, callback)
 
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         order = self.roll.order()
         return bool(order) and order[0] == self.name
 
-    def _look_open(self, topic: Topic, record: Record) -> None:
+    def _evaluate_open(self, topic: TopicState, record: Record) -> None:
         now = self.loop.clock()
-        if self.name in record.needs and topic.spoke < record.epoch:
-            word = self._disagrees(record) or self.judge(record)
-            if word is not None:
-                self._speak(topic, record, *word)
+        if self.name in record.needs and topic.voted_epoch < record.epoch:
+            vote = self._hierarchy_mismatch(record) or self.judge(record)
+            if vote is not None:
+                self._cast_vote(topic, record, *vote)
                 return
-        withdrawn = next((each.withdrawn for each in topic.proposals if each.token == record.token), "")
+        withdrawn = next((each.withdraw_reason for each in topic.proposals if each.token == record.token), "")
         if withdrawn:
-            self._settle(topic, agreement.aborted(record, withdrawn))
+            self._write_decision(topic, agreement.aborted(record, withdrawn))
             return
-        # The proposer goes first while it lives, then the others one after the other: all would do the same.
+        # Any supervisor can decide the record alike. To save work the proposer is first while it lives, then the others
+        # in turn.
         order = self.roll.order()
         order = [record.by] * (record.by in order) + [name for name in order if name != record.by]
         rank = order.index(self.name) if self.name in order else len(order)
-        turn_at = topic.opened + rank * STAGGER * self.timeout + (record.patience if rank else 0.0)
+        turn_at = topic.opened + rank * STAGGER_FRACTION * self.timeout + (record.patience if rank else 0.0)
         if now < turn_at:
-            self._time(topic, turn_at, lambda: self._look(topic))
+            self._set_timer(topic, turn_at, lambda: self._evaluate(topic))
             return
-        if topic.box is None:
+        if topic.vote_folder is None:
             path = f"{self.records.path}/{topic.name}"
-            box = topic.box = Folder(
-                self._ask,
+            vote_folder = topic.vote_folder = Folder(
+                self._send,
                 path,
-                lambda node, data, stat: self._ballot(topic, node, data),
+                lambda node, data, stat: self._vote_read(topic, node, data),
                 lambda node: None,
-                lambda: self._counted(topic, box),
-                changing=False,
+                lambda: self._decide(topic, vote_folder),
+                watch_data=False,
             )
-            box.begin()
-        elif topic.box.whole:
-            self._counted(topic, topic.box)
+            vote_folder.refresh()
+        elif topic.vote_folder.whole:
+            self._decide(topic, topic.vote_folder)
 
-    def _disagrees(self, record: Record) -> tuple[bool, str] | None:
-        """Guards against supervisors that were told different tiers: words of other members than ours would do."""
+    def _hierarchy_mismatch(self, record: Record) -> tuple[bool, str] | None:
+        """An objection where the proposer was configured with another hierarchy, and so with other voters; else
+        None."""
         if record.waits is UNSET or frozenset(record.needs) == self.roll.expected_set:
             return None
-        odd = sorted(self.roll.expected_set ^ frozenset(record.needs))[:4]
-        return False, f"its tiers are not those of {record.by}, by {', '.join(odd)}: give all the same --tiers"
+        differing = sorted(self.roll.expected_set ^ frozenset(record.needs))[:4]
+        return False, f"its tiers are not those of {record.by}, by {', '.join(differing)}: give all the same --tiers"
 
-    def _ballot(self, topic: Topic, node: str, data: bytes) -> None:
+    def _vote_read(self, topic: TopicState, node: str, data: bytes) -> None:
         try:
-            ballot = agreement.read_ballot(node, data)
+            vote = agreement.read_ballot(node, data)
         except Barred as error:
             self.log("bad_ballot", level="warning", why=str(error))
             return
-        if topic.record is not None and ballot.epoch == topic.record.epoch:
-            topic.ballots[ballot.name] = ballot
+        if topic.record is not None and vote.epoch == topic.record.epoch:
+            topic.ballots[vote.name] = vote
 
-    def _counted(self, topic: Topic, box: Folder) -> None:
-        """The words that were given have been read."""
+    def _decide(self, topic: TopicState, vote_folder: Folder) -> None:
+        """Decides an open record once all stored votes have been read, or sets a timer for the next check."""
         record = topic.record
-        if topic.box is not box or topic.busy or record is None or record.state != "open" or not self.holds():
+        if (
+            topic.vote_folder is not vote_folder
+            or topic.write_pending
+            or record is None
+            or record.state != "open"
+            or not self.holds()
+        ):
             return
-        away, next_at = self._away(record, topic.ballots)
-        result = agreement.outcome(record, topic.ballots, away)
-        late_at = topic.opened + record.patience
-        if result is UNSET and self.loop.clock() >= late_at:
+        absent, next_at = self._absent_voters(record, topic.ballots)
+        result = agreement.outcome(record, topic.ballots, absent)
+        deadline = topic.opened + record.patience
+        if result is UNSET and self.loop.clock() >= deadline:
             result = agreement.timed_out(record, topic.ballots)
         if result is UNSET:
-            self._time(topic, min(late_at, next_at), lambda: self._look(topic))
+            self._set_timer(topic, min(deadline, next_at), lambda: self._evaluate(topic))
         else:
-            self._settle(topic, result)
+            self._write_decision(topic, result)
+
+    def _absent_voters(self, record: Record, votes: dict[str, Vote]) -> tuple[frozenset[str], float]:
+        """Which voters without a vote count as absent, and when that may change without any event.
 
-    def _away(self, record: Record, ballots: dict[str, Vote]) -> tuple[frozenset[str], float]:
-        """Who of those whose word is missing counts as away, and when that may change though nothing comes. Guards
-        against a roll that is behind what the store has told: one that came back before the record was made is in it.
-        """
+        Nobody does while the membership view lags behind the store's notifications: a voter that returned before the
+        record was created must be in the view."""
         if record.waits is UNSET:
             return frozenset(), float("inf")
-        now, after = self.loop.clock(), record.waits + self.lag
+        now, after = self.loop.clock(), record.waits + self.absence_margin
         if not self.members.current:
-            return frozenset(), now + AGAIN
+            return frozenset(), now + RETRY_DELAY_S
         silent = self.roll.away(now)
-        waited = {name: silent[name] for name in agreement.missing(record, ballots) if name in silent}
-        away = frozenset(name for name, seconds in waited.items() if seconds >= after)
-        # A hundredth later: else rounding calls it just too early, again and again.
-        return away, min(
-            (now + after - seconds + 0.01 for name, seconds in waited.items() if name not in away), default=float("inf")
+        silent_voters = {name: silent[name] for name in agreement.missing(record, votes) if name in silent}
+        absent = frozenset(name for name, seconds in silent_voters.items() if seconds >= after)
+        # 10 ms later: rounding could otherwise fire the timer just too early, again and again.
+        return absent, min(
+            (now + after - seconds + 0.01 for name, seconds in silent_voters.items() if name not in absent),
+            default=float("inf"),
         )
 
     # ---- writing ----------------------------------------------------------------------------------------------
 
     def _write(self, request: Request, then: Callable[[int, object], object]) -> None:
         self.written += 1
-        self._ask(request, then)
+        self._send(request, then)
 
-    def _look_up(self, topic: Topic) -> None:
-        """What happened is not known, or not as expected: the record itself tells."""
-        topic.reading = True
-        topic.busy = False
-        self.records.read(topic.name) if topic.record is not None else self._read_new(topic)
+    def _reread(self, topic: TopicState) -> None:
+        """Reads the record again after a write, whose outcome may be unknown."""
+        topic.read_pending = True
+        topic.write_pending = False
+        self.records.read(topic.name) if topic.record is not None else self._read_unlisted(topic)
 
-    def _read_new(self, topic: Topic) -> None:
-        """Of a topic that was not there when it was last listed."""
+    def _read_unlisted(self, topic: TopicState) -> None:
+        """Reads the record of a topic that did not exist when the folder was last listed."""
 
-        def got(error: int, result: object) -> None:
+        def on_reply(error: int, result: object) -> None:
             if error == OK:
                 self.records.read(topic.name)
             else:
-                topic.reading = False
-                self.loop.after(AGAIN, lambda: self._look(topic))
+                topic.read_pending = False
+                self.loop.after(RETRY_DELAY_S, lambda: self._evaluate(topic))
 
-        self._ask(GetData(f"{self.records.path}/{topic.name}"), got)
+        self._send(GetData(f"{self.records.path}/{topic.name}"), on_reply)
 
-    def _speak(self, topic: Topic, record: Record, assent: bool, why: str) -> None:
-        ballot = Vote(self.name, record.epoch, assent, why[:1024], self.incarnation)
+    def _cast_vote(self, topic: TopicState, record: Record, assent: bool, why: str) -> None:
+        vote = Vote(self.name, record.epoch, assent, why[:1024], self.incarnation)
         path = f"{self.records.path}/{topic.name}/{agreement.vote_node_name(record.epoch, self.name)}"
-        topic.busy = True
+        topic.write_pending = True
 
-        def said(error: int, result: object) -> None:
-            topic.busy = False
-            if error in (OK, NODE_EXISTS):  # one that is there was ours: a word is given once
-                topic.spoke = max(topic.spoke, record.epoch)
-                self._look(topic)
+        def on_reply(error: int, result: object) -> None:
+            topic.write_pending = False
+            if error in (OK, NODE_EXISTS):  # an existing vote is the own one: votes are cast once
+                topic.voted_epoch = max(topic.voted_epoch, record.epoch)
+                self._evaluate(topic)
             else:
-                self._look_up(topic)
+                self._reread(topic)
 
-        self._write(Create(path, agreement.write(ballot)), said)
+        self._write(Create(path, agreement.write(vote)), on_reply)
 
-    def _copy(self, topic: Topic, record: Record) -> None:
+    def _write_replica(self, topic: TopicState, record: Record) -> None:
         try:
             data = agreement.write(record)
         except Barred as error:
             self.log("copy_too_large", level="error", topic=topic.name, why=str(error))
             return
-        topic.busy = True
+        topic.write_pending = True
         path = f"{self.records.path}/{topic.name}"
         request = Create(path, data) if topic.record is None else SetData(path, data, topic.stat.version)
-        self._write(request, lambda error, result: self._look_up(topic))
+        self._write(request, lambda error, result: self._reread(topic))
 
-    def _settle(self, topic: Topic, record: Record) -> None:
-        """The one compare-and-set that ends a proposal, or what stands."""
-        topic.busy = True
+    def _write_decision(self, topic: TopicState, record: Record) -> None:
+        """The compare-and-set that decides a proposal or ends a committed value."""
+        topic.write_pending = True
         path = f"{self.records.path}/{topic.name}"
         self._write(
-            SetData(path, agreement.write(record), topic.stat.version), lambda error, result: self._look_up(topic)
+            SetData(path, agreement.write(record), topic.stat.version), lambda error, result: self._reread(topic)
         )
 
-    def _end(self, topic: Topic) -> None:
-        epoch, why, done = topic.ending
+    def _write_end(self, topic: TopicState) -> None:
+        epoch, why, on_done = topic.pending_end
         try:
             if topic.record is None:
-                raise Barred(f"{topic.name}: nothing stands")
+                raise Barred(f"{topic.name}: no value is in force")
             record = agreement.ended(topic.record, epoch, why)
         except Barred as error:
-            topic.ending = None
+            topic.pending_end = None
             standing = topic.record.standing if topic.record is not None else None
-            over = standing is None or standing.epoch > epoch
-            done(over, "" if over else str(error))
-            self._look(topic)
+            already_ended = standing is None or standing.epoch > epoch
+            on_done(already_ended, "" if already_ended else str(error))
+            self._evaluate(topic)
             return
-        self._settle(topic, record)
+        self._write_decision(topic, record)
 
-    def _propose(self, topic: Topic, proposal: Proposal) -> None:
-        """Takes the fleet's next epoch and the topic, both or neither."""
-        topic.busy = True
+    def _write_proposal(self, topic: TopicState, proposal: Proposal) -> None:
+        """Allocates the fleet's next epoch and writes the record in one transaction."""
+        topic.write_pending = True
         path = f"{self.records.path}/{topic.name}"
 
-        def read(error: int, result: object) -> None:
+        def on_counter_read(error: int, result: object) -> None:
             if error != OK:
-                self._look_up(topic)
+                self._reread(topic)
                 return
-            version, held = result[1].version, topic.record
-            if proposal.tried and version >= proposal.tried and (held is None or held.epoch > proposal.tried):
-                # Guards against doing twice what was done, ended and swept before its answer could be looked up: the
-                # fleet's count has passed the epoch that it would have had, and nothing is left that could tell.
-                topic.busy = False
-                proposal.end("unknown", "its answer was lost, and the topic went on before it was read")
-                self._tell(topic)
-                self._look(topic)
+            version, current = result[1].version, topic.record
+            if (
+                proposal.attempted_epoch
+                and version >= proposal.attempted_epoch
+                and (current is None or current.epoch > proposal.attempted_epoch)
+            ):
+                # An earlier write may have been committed, ended and swept before its outcome could be read: the
+                # fleet's counter has passed its epoch and no record shows it. Writing again could apply the proposal
+                # twice.
+                topic.write_pending = False
+                proposal.finish("unknown", "the answer was lost, and the topic advanced before the outcome was read")
+                self._notify_proposers(topic)
+                self._evaluate(topic)
                 return
             try:
-                record = proposal.make(topic.record, version + 1)
+                record = proposal.build_record(topic.record, version + 1)
             except Barred as error:
-                topic.busy = False
-                proposal.end("refused", str(error))
-                self._tell(topic)
-                self._look(topic)
+                topic.write_pending = False
+                proposal.finish("refused", str(error))
+                self._notify_proposers(topic)
+                self._evaluate(topic)
                 return
             data = agreement.write(record)
-            proposal.tried = version + 1
-            put = Create(path, data) if topic.record is None else SetData(path, data, topic.stat.version)
-            self._write(Multi((SetData(self.records.path, b"", version), put)), put_back)
+            proposal.attempted_epoch = version + 1
+            write_request = Create(path, data) if topic.record is None else SetData(path, data, topic.stat.version)
+            self._write(Multi((SetData(self.records.path, b"", version), write_request)), on_written)
 
-        def put_back(error: int, result: object) -> None:
+        def on_written(error: int, result: object) -> None:
             if error in (BAD_VERSION, NODE_EXISTS, NO_NODE):
-                proposal.tried = 0  # surely not done
-                self.loop.after(AGAIN * self.chair.random.random(), lambda: self._look_up(topic))
+                proposal.attempted_epoch = 0  # certainly not written
+                self.loop.after(RETRY_DELAY_S * self.chair.random.random(), lambda: self._reread(topic))
             else:
-                self._look_up(topic)
+                self._reread(topic)
 
-        self._ask(GetData(self.records.path), read)
+        self._send(GetData(self.records.path), on_counter_read)
 
     # ---- sweeping ---------------------------------------------------------------------------------------------
 
-    def _sweep(self, topic: Topic) -> None:
-        """Takes away what binds nobody any more: words on epochs that are over, and records that are."""
+    def _sweep(self, topic: TopicState) -> None:
+        """Deletes what is no longer needed: votes on decided epochs, and records without a valid value."""
         record, now = topic.record, self.loop.clock()
-        if topic.busy or record is None or agreement.pending(record) or not self.holds() or not self._leads():
+        if (
+            topic.write_pending
+            or record is None
+            or agreement.pending(record)
+            or not self.holds()
+            or not self._is_leader()
+        ):
             return
-        path, kept = (
+        path, still_valid = (
             f"{self.records.path}/{topic.name}",
-            agreement.is_valid(record, now - topic.since, self.lease.drift),
+            agreement.is_valid(record, now - topic.observed_since, self.lease.drift),
         )
         topic.swept = True
 
-        def again() -> None:
+        def retry() -> None:
             topic.swept = False
             self._sweep(topic)
 
-        def deleted(error: int, result: object) -> None:
-            if error not in (OK, NO_NODE):  # a late word lies in it, or it was taken up again
-                self._time(topic, self.loop.clock() + SWEEP_AFTER, again)
+        def on_deleted(error: int, result: object) -> None:
+            if error not in (OK, NO_NODE):  # it holds a late vote, or has been proposed again
+                self._set_timer(topic, self.loop.clock() + SWEEP_DELAY_S, retry)
 
-        def got(error: int, result: object) -> None:
+        def on_listed(error: int, result: object) -> None:
             if error != OK:
                 topic.swept = False
                 return
@@ -743,45 +804,45 @@
                 epoch, _, _ = node.partition(".")
                 if epoch.isdigit() and int(epoch) <= record.epoch:
                     self._write(Delete(f"{path}/{node}"), lambda error, result: None)
-            if not kept:
-                self._write(Delete(path, topic.stat.version), deleted)
+            if not still_valid:
+                self._write(Delete(path, topic.stat.version), on_deleted)
 
-        self._ask(GetChildren(path), got)
-        if kept and record.standing is not None and record.standing.binds_for is not None:
-            over = topic.since + record.standing.binds_for * (1 + 2 * self.lease.drift) + SWEEP_AFTER
-            self._time(topic, over, again)
+        self._send(GetChildren(path), on_listed)
+        if still_valid and record.standing is not None and record.standing.binds_for is not None:
+            expires_at = topic.observed_since + record.standing.binds_for * (1 + 2 * self.lease.drift) + SWEEP_DELAY_S
+            self._set_timer(topic, expires_at, retry)
 
-    # ---- going ------------------------------------------------------------------------------------------------
+    # ---- shutdown ------------------------------------------------------------------------------------------------
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
-        """Goes in peace: the node and the session end at once."""
+        """Leaves the fleet gracefully: closes the session, which removes the member node at once; then calls `then`."""
         if self.chair.standing is not Standing.LISTED:
             self.stop()
             then()
             return
         self.stopped = True
 
-        def closed() -> None:
+        def on_closed() -> None:
             self.stop()
             then()
 
-        self.chair.close(closed)
+        self.chair.close(on_closed)
 
     def stop(self) -> None:
-        """Falls silent, as a process that dies."""
+        """Stops without closing the session, as a crashed process would."""
         self.stopped = True
         self.chair.stop()
 
     def view_whole(self) -> dict:
-        """What a fleet in tiers knows of the whole, by name; nothing in a flat one."""
+        """Summary of the entire hierarchy, as keys of the view; empty in a flat fleet."""
         return {}
 
     def view(self) -> dict:
-        """What `driftshed fleet` shows, from this supervisor's eyes."""
+        """The fleet as seen by this supervisor, as `driftshed fleet` shows it."""
         now = self.loop.clock()
         rows = [row._asdict() for row in self.roll.rows(now)]
         records = [
-            {"record": topic.record, "age": now - topic.since, "words": list(topic.ballots.values())}
+            {"record": topic.record, "age": now - topic.observed_since, "words": list(topic.ballots.values())}
             for topic in self.topics.values()
             if topic.record is not None
         ]
@@ -794,5 +855,5 @@
             "members": rows,
             "records": records,
             "written": self.written,
-            "not_believed": self.not_believed,
+            "not_believed": self.stale_reads,
         }
--- a/driftshed/coordination/agreement.py
+++ b/driftshed/coordination/agreement.py
@@ -237,7 +237,7 @@
     is in force, and while a proposal is open."""
     if record.standing is None or record.standing.epoch != epoch:
         in_force = "nothing" if record.standing is None else f"epoch {record.standing.epoch}"
-        raise Barred(f"{record.topic}: {in_force} stands, not epoch {epoch}")
+        raise Barred(f"{record.topic}: {in_force} is in force, not epoch {epoch}")
     if pending(record):
         raise Barred(f"{record.topic}: epoch {record.epoch} of {record.by} is open")
     return replace(record, state="ended", standing=None, why=why[:1024])
--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from driftshed.common.options import option
-from driftshed.coordination.view import Looker, plain, waits_for
+from driftshed.coordination.view import FleetReader, missing_voters, plain
 from driftshed.net.loop import Loop
 from driftshed.roster.command import check_root, hosts_of
 
@@ -66,9 +66,9 @@
         views.append(view)
         loop.stop()
 
-    looker = Looker(loop, hosts_of(connect, "fleet-connect"), root, expected, done)
+    reader = FleetReader(loop, hosts_of(connect, "fleet-connect"), root, expected, done)
     loop.run(time.monotonic() + within)
-    looker.client.stop()
+    reader.client.stop()
     loop.close()
     if not views:
         click.echo(f"the store at {connect} does not answer within {within:g} s: ask a supervisor", err=True)
@@ -102,7 +102,7 @@
             text += f"; epoch {stands['epoch']} of {stands['by']} stands"
         if record["state"] == "open":
             said = ", ".join(f"{word['name']} {'assents' if word['assent'] else 'objects'}" for word in words) or "none"
-            text += f"; words: {said}; waits for {', '.join(waits_for(record, words)) or 'nobody'}"
+            text += f"; words: {said}; waits for {', '.join(missing_voters(record, words)) or 'nobody'}"
         console.print(text + (f" ({record['why']})" if record["why"] else ""), highlight=False)
     if view["by"] is not None:
         if view.get("cell"):
--- a/driftshed/coordination/folder.py
+++ b/driftshed/coordination/folder.py
@@ -1,5 +1,5 @@
-"""Keeping a folder of a store's nodes read: its children, their data, and what changes. Without I/O of its own: it asks
-by the function that it is given."""
+"""Cached folders of the store: children, their data and changes, kept current by watches. No I/O of its own: requests
+are sent through a callback."""
 
 from __future__ import annotations
 
@@ -7,143 +7,152 @@
 
 from driftshed.roster.jute import CHANGED, CHILDREN, DELETED, NO_NODE, OK, Event, GetChildren, GetData, Request, Stat
 
-Ask = Callable[[Request, Callable[[int, object], object]], object]
+SendRequest = Callable[[Request, Callable[[int, object], object]], object]
 
 
 class Folder:
-    """`on_child(name, data, stat)` for each child that was read, at first and when it has changed; `on_gone(name)`;
-    `on_whole()` when a list has been read to its end; `on_missing()` where the folder is not there. Whatever a lost
-    connection leaves open is read with the next `begin`, which is due whenever the session goes on."""
+    """A folder whose children and their data are kept read.
+
+    Callbacks: `on_update(name, data, stat)` for each child read, initially and after a change; `on_removed(name)`;
+    `on_complete()` when every child of a listing has been read; `on_missing()` where the folder does not exist. Reads
+    interrupted by a lost connection are repeated by the next `refresh`, which the owner calls whenever the session
+    resumes."""
 
     def __init__(
         self,
-        ask: Ask,
+        send: SendRequest,
         path: str,
-        on_child: Callable[[str, bytes, Stat], object],
-        on_gone: Callable[[str], object],
-        on_whole: Callable[[], object] = lambda: None,
+        on_update: Callable[[str, bytes, Stat], object],
+        on_removed: Callable[[str], object],
+        on_complete: Callable[[], object] = lambda: None,
         on_missing: Callable[[], object] = lambda: None,
-        changing: bool = True,
+        watch_data: bool = True,
     ) -> None:
-        self.ask, self.path, self.on_child, self.on_gone = ask, path, on_child, on_gone
-        self.on_whole, self.on_missing, self.changing = on_whole, on_missing, changing
-        self.names: set[str] = set()  # whose data is known or asked for
-        self.reading = self.listing = 0
+        """`send(request, then)` sends a request to the store; `watch_data`: whether to watch the children's data."""
+        self.send, self.path, self.on_update, self.on_removed = send, path, on_update, on_removed
+        self.on_complete, self.on_missing, self.watch_data = on_complete, on_missing, watch_data
+        self.names: set[str] = set()  # children whose data has been read or requested
+        self.pending_reads = self.pending_listings = 0
         self.listed = self.whole = False
 
     @property
     def current(self) -> bool:
-        """Whether all that the store has told of it so far has been read."""
-        return self.whole and not self.reading and not self.listing
+        """Whether everything the store has notified so far has been read."""
+        return self.whole and not self.pending_reads and not self.pending_listings
 
-    def begin(self) -> None:
-        """Lists the folder, and reads whom it does not know."""
+    def refresh(self) -> None:
+        """Lists the folder, sets a watch on it and reads children that are new."""
 
-        self.listing += 1
+        self.pending_listings += 1
 
-        def got(error: int, result: object) -> None:
-            self.listing -= 1
+        def on_reply(error: int, result: object) -> None:
+            self.pending_listings -= 1
             if error == OK:
-                self._listed(set(result[0]))
+                self._apply_listing(set(result[0]))
             elif error == NO_NODE:
                 self.on_missing()
 
-        self.ask(GetChildren(self.path, True), got)
+        self.send(GetChildren(self.path, True), on_reply)
 
-    def heard(self, event: Event) -> bool:
-        """Whether a watch's event was this folder's."""
+    def handle_event(self, event: Event) -> bool:
+        """Handles a watch event; returns whether it concerned this folder."""
         if event.path == self.path:
-            self.begin()
+            self.refresh()
             return True
         parent, _, name = event.path.rpartition("/")
         if parent != self.path or event.kind == CHILDREN:
-            return False  # a child's own children are another folder's
+            return False  # grandchildren belong to another folder
         if event.kind == CHANGED:
             self.read(name)
         elif event.kind == DELETED:
-            self._gone(name)
+            self._remove(name)
         return True
 
-    def _listed(self, there: set[str]) -> None:
+    def _apply_listing(self, present: set[str]) -> None:
         self.listed = True
-        for name in sorted(self.names - there):
-            self._gone(name)
-        for name in sorted(there - self.names):
+        for name in sorted(self.names - present):
+            self._remove(name)
+        for name in sorted(present - self.names):
             self.read(name)
-        self._look_whole()
+        self._check_complete()
 
     def read(self, name: str) -> None:
-        """Reads a child, again if it was read before."""
+        """Reads a child, also if it was read before."""
         self.names.add(name)
-        self.reading += 1
+        self.pending_reads += 1
 
-        def got(error: int, result: object) -> None:
-            self.reading -= 1
+        def on_reply(error: int, result: object) -> None:
+            self.pending_reads -= 1
             if error == OK:
-                self.on_child(name, *result)
+                self.on_update(name, *result)
             elif error == NO_NODE:
-                self._gone(name)
+                self._remove(name)
             else:
-                # Guards against taking one that could not be read for one that is gone: only a new list can tell.
+                # A failed read does not prove that the child is gone: only a new listing can.
                 self.names.discard(name)
                 self.listed = self.whole = False
-            self._look_whole()
+            self._check_complete()
 
-        self.ask(GetData(f"{self.path}/{name}", self.changing), got)
+        self.send(GetData(f"{self.path}/{name}", self.watch_data), on_reply)
 
-    def _gone(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         if name in self.names:
             self.names.discard(name)
-            self.on_gone(name)
+            self.on_removed(name)
 
-    def _look_whole(self) -> None:
-        if not self.reading and self.listed:
+    def _check_complete(self) -> None:
+        if not self.pending_reads and self.listed:
             self.whole = True
-            self.on_whole()
+            self.on_complete()
 
-    def away(self) -> None:
-        """The connection is lost: what is known stays, and is not known to be all until it has been listed again."""
+    def mark_disconnected(self) -> None:
+        """Handles a lost connection: cached data stays, but is incomplete until the folder has been listed again."""
         self.listed = self.whole = False
 
-    def forget(self) -> None:
-        """A new session: nothing is watched, and nothing is under way."""
-        self.names, self.reading, self.listing, self.listed, self.whole = set(), 0, 0, False, False
+    def reset(self) -> None:
+        """Handles a new session: no watches are set and no requests are pending."""
+        self.names, self.pending_reads, self.pending_listings, self.listed, self.whole = set(), 0, 0, False, False
 
 
-class Names:
-    """Keeping the names of a folder's nodes read, and nothing of their data. `on_change()` when they were read anew.
-    `current`: whether all that the store has told of the folder so far has been read; `unmade`: the folder is not
-    there, and as nobody tells when it comes it is to be asked for again."""
+class ChildNames:
+    """The names of a folder's children, without their data; `on_change()` after each listing. `missing`: the folder
+    does not exist; no watch reports its creation, so the owner must call `refresh` again."""
 
-    def __init__(self, ask: Ask, path: str, on_change: Callable[[], object] = lambda: None) -> None:
-        self.ask, self.path, self.on_change = ask, path, on_change
+    def __init__(self, send: SendRequest, path: str, on_change: Callable[[], object] = lambda: None) -> None:
+        """`send(request, then)` sends a request to the store."""
+        self.send, self.path, self.on_change = send, path, on_change
         self.names: frozenset[str] = frozenset()
-        self.listing, self.listed, self.unmade = 0, False, False
+        self.pending_listings, self.listed, self.missing = 0, False, False
 
     @property
     def current(self) -> bool:
-        return self.listed and not self.listing
+        """Whether everything the store has notified of the folder so far has been read."""
+        return self.listed and not self.pending_listings
 
-    def begin(self) -> None:
-        self.listing += 1
+    def refresh(self) -> None:
+        """Lists the folder and sets a watch on it."""
+        self.pending_listings += 1
 
-        def got(error: int, result: object) -> None:
-            self.listing -= 1
+        def on_reply(error: int, result: object) -> None:
+            self.pending_listings -= 1
             if error in (OK, NO_NODE):
-                self.listed, self.unmade = True, error == NO_NODE
+                self.listed, self.missing = True, error == NO_NODE
                 self.names = frozenset(result[0] if error == OK else ())
                 self.on_change()
 
-        self.ask(GetChildren(self.path, True), got)
+        self.send(GetChildren(self.path, True), on_reply)
 
-    def heard(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
+        """Handles a watch event; returns whether it concerned this folder."""
         if event.path != self.path:
             return False
-        self.begin()
+        self.refresh()
         return True
 
-    def away(self) -> None:
+    def mark_disconnected(self) -> None:
+        """Handles a lost connection: the names stay, but are outdated until listed again."""
         self.listed = False
 
-    def forget(self) -> None:
-        self.listing, self.listed = 0, False
+    def reset(self) -> None:
+        """Handles a new session: no watch is set and no request is pending."""
+        self.pending_listings, self.listed = 0, False
--- a/driftshed/coordination/lease.py
+++ b/driftshed/coordination/lease.py
@@ -1,25 +1,30 @@
-"""For how long a supervisor may act on what was agreed. Free of I/O and of wall clocks."""
+"""The lease: for how long a supervisor may act on agreed records. No I/O and no wall clock."""
 
 from __future__ import annotations
 
-DRIFT = 0.02  # the share by which the store's clock and ours may run apart, taken together
-PAUSE_SHARE = 0.1  # of the time-out: the longest that may pass between the question and the act
+DRIFT = 0.02  # largest relative drift between the store's clock and the local one, both together
+MAX_PAUSE_FRACTION = 0.1  # of the session timeout: the longest time between checking the lease and acting on it
 
 
 class Lease:
-    """The store ends a session a whole time-out after it last heard of it. What was answered had been heard after it
-    was sent, so counted from that sending the session stands for a time-out by the store's clock. The lease ends sooner
-    by `drift` and by `pause` (seconds), and so before anybody can be told that the session is over.
+    """Derives the lease from the store session.
 
-    Guards against a process that was stopped, or cut off unseen, and goes on as if nothing had been agreed since: the
-    monotonic clock goes on while it is stopped, so it finds the lease over before it orders anything."""
+    The store expires a session one full timeout after it last received a request of it. An answered request was
+    received after it was sent, so the session lasts for one timeout on the store's clock from that sending. The lease
+    ends earlier by `drift` and `max_pause`, and so before any other supervisor can be notified of the session's end.
 
-    def __init__(self, timeout: float, drift: float = DRIFT, pause: float | None = None) -> None:
-        self.drift, self.pause = drift, timeout * PAUSE_SHARE if pause is None else pause
+    Guards against a process that was suspended, or disconnected without noticing, and continues as if nothing had been
+    agreed since: the monotonic clock advances during a suspension, so the lease has ended before it issues an order."""
 
-    def until(self, proved_at: float, timeout: float) -> float:
-        """The end of what was proven at `proved_at`, both in seconds on the own monotonic clock."""
-        return proved_at + timeout * (1 - self.drift) - self.pause
+    def __init__(self, timeout: float, drift: float = DRIFT, max_pause: float | None = None) -> None:
+        """`timeout`: session timeout in seconds; `drift`: a fraction; `max_pause`: seconds, MAX_PAUSE_FRACTION of the
+        timeout unless given."""
+        self.drift, self.max_pause = drift, timeout * MAX_PAUSE_FRACTION if max_pause is None else max_pause
+
+    def expires_at(self, proved_at: float, timeout: float) -> float:
+        """When the lease proven by a request sent at `proved_at` ends; both in seconds on the local monotonic clock."""
+        return proved_at + timeout * (1 - self.drift) - self.max_pause
 
     def holds(self, now: float, proved_at: float, timeout: float) -> bool:
-        return now < self.until(proved_at, timeout)
+        """Whether the lease is valid at `now`."""
+        return now < self.expires_at(proved_at, timeout)
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -9,9 +9,9 @@
 from msgspec import UNSET, UnsetType, to_builtins
 
 from driftshed.coordination import agreement, tiers
-from driftshed.coordination.agent import Agent, Proposal, Topic
+from driftshed.coordination.agent import Agent, Proposal, TopicState
 from driftshed.coordination.agreement import Barred, Record
-from driftshed.coordination.folder import Folder, Names
+from driftshed.coordination.folder import ChildNames, Folder
 from driftshed.coordination.lease import DRIFT
 from driftshed.coordination.members import Digest, Member, MemberError, parse_node_name
 from driftshed.coordination.tiers import Beat, Beats, Fleet, Tiers
@@ -40,21 +40,21 @@
         log: Callable[..., object] = lambda event, **fields: None,
         dial: Callable[..., Stream] = dial,
         drift: float = DRIFT,
-        pause: float | None = None,
+        max_pause: float | None = None,
     ) -> None:
-        self.place, self.dial, self.drift, self.pause = whole.place(member.name), dial, drift, pause
+        self.place, self.dial, self.drift, self.max_pause = whole.place(member.name), dial, drift, max_pause
         self.random = Random(f"tiers {seed}")
         self.supervisors = whole.supervisors()
         cell, region = self.place.cell, self.place.region
-        super().__init__(loop, cell.hosts, cell.root, member, cell.expected, timeout, seed, log, dial, drift, pause)
+        super().__init__(loop, cell.hosts, cell.root, member, cell.expected, timeout, seed, log, dial, drift, max_pause)
         self.tiers = tiers.TIERS
         self.beats = Beats(timeout, drift)
         self.above: dict[str, Record] = {}  # the region's records, as read by the own session
         self.compared: dict[str, tuple[Record, Record | None, bool]] = {}  # with the cell's copy, and whether that lags
-        self.cells = Names(self._ask, f"{region.root}/members", self._read_cells)
+        self.cells = ChildNames(self._send, f"{region.root}/members", self._read_cells)
         self.named = False  # whether the cell is in the region's roll, as it was last read
-        self.region = Folder(self._ask, f"{region.root}/records", self._read_above, self._gone_above)
-        self.others += [self.cells, self.region]
+        self.region = Folder(self._send, f"{region.root}/records", self._read_above, self._gone_above)
+        self.other_folders += [self.cells, self.region]
         self.polling = self.beating = False
         self.troubled_at: float | None = None  # since when nobody is seen to speak for the cell
         self.for_cell: Agent | None = None  # our part in the region, while we speak for the cell
@@ -131,10 +131,10 @@
             return
         self.loop.after(self.timeout / tiers.BEATS, self._turn)
         if self.client.session.state is State.ON:
-            if not self.region.listed and not self.region.listing:
-                self.region.begin()  # it was not there, and nobody tells when it comes
-            if (self.cells.unmade or not self.cells.listed) and not self.cells.listing:
-                self.cells.begin()
+            if not self.region.listed and not self.region.pending_listings:
+                self.region.refresh()  # it was not there, and nobody tells when it comes
+            if (self.cells.missing or not self.cells.listed) and not self.cells.pending_listings:
+                self.cells.refresh()
             self._poll()
         self._speak_for_cell()
         self._speak_for_region()
@@ -158,8 +158,8 @@
 
     # ---- speaking ---------------------------------------------------------------------------------------------
 
-    def _stood(self, standing: Standing) -> None:
-        super()._stood(standing)
+    def _registration_changed(self, standing: Standing) -> None:
+        super()._registration_changed(standing)
         if standing is Standing.FENCED:  # another process has our name: it speaks if that falls to it
             for part in self._parts():
                 self.loop.soon(part.leave)
@@ -178,7 +178,7 @@
             self.log,
             self.dial,
             self.drift,
-            self.pause,
+            self.max_pause,
             tiers.lag(self.timeout, self.drift),
         )
 
@@ -200,7 +200,7 @@
         self.log("speaks_for_cell", cell=self.place.region.name)
         part = self.for_cell = self._part(self.place.region, self._as(self.place.region.name), "cell")
         part.judge = lambda record: self._word(self, record)
-        part.on_record = lambda record: (self.copy(record), self._look_up_to(self.for_region))
+        part.on_record = lambda record: (self.replicate(record), self._look_up_to(self.for_region))
         part.on_fenced = lambda: self._silent_for_cell(part)
 
     def _speak_for_region(self) -> None:
@@ -222,7 +222,7 @@
         self.log("speaks_for_region", region=self.place.whole.name)
         above = self.for_region = self._part(self.place.whole, self._as(self.place.whole.name), "region")
         above.judge = lambda record: self._word(part, record)
-        above.on_record = part.copy
+        above.on_record = part.replicate
         above.on_fenced = lambda: self._silent_for_region(above)
         self._new_run()
 
@@ -234,8 +234,8 @@
         topic = below.topics.get(record.topic)
         return agreement.vote_for_parent(topic.record if topic is not None else None, record.epoch)
 
-    def _tell(self, topic: Topic) -> None:
-        super()._tell(topic)
+    def _notify_proposers(self, topic: TopicState) -> None:
+        super()._notify_proposers(topic)
         self._look_up_to(self.for_cell)  # the cell's word may be due
 
     @staticmethod
@@ -277,7 +277,9 @@
     def _stands_below(self) -> bool:
         """Whether all that was read in the whole stands in the region."""
         above, below = self.for_region, self.for_cell
-        if not above.records.current or any(topic.reading or topic.busy for topic in above.topics.values()):
+        if not above.records.current or any(
+            topic.read_pending or topic.write_pending for topic in above.topics.values()
+        ):
             return False
         return all(
             self._copy_of(topic.record, below, below.roll.expected) is None
@@ -343,7 +345,7 @@
         self.loop.after(patience, late)
         return proposal
 
-    def _say_wait(self) -> float:
+    def _publish_delay(self) -> float:
         """Guards against a cell whose members all say at one moment that they have switched: each word goes to all."""
         return self.random.uniform(0.5, 1.0) * SAY_EVERY
 
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -17,7 +17,7 @@
 from driftshed.roster.session import State
 
 
-class Looker:
+class FleetReader:
     """Reads a fleet from its store without taking part in it: `done(view)` once all has been read."""
 
     def __init__(
@@ -30,12 +30,26 @@
     ) -> None:
         self.loop, self.done = loop, done
         self.roll = Roll(expected, loop.clock())
-        self.strange = not expected  # with nobody named, all that are there are taken as expected
+        self.expect_all = not expected  # with nobody named, all that are there are taken as expected
         self.records: dict[str, agreement.Record] = {}
-        self.words: dict[str, list[agreement.Vote]] = {}
-        self.boxes: dict[str, Folder] = {}
-        self.members = Folder(self._ask, f"{root}/members", self._member, lambda node: None, self._look, self._none)
-        self.folder = Folder(self._ask, f"{root}/records", self._record, lambda name: None, self._look, self._none)
+        self.votes: dict[str, list[agreement.Vote]] = {}
+        self.vote_folders: dict[str, Folder] = {}
+        self.members = Folder(
+            self._send,
+            f"{root}/members",
+            self._member_updated,
+            lambda node: None,
+            self._finish_if_complete,
+            self._folder_missing,
+        )
+        self.folder = Folder(
+            self._send,
+            f"{root}/records",
+            self._record_updated,
+            lambda name: None,
+            self._finish_if_complete,
+            self._folder_missing,
+        )
         self.client = RosterClient(loop, hosts, 4.0, Random("look"), self._state, lambda event: self._event(event))
 
     def _event(self, event: Event) -> None:
@@ -44,49 +58,55 @@
     def _state(self, state: State) -> None:
         if state is State.ON:
             for folder in (self.members, self.folder):
-                folder.forget()
-                folder.begin()
+                folder.reset()
+                folder.refresh()
 
-    def _ask(self, request: object, then: Callable[[int, object], object]) -> None:
+    def _send(self, request: object, then: Callable[[int, object], object]) -> None:
         self.client.ask(request, lambda error, result: then(error, result) if error != EXPIRED else None)
 
-    def _none(self) -> None:
+    def _folder_missing(self) -> None:
         self._finish()
 
-    def _member(self, node: str, data: bytes, stat: object) -> None:
+    def _member_updated(self, node: str, data: bytes, stat: object) -> None:
         try:
             member = read_member(node, data)
         except MemberError:
             return
-        if self.strange:
+        if self.expect_all:
             self.roll.set_expected(tuple(sorted({*self.roll.expected, member.name})))
         self.roll.appeared(node, member, stat.czxid, self.loop.clock())
 
-    def _record(self, name: str, data: bytes, stat: object) -> None:
+    def _record_updated(self, name: str, data: bytes, stat: object) -> None:
         try:
             self.records[name] = agreement.read_record(name, data)
         except Barred:
             return
-        words = self.words[name] = []
+        votes = self.votes[name] = []
 
-        def word(node: str, data: bytes, stat: object) -> None:
+        def on_vote(node: str, data: bytes, stat: object) -> None:
             try:
-                ballot = agreement.read_ballot(node, data)
+                vote = agreement.read_ballot(node, data)
             except Barred:
                 return
-            if ballot.epoch == self.records[name].epoch:
-                words.append(ballot)
-
-        box = self.boxes[name] = Folder(self._ask, f"{self.folder.path}/{name}", word, lambda node: None, self._look)
-        box.begin()
-
-    def _look(self) -> None:
-        if self.members.whole and self.folder.whole and all(box.whole for box in self.boxes.values()):
+            if vote.epoch == self.records[name].epoch:
+                votes.append(vote)
+
+        vote_folder = self.vote_folders[name] = Folder(
+            self._send, f"{self.folder.path}/{name}", on_vote, lambda node: None, self._finish_if_complete
+        )
+        vote_folder.refresh()
+
+    def _finish_if_complete(self) -> None:
+        if (
+            self.members.whole
+            and self.folder.whole
+            and all(vote_folder.whole for vote_folder in self.vote_folders.values())
+        ):
             self._finish()
 
     def _finish(self) -> None:
         now = self.loop.clock()
-        records = [{"record": record, "age": None, "words": self.words[name]} for name, record in self.records.items()]
+        records = [{"record": record, "age": None, "words": self.votes[name]} for name, record in self.records.items()]
         members = [row._asdict() for row in self.roll.rows(now)]
         self.done({"by": None, "order": self.roll.order(), "members": members, "records": records})
 
@@ -96,7 +116,7 @@
     return msgspec.to_builtins(view)
 
 
-def waits_for(record: dict, words: list[dict]) -> list[str]:
+def missing_voters(record: dict, votes: list[dict]) -> list[str]:
     """Whose word an open record lacks."""
-    spoke = {word["name"] for word in words if word["epoch"] == record["epoch"]}
-    return [name for name in record["needs"] if name not in spoke] if record["state"] == "open" else []
+    voted = {vote["name"] for vote in votes if vote["epoch"] == record["epoch"]}
+    return [name for name in record["needs"] if name not in voted] if record["state"] == "open" else []
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -5,7 +5,7 @@
 import pytest
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agent import SWEEP_AFTER, Agent
+from driftshed.coordination.agent import SWEEP_DELAY_S, Agent
 from driftshed.coordination.agreement import Barred
 from driftshed.coordination.lease import Lease
 from driftshed.coordination.members import MAX_UNKNOWN_PEERS, Member, MemberError, Roll, read_member, write_member
@@ -25,7 +25,7 @@
         if fleet.agents[name].chair.standing is not Standing.FENCED and not fleet.seats[name].ended:
             quorum = chance.choice([len(names), len(names) // 2 + 1])
             binds = chance.choice([None, 2.0])
-            fleet.propose(name, topic, chance.random(), quorum, chance.choice([0.5, 3.0]), binds_for=binds)
+            fleet.propose(name, topic, chance.random(), quorum, chance.choice([0.5, 3.0]), valid_for=binds)
     elif luck < 0.42:
         fleet.pause(name, TIMEOUT * chance.choice([0.3, 0.9, 1.1, 2.5]))
     elif luck < 0.52:
@@ -108,10 +108,10 @@
             self.loop.clock(), session.proved_at, session.timeout
         )
 
-    def _member(self, node, data, stat) -> None:
+    def _member_updated(self, node, data, stat) -> None:
         member = read_member(node, data)
         self.roll.appeared(node, member, stat.czxid, self.loop.clock())
-        self._rolled()
+        self._membership_changed()
 
 
 class NoCompare(Agent):
@@ -147,7 +147,7 @@
 def test_clocks_that_differ_by_more_than_the_bound_are_seen_and_a_bound_for_them_holds():
     class Unbounded(Agent):
         def __init__(self, *given, **more) -> None:
-            super().__init__(*given, **more, drift=0.0, pause=0.0)
+            super().__init__(*given, **more, drift=0.0, max_pause=0.0)
 
     class Bounded(Agent):
         def __init__(self, *given, **more) -> None:
@@ -171,7 +171,7 @@
     fleet.propose("a", "policy", 1)
     fleet.run(1)
     written, zxid = [agent.written for agent in fleet.all], fleet.store.store.tree.zxid
-    fleet.run(SWEEP_AFTER + 1)  # the words that were given are swept once
+    fleet.run(SWEEP_DELAY_S + 1)  # the words that were given are swept once
     assert fleet.store.store.tree.zxid == zxid + len(fleet.names)
     zxid, messages = fleet.store.store.tree.zxid, fleet.network.messages
     fleet.run(60)
@@ -225,7 +225,7 @@
     fleet.agents["c"].end("policy", proposal.epoch + 1, "wrong", lambda *said: told.append(said))
     fleet.agents["b"].end("policy", proposal.epoch, "done with", lambda *said: told.append(said))
     fleet.run(0.5)
-    assert told == [(False, "policy: epoch 2 stands, not epoch 3"), (True, "")]
+    assert told == [(False, "policy: epoch 2 is in force, not epoch 3"), (True, "")]
     assert all(agent.agreed("policy") is None for agent in fleet.all)
 
 
@@ -304,10 +304,10 @@
     agent = fleet.agents["b"]
     topic = agent.topics["policy"]
     old = agreement.write(agreement.proposed(None, "policy", 1, "a", "t", 0, ("a",), 1, 1.0))
-    agent._record("policy", old, topic.stat._replace(mzxid=topic.stat.mzxid - 1))
-    assert agent.not_believed == 1 and topic.record.state == "settled"
-    agent._record("policy", old, topic.stat)  # nor one that falls back within an epoch
-    assert agent.not_believed == 2 and topic.record.state == "settled"
+    agent._record_updated("policy", old, topic.stat._replace(mzxid=topic.stat.mzxid - 1))
+    assert agent.stale_reads == 1 and topic.record.state == "settled"
+    agent._record_updated("policy", old, topic.stat)  # nor one that falls back within an epoch
+    assert agent.stale_reads == 2 and topic.record.state == "settled"
 
 
 def test_a_store_restored_from_an_old_copy_lets_nobody_in_who_has_seen_more(fleet):
@@ -330,14 +330,14 @@
 
 def test_a_sweep_takes_words_and_dead_records_and_nothing_that_binds(fleet):
     nodes = fleet.store.store.tree.nodes
-    fleet.propose("a", "zone.east", 1, binds_for=30.0)
+    fleet.propose("a", "zone.east", 1, valid_for=30.0)
     west = fleet.propose("b", "zone.west", 1)
     fleet.run(1)
     fleet.agents["b"].end("zone.west", west.epoch, "over")
-    fleet.run(SWEEP_AFTER + 2)
+    fleet.run(SWEEP_DELAY_S + 2)
     assert f"{ROOT}/records/zone.east" in nodes and f"{ROOT}/records/zone.west" not in nodes
     assert not nodes[f"{ROOT}/records/zone.east"].children
-    fleet.run(30 + SWEEP_AFTER)
+    fleet.run(30 + SWEEP_DELAY_S)
     assert f"{ROOT}/records/zone.east" not in nodes
     proposal = fleet.propose("c", "zone.east", 2)
     fleet.run(1)
@@ -360,23 +360,23 @@
     "given, said",
     [
         ({"topic": "a/b"}, "letters"),
-        ({"needs": ()}, "each once"),
-        ({"needs": ("a", "a")}, "each once"),
+        ({"voters": ()}, "each once"),
+        ({"voters": ("a", "a")}, "each once"),
         ({"quorum": 3}, "cannot assent"),
-        ({"patience": 0}, "patience"),
+        ({"proposal_timeout": 0}, "patience"),
         ({"body": "x" * 70000}, "put less into it"),
     ],
 )
 def test_a_proposal_that_could_never_be_is_refused_with_the_reason(given, said, fleet):
-    given = {"topic": "policy", "body": 1, "needs": ("a", "b"), "quorum": 2, "patience": 1.0} | given
+    given = {"topic": "policy", "body": 1, "voters": ("a", "b"), "quorum": 2, "proposal_timeout": 1.0} | given
     with pytest.raises(Barred, match=said):
         fleet.agents["a"].propose(**given)
     assert not fleet.agents["a"].topics
 
 
 def test_a_lease_counts_from_the_sending_of_what_was_answered():
-    lease = Lease(10.0, drift=0.02, pause=1.0)
-    assert lease.until(100.0, 10.0) == pytest.approx(108.8)
+    lease = Lease(10.0, drift=0.02, max_pause=1.0)
+    assert lease.expires_at(100.0, 10.0) == pytest.approx(108.8)
     assert lease.holds(108.7, 100.0, 10.0) and not lease.holds(108.9, 100.0, 10.0)
     assert not lease.holds(0.0, float("-inf"), 10.0)
 
