--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -1,4 +1,4 @@
-"""`driftshed fleet`: who lives, since when, who is silent, which records stand, what waits for whom."""
+"""`driftshed fleet`: shows members and their states, agreed records, and which votes are outstanding."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 from driftshed.net.loop import Loop
 from driftshed.roster.command import check_root, hosts_of
 
-CODES = """Exit code: 0 when all expected supervisors live, 1 when one does not, 2 on bad input, 3 when neither a
-supervisor nor the store answers, 4 when the supervisor takes part in no fleet."""
+EXIT_CODES = """Exit code: 0 when all expected supervisors are alive, 1 when one is not, 2 on bad input, 3 when the
+supervisor or the store does not answer, 4 when the supervisor takes part in no fleet."""
 
 
-@click.command(help=f"Shows the fleet, from one supervisor or from the store.\n\n{CODES}")
-@option("supervisor", default="", help="address:port of any one supervisor")
-@option("fleet-connect", "connect", default="", help="127.0.0.1:PORT,... of the store, to ask it instead")
-@option("fleet-root", "root", default="/driftshed/fleet", help="path that the fleet lies under")
-@option("expected", default="", help="NAME,... that are expected, where the store is asked; else all there")
+@click.command(help=f"Shows the fleet as one supervisor or the store has it.\n\n{EXIT_CODES}")
+@option("supervisor", default="", help="address:port of any supervisor")
+@option("fleet-connect", "connect", default="", help="127.0.0.1:PORT,... of the store, to read it instead")
+@option("fleet-root", "root", default="/driftshed/fleet", help="path of the fleet in the store")
+@option("expected", default="", help="NAME,... expected, when reading the store; default: all members found")
 @option("within", type=click.FloatRange(0.1, 60), default=5.0, help="seconds to wait for an answer")
 @click.option("--json", "as_json", is_flag=True, help="print one object and nothing else")
 def fleet(supervisor: str, connect: str, root: str, expected: str, within: float, as_json: bool) -> None:
+    """Command `fleet`; exits with one of EXIT_CODES."""
     if bool(supervisor) == bool(connect):
         raise click.UsageError("give one of --supervisor and --fleet-connect")
     names = tuple(filter(None, expected.split(",")))
     if supervisor:
         if not supervisor.startswith("127."):
-            raise click.BadParameter(f"{supervisor!r}: loopback alone", param_hint="--supervisor")
+            raise click.BadParameter(f"{supervisor!r}: only loopback addresses are allowed", param_hint="--supervisor")
         view = _from_supervisor(supervisor, within)
     else:
         view = _from_store(connect, check_root(root), names, within)
@@ -53,9 +54,11 @@
         if error.code == 404:
             click.echo(f"{address} takes part in no fleet: start it with --fleet-connect", err=True)
             sys.exit(4)
-        click.echo(f"{address} answers {error.code}: look at its log", err=True)
+        click.echo(f"{address} answered with status {error.code}: see its log", err=True)
     except (OSError, ValueError) as error:
-        click.echo(f"{address} does not answer ({error}): ask another one, or the store by --fleet-connect", err=True)
+        click.echo(
+            f"{address} does not answer ({error}): ask another one, or read the store with --fleet-connect", err=True
+        )
     sys.exit(3)
 
 
@@ -71,7 +74,7 @@
     reader.client.stop()
     loop.close()
     if not views:
-        click.echo(f"the store at {connect} does not answer within {within:g} s: ask a supervisor", err=True)
+        click.echo(f"the store at {connect} did not answer within {within:g} s: ask a supervisor", err=True)
         sys.exit(3)
     return plain(views[0])
 
@@ -81,10 +84,10 @@
     table = Table("supervisor", "state", "for", "start", "address", "build", "policy", "proxies", box=None)
     for row in view["members"]:
         member = row["member"] or {}
-        lead = " (lead)" if view["order"][:1] == [row["name"]] else ""
+        leader_mark = " (lead)" if view["order"][:1] == [row["name"]] else ""
         since = "" if row["since"] is None else f"{row['since']:.0f} s"
         table.add_row(
-            row["name"] + lead,
+            row["name"] + leader_mark,
             row["state"],
             since,
             str(member.get("incarnation", "")),
@@ -95,26 +98,28 @@
         )
     console.print(table)
     for each in view["records"]:
-        record, words = each["record"], each["words"]
-        stands = record["standing"]
+        record, votes = each["record"], each["words"]
+        committed = record["standing"]
         text = f"{record['topic']}: epoch {record['epoch']} of {record['by']} is {record['state']}"
-        if stands:
-            text += f"; epoch {stands['epoch']} of {stands['by']} stands"
+        if committed:
+            text += f"; epoch {committed['epoch']} of {committed['by']} is in force"
         if record["state"] == "open":
-            said = ", ".join(f"{word['name']} {'assents' if word['assent'] else 'objects'}" for word in words) or "none"
-            text += f"; words: {said}; waits for {', '.join(missing_voters(record, words)) or 'nobody'}"
+            cast = ", ".join(f"{vote['name']} {'assents' if vote['assent'] else 'objects'}" for vote in votes) or "none"
+            text += f"; votes: {cast}; waiting for {', '.join(missing_voters(record, votes)) or 'nobody'}"
         console.print(text + (f" ({record['why']})" if record["why"] else ""), highlight=False)
     if view["by"] is not None:
         if view.get("cell"):
-            whole, speaks = view["whole"], " and ".join(view["speaks_for"])
-            text = f"cell {view['cell']} of region {view['region']}" + (f"; speaks for {speaks}" if speaks else "")
+            summary, delegate_of = view["whole"], " and ".join(view["speaks_for"])
+            text = f"cell {view['cell']} of region {view['region']}" + (
+                f"; delegate of {delegate_of}" if delegate_of else ""
+            )
             text += "" if view["acts"] else "; may not act on what was agreed above"
             console.print(text, highlight=False)
-            if whole:
+            if summary:
                 console.print(
-                    f"the whole: {whole['living']} of {whole['expected']} live, {whole['leaving']} leave, "
-                    f"{whole['silent']} are silent",
+                    f"entire fleet: {summary['living']} of {summary['expected']} alive, {summary['leaving']} leaving, "
+                    f"{summary['silent']} silent",
                     highlight=False,
                 )
-        lease = "holds no lease" if view["lease"] is None else f"lease for {view['lease']:.2f} s more"
-        console.print(f"seen by {view['by']}, start {view['incarnation']}, {view['standing']}, {lease}")
+        lease = "holds no lease" if view["lease"] is None else f"lease valid for {view['lease']:.2f} s"
+        console.print(f"as seen by {view['by']}, start {view['incarnation']}, {view['standing']}, {lease}")
--- a/driftshed/coordination/parting.py
+++ b/driftshed/coordination/parting.py
@@ -1,12 +1,12 @@
-"""A stop in peace: at what pace a supervisor hands its proxies to those that stay. Free of I/O."""
+"""Hand-over of proxies at a graceful shutdown: the rate at which they are sent to the remaining supervisors. No I/O."""
 
 from __future__ import annotations
 
 
-def apart(lines: int, lines_per_second: float, others: int) -> float:
-    """Seconds between two proxies that are sent on. `lines`: of the largest that a proxy holds; `others`: how many
-    supervisors stay, each with a channel of that pace.
+def apart(max_lines: int, lines_per_second: float, other_supervisors: int) -> float:
+    """Seconds between the hand-over of two proxies. `max_lines`: table lines of the largest proxy; `other_supervisors`:
+    how many remain, each with a channel of `lines_per_second`.
 
-    Guards against all of them joining at once: the last would wait behind the tables of all others without orders. So
-    apart, each finds a channel that has sent what the one before was to get."""
-    return max(1, lines) / lines_per_second / max(1, others)
+    Guards against all proxies joining at once: the last would wait without tables until those of all others were sent.
+    With this interval each proxy finds a channel that has sent the tables of the one before."""
+    return max(1, max_lines) / lines_per_second / max(1, other_supervisors)
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -1,4 +1,4 @@
-"""A supervisor as a process takes part in its fleet: what it says of itself, and what its API shows."""
+"""Fleet participation of a supervisor process: the member data it publishes and the fleet views of its API."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from driftshed.net.stream import Stream, dial
 from driftshed.supervisor.service import Service
 
-SAY_EVERY = 2.0  # seconds between looks at what is to be said
+PUBLISH_INTERVAL_S = 2.0  # between updates of the published member data
 
 
-def roll_of(name: str, expected: str) -> tuple[str, ...]:
-    """The names of the fleet; click.BadParameter names the flag and the remedy."""
+def parse_expected(name: str, expected: str) -> tuple[str, ...]:
+    """Parses the comma-separated names of the fleet; raises click.BadParameter with the flag and the remedy."""
     names = tuple(filter(None, (each.strip() for each in expected.split(","))))
     try:
         for each in (name, *names):
@@ -38,11 +38,11 @@
 
 
 def tiers_of(name: str, file: Path) -> Tiers:
-    """The tiers of a file in which this supervisor has a place; click.BadParameter names the flag and the remedy."""
+    """Reads a hierarchy file that contains this supervisor; raises click.BadParameter with the flag and the remedy."""
     try:
-        tiers = read_tiers(file.read_text())
-        tiers.place(name)
-        return tiers
+        hierarchy = read_tiers(file.read_text())
+        hierarchy.place(name)
+        return hierarchy
     except (OSError, UnicodeDecodeError) as error:
         raise click.BadParameter(f"{file}: {error}; name a file that can be read", param_hint="--tiers") from None
     except BadTiers as error:
@@ -63,41 +63,42 @@
     dial: Callable[..., Stream] = dial,
     tiers: Tiers | None = None,
 ) -> Agent:
-    """Joins the fleet; `seed` of chance, drawn unless given. What the supervisor does by itself does not wait for it,
-    and stays as it is without it. With `tiers` these say which fleet, whom it expects and where its store is, and
-    `hosts`, `root` and `expected` are not looked at; BadTiers where `name` is in none."""
+    """Joins the fleet and returns the agent. Joining never blocks the supervisor, which serves alike without a fleet.
+
+    `seed` of the random generator: drawn unless given. With `tiers`, the hierarchy determines the fleet, its members
+    and its store, and `hosts`, `root` and `expected` are ignored; raises BadTiers where `name` is not in it."""
     host, port = service.address
     member = Member(name, advertise or f"{host}:{port}", version("driftshed"))
     seed = int.from_bytes(os.urandom(6), "big") if seed is None else seed
     if tiers is not None:
         agent = Tiered(loop, tiers, member, timeout, seed, log, dial)
     else:
-        agent = Agent(loop, hosts, root, member, roll_of(name, expected), timeout, seed, log, dial)
+        agent = Agent(loop, hosts, root, member, parse_expected(name, expected), timeout, seed, log, dial)
     service.living = lambda: agent.addresses
     service.views["fleet"] = lambda: plain(agent.view())
     zones = service.instance.facts.zones
 
-    def say() -> None:
+    def publish() -> None:
         joined = Counter(zones[poll.record.zone] for poll in service.polls.values())
         agent.say(proxies=joined.total(), zones=dict(sorted(joined.items())))
-        loop.after(SAY_EVERY, say)
+        loop.after(PUBLISH_INTERVAL_S, publish)
 
-    say()
+    publish()
     return agent
 
 
-def leave(agent: Agent, service: Service, done: Callable[[], object]) -> None:
-    """A stop in peace: says so, hands the proxies over at the pace of the others' channels, and goes; at once where
-    nobody else is there."""
+def leave(agent: Agent, service: Service, on_done: Callable[[], object]) -> None:
+    """Graceful shutdown: announces it, hands the proxies over at the rate of the other supervisors' channels, leaves
+    the fleet and calls `on_done`; immediately where no other supervisor is present."""
 
-    def gone() -> None:
+    def on_drained() -> None:
         agent.leave()
-        done()
+        on_done()
 
     others = [each for each in agent.addresses if each != agent.chair.node.address]
     if not others:
-        gone()
+        on_drained()
         return
     agent.say(state="leaving")
     rate = service.instance.facts.lines_per_second
-    service.hand_over(lambda lines: apart(lines, rate, len(others)), gone)
+    service.hand_over(lambda lines: apart(lines, rate, len(others)), on_drained)
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -1,4 +1,4 @@
-"""What a fleet looks like, from one supervisor's eyes or straight from the store, in one form."""
+"""Views of a fleet, in one format whether they come from a supervisor or directly from the store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FleetReader:
-    """Reads a fleet from its store without taking part in it: `done(view)` once all has been read."""
+    """Reads a fleet from its store without joining it; calls `on_done(view)` once everything has been read."""
 
     def __init__(
         self,
@@ -26,11 +26,12 @@
         hosts: list[tuple[str, int]],
         root: str,
         expected: tuple[str, ...],
-        done: Callable[[dict], object],
+        on_done: Callable[[dict], object],
     ) -> None:
-        self.loop, self.done = loop, done
+        """Connects at once. `expected`: names of the supervisors, or empty to expect every supervisor that is found."""
+        self.loop, self.on_done = loop, on_done
         self.roll = Roll(expected, loop.clock())
-        self.expect_all = not expected  # with nobody named, all that are there are taken as expected
+        self.expect_all = not expected  # no names given: every member found is expected
         self.records: dict[str, agreement.Record] = {}
         self.votes: dict[str, list[agreement.Vote]] = {}
         self.vote_folders: dict[str, Folder] = {}
@@ -42,7 +43,7 @@
             self._finish_if_complete,
             self._folder_missing,
         )
-        self.folder = Folder(
+        self.record_folder = Folder(
             self._send,
             f"{root}/records",
             self._record_updated,
@@ -53,11 +54,11 @@
         self.client = RosterClient(loop, hosts, 4.0, Random("look"), self._state, lambda event: self._event(event))
 
     def _event(self, event: Event) -> None:
-        """What changes while it reads is not awaited: it shows one moment."""
+        """Ignores changes while reading: the view is a snapshot."""
 
     def _state(self, state: State) -> None:
         if state is State.ON:
-            for folder in (self.members, self.folder):
+            for folder in (self.members, self.record_folder):
                 folder.reset()
                 folder.refresh()
 
@@ -92,14 +93,14 @@
                 votes.append(vote)
 
         vote_folder = self.vote_folders[name] = Folder(
-            self._send, f"{self.folder.path}/{name}", on_vote, lambda node: None, self._finish_if_complete
+            self._send, f"{self.record_folder.path}/{name}", on_vote, lambda node: None, self._finish_if_complete
         )
         vote_folder.refresh()
 
     def _finish_if_complete(self) -> None:
         if (
             self.members.whole
-            and self.folder.whole
+            and self.record_folder.whole
             and all(vote_folder.whole for vote_folder in self.vote_folders.values())
         ):
             self._finish()
@@ -108,15 +109,15 @@
         now = self.loop.clock()
         records = [{"record": record, "age": None, "words": self.votes[name]} for name, record in self.records.items()]
         members = [row._asdict() for row in self.roll.rows(now)]
-        self.done({"by": None, "order": self.roll.order(), "members": members, "records": records})
+        self.on_done({"by": None, "order": self.roll.order(), "members": members, "records": records})
 
 
 def plain(view: dict) -> dict:
-    """A view as plain values, as JSON carries it."""
+    """Converts a view to builtin types that JSON can encode."""
     return msgspec.to_builtins(view)
 
 
 def missing_voters(record: dict, votes: list[dict]) -> list[str]:
-    """Whose word an open record lacks."""
+    """Voters that an open record, given in builtin types, still needs a vote of."""
     voted = {vote["name"] for vote in votes if vote["epoch"] == record["epoch"]}
     return [name for name in record["needs"] if name not in voted] if record["state"] == "open" else []
