--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -175,7 +175,7 @@
             self, loop, hosts, f"{root}/members", member, timeout, seed, self._registration_changed, dial
         )
 
-    # ---- session ------------------------------------------------------------------------------------------
+    # ---- session ------------------------------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
@@ -243,7 +243,7 @@
                 if topic.vote_folder is not None and topic.vote_folder.handle_event(event):
                     return
 
-    # ---- lease and values in force ---------------------------------------------------------------------------------
+    # ---- lease and values in force ------------------------------------------------------------------------------
 
     def holds(self) -> bool:
         """Whether this start of the supervisor may act on agreed records now: its session is proven valid, and no other
@@ -292,7 +292,7 @@
         topic_state = self.topics.get(topic)
         return topic_state is not None and agreement.pending(topic_state.record)
 
-    # ---- members ----------------------------------------------------------------------------------------------
+    # ---- members ------------------------------------------------------------------------------------------------
 
     def _member_updated(self, node: str, data: bytes, stat: Stat) -> None:
         try:
@@ -351,7 +351,7 @@
         if self.chair.standing is Standing.LISTED:
             self._write(SetData(self.chair.path, self.chair.data()), lambda error, result: None)
 
-    # ---- reading records -----------------------------------------------------------------------------
+    # ---- reading records ----------------------------------------------------------------------------------------
 
     def _create_records_folder(self) -> None:
         self._write(
@@ -440,7 +440,7 @@
                 proposal.finish("lost", f"epoch {record.epoch} of {record.by} was there first")
         topic.proposals = [each for each in topic.proposals if each.state in ("waiting", "open")]
 
-    # ---- desired state ---------------------------------------------------------------------------------------
+    # ---- desired state ------------------------------------------------------------------------------------------
 
     def propose(
         self,
@@ -449,7 +449,7 @@
         voters: tuple[str, ...],
         quorum: int,
         proposal_timeout: float,
-        done: Callable[[Proposal], object] = lambda proposal: None,
+        on_done: Callable[[Proposal], object] = lambda proposal: None,
         valid_for: float | None = None,
         waits: float | UnsetType = UNSET,
     ) -> Proposal:
@@ -469,7 +469,7 @@
         # A committed record holds the body twice, as the proposal and as the value in force. One too large for that
         # could be opened, but never committed.
         agreement.write(agreement.settled(build_record(None, 1)))  # raises Barred
-        proposal = Proposal(token, build_record, done)
+        proposal = Proposal(token, build_record, on_done)
         if topic not in self.topics and len(self.topics) >= agreement.MAX_TOPICS:
             raise Barred(f"{len(self.topics)} topics exist: end some first")
         topic_state = self._topic(topic)
@@ -651,7 +651,7 @@
             default=float("inf"),
         )
 
-    # ---- writing ----------------------------------------------------------------------------------------------
+    # ---- writing ------------------------------------------------------------------------------------------------
 
     def _write(self, request: Request, then: Callable[[int, object], object]) -> None:
         self.written += 1
@@ -769,7 +769,7 @@
 
         self._send(GetData(self.records.path), on_counter_read)
 
-    # ---- sweeping ---------------------------------------------------------------------------------------------
+    # ---- sweeping -----------------------------------------------------------------------------------------------
 
     def _sweep(self, topic: TopicState) -> None:
         """Deletes what is no longer needed: votes on decided epochs, and records without a valid value."""
@@ -812,7 +812,7 @@
             expires_at = topic.observed_since + record.standing.binds_for * (1 + 2 * self.lease.drift) + SWEEP_DELAY_S
             self._set_timer(topic, expires_at, retry)
 
-    # ---- shutdown ------------------------------------------------------------------------------------------------
+    # ---- shutdown -----------------------------------------------------------------------------------------------
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
         """Leaves the fleet gracefully: closes the session, which removes the member node at once; then calls `then`."""
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -14,7 +14,7 @@
 from driftshed.coordination.members import Member, MemberError, validate_name
 from driftshed.coordination.parting import apart
 from driftshed.coordination.tiered import Tiered
-from driftshed.coordination.tiers import BadTiers, Tiers, read_tiers
+from driftshed.coordination.tiers import Hierarchy, HierarchyError, read_tiers
 from driftshed.coordination.view import plain
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
@@ -37,15 +37,15 @@
     return names
 
 
-def tiers_of(name: str, file: Path) -> Tiers:
+def tiers_of(name: str, file: Path) -> Hierarchy:
     """Reads a hierarchy file that contains this supervisor; raises click.BadParameter with the flag and the remedy."""
     try:
         hierarchy = read_tiers(file.read_text())
-        hierarchy.place(name)
+        hierarchy.placement(name)
         return hierarchy
     except (OSError, UnicodeDecodeError) as error:
         raise click.BadParameter(f"{file}: {error}; name a file that can be read", param_hint="--tiers") from None
-    except BadTiers as error:
+    except HierarchyError as error:
         raise click.BadParameter(f"{file}: {error}", param_hint="--tiers or --name") from None
 
 
@@ -61,7 +61,7 @@
     advertise: str = "",
     seed: int | None = None,
     dial: Callable[..., Stream] = dial,
-    tiers: Tiers | None = None,
+    tiers: Hierarchy | None = None,
 ) -> Agent:
     """Joins the fleet and returns the agent. Joining never blocks the supervisor, which serves alike without a fleet.
 
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -1,5 +1,5 @@
-"""A supervisor of a fleet in tiers: an agent of its cell that also sees its region, and speaks for its cell, and for
-its region, where that falls to it. Thin: what follows from what is in `tiers` and `agreement`."""
+"""Agent of a supervisor in a hierarchical fleet: a member of its cell that also reads its region, and that serves as
+the delegate of its cell and of its region when it is its turn. The rules are in `tiers` and `agreement`."""
 
 from __future__ import annotations
 
@@ -14,26 +14,29 @@
 from driftshed.coordination.folder import ChildNames, Folder
 from driftshed.coordination.lease import DRIFT
 from driftshed.coordination.members import Digest, Member, MemberError, parse_node_name
-from driftshed.coordination.tiers import Beat, Beats, Fleet, Tiers
+from driftshed.coordination.tiers import FleetMembership, Heartbeat, HeartbeatTracker, Hierarchy
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.announce import Standing
 from driftshed.roster.jute import NO_NODE, OK, Create, GetData, SetData, Stat, Sync
 from driftshed.roster.session import State
 
-SAY_EVERY = 5.0  # seconds between words on counts and versions in a cell, at the most; each goes to all others of it
-HERD = 0.002  # seconds for each supervisor, over which they spread what all may want to propose at once
-LINGER = 1.0  # seconds that a guest in the whole stays after its proposal has ended
+MAX_PUBLISH_INTERVAL_S = 5.0  # between updates of counts and versions in a cell; each update goes to all its members
+BACKOFF_PER_SUPERVISOR_S = 0.002  # interval per supervisor over which simultaneous proposals are spread
+PROPOSER_LINGER_S = 1.0  # how long the proposing agent stays in the top-level fleet after its last proposal
 
 
 class Tiered(Agent):
-    """An agent of its cell. `acts()` is the right to act on what was agreed for the whole: the cell's lease, the cell's
-    and the region's place above, and nothing ended above that is not known here. `propose` proposes in the whole."""
+    """Agent of a cell in a hierarchical fleet.
+
+    `acts()` is the permission to act on records of the entire fleet: it requires the cell's lease, a delegate of the
+    cell in the region and of the region in the top-level fleet, and up-to-date replicas. `propose` proposes in the
+    top-level fleet."""
 
     def __init__(
         self,
         loop: Timers,
-        whole: Tiers,
+        hierarchy: Hierarchy,
         member: Member,
         timeout: float,
         seed: int,
@@ -42,130 +45,143 @@
         drift: float = DRIFT,
         max_pause: float | None = None,
     ) -> None:
-        self.place, self.dial, self.drift, self.max_pause = whole.place(member.name), dial, drift, max_pause
+        """`hierarchy` must contain `member.name`, else HierarchyError is raised; the other arguments are those of
+        `Agent`."""
+        self.placement, self.dial, self.drift, self.max_pause = hierarchy.placement(member.name), dial, drift, max_pause
         self.random = Random(f"tiers {seed}")
-        self.supervisors = whole.supervisors()
-        cell, region = self.place.cell, self.place.region
+        self.supervisor_count = hierarchy.supervisor_count()
+        cell, region = self.placement.cell, self.placement.region
         super().__init__(loop, cell.hosts, cell.root, member, cell.expected, timeout, seed, log, dial, drift, max_pause)
-        self.tiers = tiers.TIERS
-        self.beats = Beats(timeout, drift)
-        self.above: dict[str, Record] = {}  # the region's records, as read by the own session
-        self.compared: dict[str, tuple[Record, Record | None, bool]] = {}  # with the cell's copy, and whether that lags
-        self.cells = ChildNames(self._send, f"{region.root}/members", self._read_cells)
-        self.named = False  # whether the cell is in the region's roll, as it was last read
-        self.region = Folder(self._send, f"{region.root}/records", self._read_above, self._gone_above)
-        self.other_folders += [self.cells, self.region]
-        self.polling = self.beating = False
-        self.troubled_at: float | None = None  # since when nobody is seen to speak for the cell
-        self.for_cell: Agent | None = None  # our part in the region, while we speak for the cell
-        self.for_region: Agent | None = None  # our part in the whole, while we speak for the region
-        self.guest: Agent | None = None  # our part in the whole while something is proposed
-        self.asked: list[Proposal] = []  # that live
-        self.run_of_beats, self.beat = "", 0
-        self._turn()
-
-    # ---- what may be acted on ---------------------------------------------------------------------------------
+        self.tiers = tiers.LEVELS
+        self.heartbeats = HeartbeatTracker(timeout, drift)
+        self.region_records: dict[str, Record] = {}  # the region's records, as read through the own session
+        self.comparisons: dict[
+            str, tuple[Record, Record | None, bool]
+        ] = {}  # by topic: region's record, cell's replica, whether it lags
+        self.region_members = ChildNames(self._send, f"{region.root}/members", self._region_members_changed)
+        self.cell_registered = False  # whether the cell was a member of the region when last read
+        self.region_folder = Folder(
+            self._send, f"{region.root}/records", self._region_record_updated, self._region_record_removed
+        )
+        self.other_folders += [self.region_members, self.region_folder]
+        self.poll_pending = self.heartbeat_pending = False
+        self.unattended_since: float | None = None  # since when the cell has no working delegate
+        self.for_cell: Agent | None = None  # own member of the region, while delegate of the cell
+        self.for_region: Agent | None = None  # own member of the top-level fleet, while delegate of the region
+        self.proposer: Agent | None = None  # own guest session in the top-level fleet, during proposals
+        self.live_proposals: list[Proposal] = []  # proposals that have not ended
+        self.heartbeat_run, self.heartbeat_number = "", 0
+        self._tick()
+
+    # ---- permission to act --------------------------------------------------------------------------------------
 
     def acts(self) -> bool:
+        """Whether records of the entire fleet may be acted on now."""
         return (
             self.holds()
-            and self.loop.clock() < self.beats.until
-            and self._spoken_for()
+            and self.loop.clock() < self.heartbeats.proven_until
+            and self._cell_has_delegate()
             and self.records.current
-            and self.region.current
-            and not self._lags()
+            and self.region_folder.current
+            and not self._replicas_lag()
         )
 
     def acts_until(self) -> float:
-        return min(self.lease_until(), self.beats.until)
+        """When that ends unless renewed: the earlier end of the cell's lease and of the proof by heartbeats."""
+        return min(self.lease_until(), self.heartbeats.proven_until)
 
     def undecided(self, topic: str) -> bool:
-        return super().undecided(topic) or agreement.pending(self.above.get(topic))
+        """Whether the cell's replica or the region's record of a topic is undecided."""
+        return super().undecided(topic) or agreement.pending(self.region_records.get(topic))
 
-    def _spoken_for(self) -> bool:
-        """Whether the cell is in the region's roll, as all that was told of it says."""
-        return self.cells.current and self.named
+    def _cell_has_delegate(self) -> bool:
+        """Whether the cell is a member of the region, by an up-to-date listing."""
+        return self.region_members.current and self.cell_registered
 
-    def _read_cells(self) -> None:
-        self.named = False
-        for node in self.cells.names:
+    def _region_members_changed(self) -> None:
+        self.cell_registered = False
+        for node in self.region_members.names:
             try:
-                self.named = self.named or parse_node_name(node)[0] == self.place.region.name
+                self.cell_registered = self.cell_registered or parse_node_name(node)[0] == self.placement.region.name
             except MemberError as error:
                 self.log("bad_member", level="warning", why=str(error))
 
-    def _lags(self) -> bool:
-        """Whether the cell's copies are not what the region's records ask for."""
-        for topic, record in self.above.items():
+    def _replicas_lag(self) -> bool:
+        """Whether any replica in the cell differs from what the region's records require."""
+        for topic, record in self.region_records.items():
             own = self.topics[topic].record if topic in self.topics else None
-            known = self.compared.get(topic)
-            if known is None or known[0] is not record or known[1] is not own:
-                behind = agreement.replicated(own, record, self.name, self.roll.expected) is not None
-                known = self.compared[topic] = record, own, behind
-            if known[2]:
+            comparison = self.comparisons.get(topic)
+            if comparison is None or comparison[0] is not record or comparison[1] is not own:
+                lags = agreement.replicated(own, record, self.name, self.roll.expected) is not None
+                comparison = self.comparisons[topic] = record, own, lags
+            if comparison[2]:
                 return True
         return False
 
     @staticmethod
-    def _copy_of(record: Record, below: Agent, expected: tuple[str, ...]) -> Record | None:
-        topic = below.topics.get(record.topic)
-        return agreement.replicated(topic.record if topic is not None else None, record, below.name, expected)
+    def _required_replica(record: Record, child: Agent, expected: tuple[str, ...]) -> Record | None:
+        topic = child.topics.get(record.topic)
+        return agreement.replicated(topic.record if topic is not None else None, record, child.name, expected)
 
-    def _read_above(self, topic: str, data: bytes, stat: Stat) -> None:
+    def _region_record_updated(self, topic: str, data: bytes, stat: Stat) -> None:
         try:
             record = agreement.read_record(topic, data)
         except Barred as error:
             self.log("bad_record", level="warning", why=str(error))
             return
-        if topic in self.above or len(self.above) < agreement.MAX_TOPICS:
-            self.above[topic] = record
+        if topic in self.region_records or len(self.region_records) < agreement.MAX_TOPICS:
+            self.region_records[topic] = record
 
-    def _gone_above(self, topic: str) -> None:
-        self.above.pop(topic, None)
-        self.compared.pop(topic, None)
+    def _region_record_removed(self, topic: str) -> None:
+        self.region_records.pop(topic, None)
+        self.comparisons.pop(topic, None)
 
-    # ---- turns ------------------------------------------------------------------------------------------------
+    # ---- periodic work ------------------------------------------------------------------------------------------
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         if self.stopped:
             return
-        self.loop.after(self.timeout / tiers.BEATS, self._turn)
+        self.loop.after(self.timeout / tiers.HEARTBEATS_PER_TIMEOUT, self._tick)
         if self.client.session.state is State.ON:
-            if not self.region.listed and not self.region.pending_listings:
-                self.region.refresh()  # it was not there, and nobody tells when it comes
-            if (self.cells.missing or not self.cells.listed) and not self.cells.pending_listings:
-                self.cells.refresh()
-            self._poll()
-        self._speak_for_cell()
-        self._speak_for_region()
-        self._say_above()
-        self._beat()
-
-    def _poll(self) -> None:
-        """Reads the region's beat. Guards against a node of the store that lies behind: it catches up first."""
-        if self.polling:
+            if not self.region_folder.listed and not self.region_folder.pending_listings:
+                self.region_folder.refresh()  # the folder did not exist; no watch reports its creation
+            if (
+                self.region_members.missing or not self.region_members.listed
+            ) and not self.region_members.pending_listings:
+                self.region_members.refresh()
+            self._poll_heartbeat()
+        self._maintain_cell_delegate()
+        self._maintain_region_delegate()
+        self._publish_digests()
+        self._send_heartbeat()
+
+    def _poll_heartbeat(self) -> None:
+        """Reads the region's heartbeat. A preceding sync makes a store replica that lags behind catch up first."""
+        if self.poll_pending:
             return
-        self.polling, client, asked = True, self.client, self.loop.clock()
-        path = f"{self.place.region.root}/above"
+        self.poll_pending, client, polled_at = True, self.client, self.loop.clock()
+        path = f"{self.placement.region.root}/above"
 
-        def got(error: int, result: object) -> None:
-            self.polling = False
+        def on_reply(error: int, result: object) -> None:
+            self.poll_pending = False
             if client is self.client and error in (OK, NO_NODE):
-                self.beats.heard(tiers.read_beat(result[0]) if error == OK else None, asked, self.loop.clock())
+                self.heartbeats.observe(
+                    tiers.decode_heartbeat(result[0]) if error == OK else None, polled_at, self.loop.clock()
+                )
 
         client.ask(Sync(path), lambda error, result: None)
-        client.ask(GetData(path), got)
+        client.ask(GetData(path), on_reply)
 
-    # ---- speaking ---------------------------------------------------------------------------------------------
+    # ---- delegates ----------------------------------------------------------------------------------------------
 
     def _registration_changed(self, standing: Standing) -> None:
         super()._registration_changed(standing)
-        if standing is Standing.FENCED:  # another process has our name: it speaks if that falls to it
-            for part in self._parts():
-                self.loop.soon(part.leave)
-            self.guest = self.for_region = self.for_cell = None
+        if standing is Standing.FENCED:  # another process has the name and may become the delegate
+            for agent in self._other_agents():
+                self.loop.soon(agent.leave)
+            self.proposer = self.for_region = self.for_cell = None
 
-    def _part(self, fleet: Fleet, member: Member, seed: str) -> Agent:
+    def _make_agent(self, fleet: FleetMembership, member: Member, seed: str) -> Agent:
         number = Random(f"{seed} {self.run} {self.random.random()}").getrandbits(48)
         return Agent(
             self.loop,
@@ -179,219 +195,241 @@
             self.dial,
             self.drift,
             self.max_pause,
-            tiers.lag(self.timeout, self.drift),
+            tiers.absence_margin(self.timeout, self.drift),
         )
 
-    def _speak_for_cell(self) -> None:
+    def _maintain_cell_delegate(self) -> None:
         if self.for_cell is not None:
             return
-        now, missing = self.loop.clock(), self.cells.listed and not self.named
-        if not (missing or (self.region.current and self._lags())):
-            self.troubled_at = None
+        now, missing = self.loop.clock(), self.region_members.listed and not self.cell_registered
+        if not (missing or (self.region_folder.current and self._replicas_lag())):
+            self.unattended_since = None
             return
-        if self.troubled_at is None:
-            self.troubled_at = now
+        if self.unattended_since is None:
+            self.unattended_since = now
         order = self.roll.order()
         if not self.holds() or not self.members.current or self.name not in order:
             return
-        if not tiers.due_to_speak(now - self.troubled_at, order.index(self.name), missing, self.timeout):
+        if not tiers.takeover_due(now - self.unattended_since, order.index(self.name), missing, self.timeout):
             return
-        self.troubled_at = None
-        self.log("speaks_for_cell", cell=self.place.region.name)
-        part = self.for_cell = self._part(self.place.region, self._as(self.place.region.name), "cell")
-        part.judge = lambda record: self._word(self, record)
-        part.on_record = lambda record: (self.replicate(record), self._look_up_to(self.for_region))
-        part.on_fenced = lambda: self._silent_for_cell(part)
-
-    def _speak_for_region(self) -> None:
-        part = self.for_cell
-        if part is None:
+        self.unattended_since = None
+        self.log("speaks_for_cell", cell=self.placement.region.name)
+        agent = self.for_cell = self._make_agent(
+            self.placement.region, self._member_named(self.placement.region.name), "cell"
+        )
+        agent.judge = lambda record: self._vote_of(self, record)
+        agent.on_record = lambda record: (self.replicate(record), self._evaluate_if_present(self.for_region))
+        agent.on_fenced = lambda: self._resign_cell(agent)
+
+    def _maintain_region_delegate(self) -> None:
+        cell_delegate = self.for_cell
+        if cell_delegate is None:
             return
         now = self.loop.clock()
-        quiet = self.beats.quiet_for(now)
-        others = self.beats.last is not None and self.beats.last.run != self.run_of_beats
+        silent_for = self.heartbeats.silent_for(now)
+        other_active = self.heartbeats.last is not None and self.heartbeats.last.run != self.heartbeat_run
         if self.for_region is not None:
-            if others and not self.for_region.holds() and quiet < tiers.STAGGER * self.timeout:
-                self._silent_for_region(self.for_region)  # another one does, and we cannot
+            if other_active and not self.for_region.holds() and silent_for < tiers.STAGGER_FRACTION * self.timeout:
+                self._resign_region(self.for_region)  # another delegate is active, and this one has no lease
             return
-        order = part.roll.order()
-        if not part.holds() or not part.members.current or part.name not in order or quiet is None:
+        order = cell_delegate.roll.order()
+        if (
+            not cell_delegate.holds()
+            or not cell_delegate.members.current
+            or cell_delegate.name not in order
+            or silent_for is None
+        ):
             return
-        if not tiers.due_to_speak(quiet, order.index(part.name), self.beats.last is None, self.timeout):
+        if not tiers.takeover_due(
+            silent_for, order.index(cell_delegate.name), self.heartbeats.last is None, self.timeout
+        ):
             return
-        self.log("speaks_for_region", region=self.place.whole.name)
-        above = self.for_region = self._part(self.place.whole, self._as(self.place.whole.name), "region")
-        above.judge = lambda record: self._word(part, record)
-        above.on_record = part.replicate
-        above.on_fenced = lambda: self._silent_for_region(above)
-        self._new_run()
-
-    def _as(self, name: str) -> Member:
+        self.log("speaks_for_region", region=self.placement.top.name)
+        agent = self.for_region = self._make_agent(
+            self.placement.top, self._member_named(self.placement.top.name), "region"
+        )
+        agent.judge = lambda record: self._vote_of(cell_delegate, record)
+        agent.on_record = cell_delegate.replicate
+        agent.on_fenced = lambda: self._resign_region(agent)
+        self._new_heartbeat_run()
+
+    def _member_named(self, name: str) -> Member:
         return Member(name, self.chair.node.address, self.chair.node.build)
 
     @staticmethod
-    def _word(below: Agent, record: Record) -> tuple[bool, str] | None:
-        topic = below.topics.get(record.topic)
+    def _vote_of(child: Agent, record: Record) -> tuple[bool, str] | None:
+        topic = child.topics.get(record.topic)
         return agreement.vote_for_parent(topic.record if topic is not None else None, record.epoch)
 
     def _notify_proposers(self, topic: TopicState) -> None:
         super()._notify_proposers(topic)
-        self._look_up_to(self.for_cell)  # the cell's word may be due
+        self._evaluate_if_present(self.for_cell)  # the cell may be ready to vote
 
     @staticmethod
-    def _look_up_to(part: Agent | None) -> None:
-        if part is not None:
-            part.look()
-
-    def _silent_for_cell(self, part: Agent) -> None:
-        """Another one speaks for the cell."""
-        if self.for_cell is part:
-            self.log("silent_for_cell", cell=part.name)
+    def _evaluate_if_present(agent: Agent | None) -> None:
+        if agent is not None:
+            agent.look()
+
+    def _resign_cell(self, agent: Agent) -> None:
+        """Steps down: another supervisor is the delegate of the cell."""
+        if self.for_cell is agent:
+            self.log("silent_for_cell", cell=agent.name)
             self.for_cell = None
-            self.loop.soon(part.stop)  # it ends its session first, if it can
+            self.loop.soon(agent.stop)  # after its session has been closed, if possible
             if self.for_region is not None:
-                self._silent_for_region(self.for_region)
+                self._resign_region(self.for_region)
 
-    def _silent_for_region(self, part: Agent) -> None:
-        if self.for_region is part:
-            self.log("silent_for_region", region=part.name)
+    def _resign_region(self, agent: Agent) -> None:
+        if self.for_region is agent:
+            self.log("silent_for_region", region=agent.name)
             self.for_region = None
-            self.loop.soon(part.leave)
+            self.loop.soon(agent.leave)
 
-    def _say_above(self) -> None:
+    def _publish_digests(self) -> None:
         if self.for_cell is not None:
-            self.for_cell.say(digest=tiers.digest_of(self.roll.rows(self.loop.clock())))
+            self.for_cell.say(digest=tiers.cell_digest(self.roll.rows(self.loop.clock())))
         if self.for_region is not None and self.for_cell is not None:
-            self.for_region.say(digest=self._digest(self.for_cell, self.place.region))
+            self.for_region.say(digest=self._aggregate_digest(self.for_cell, self.placement.region))
 
     @staticmethod
-    def _digest(part: Agent, fleet: Fleet) -> Digest:
-        living = {name: present.member for name, present in part.roll.living().items()}
-        return tiers.digest_above(living, fleet.sizes)
+    def _aggregate_digest(delegate: Agent, fleet: FleetMembership) -> Digest:
+        living = {name: present.member for name, present in delegate.roll.living().items()}
+        return tiers.aggregate_digest(living, fleet.sizes)
 
-    # ---- beats ------------------------------------------------------------------------------------------------
+    # ---- heartbeats ---------------------------------------------------------------------------------------------
 
-    def _new_run(self) -> None:
-        self.run_of_beats, self.beat = f"{self.run}.{self.random.getrandbits(32):x}", 0
+    def _new_heartbeat_run(self) -> None:
+        self.heartbeat_run, self.heartbeat_number = f"{self.run}.{self.random.getrandbits(32):x}", 0
 
-    def _stands_below(self) -> bool:
-        """Whether all that was read in the whole stands in the region."""
-        above, below = self.for_region, self.for_cell
-        if not above.records.current or any(
-            topic.read_pending or topic.write_pending for topic in above.topics.values()
+    def _region_is_current(self) -> bool:
+        """Whether all records read in the top-level fleet have been replicated to the region."""
+        parent, child = self.for_region, self.for_cell
+        if not parent.records.current or any(
+            topic.read_pending or topic.write_pending for topic in parent.topics.values()
         ):
             return False
         return all(
-            self._copy_of(topic.record, below, below.roll.expected) is None
-            for topic in above.topics.values()
+            self._required_replica(topic.record, child, child.roll.expected) is None
+            for topic in parent.topics.values()
             if topic.record is not None
         )
 
-    def _beat(self) -> None:
-        """Tells the region that it is in touch with the whole, one beat after the other."""
-        above, below = self.for_region, self.for_cell
-        if above is None or below is None or self.beating:
+    def _send_heartbeat(self) -> None:
+        """Publishes the next heartbeat in the region, once the one before has been answered."""
+        parent, child = self.for_region, self.for_cell
+        if parent is None or child is None or self.heartbeat_pending:
             return
-        if not (above.holds() and below.holds() and self._stands_below()):
+        if not (parent.holds() and child.holds() and self._region_is_current()):
             return
-        self.beating, self.beat, run = True, self.beat + 1, self.run_of_beats
-        path = f"{self.place.region.root}/above"
-        beat = Beat(self.name, run, self.beat, self._digest(above, self.place.whole))
-        client = below.client
+        self.heartbeat_pending, self.heartbeat_number, run = True, self.heartbeat_number + 1, self.heartbeat_run
+        path = f"{self.placement.region.root}/above"
+        heartbeat = Heartbeat(self.name, run, self.heartbeat_number, self._aggregate_digest(parent, self.placement.top))
+        client = child.client
 
-        def made(error: int, result: object) -> None:
-            self.beating = False
+        def on_reply(error: int, result: object) -> None:
+            self.heartbeat_pending = False
             if error == NO_NODE:
-                below.client.ask(Create(path, tiers.write_beat(beat)), lambda error, result: None)
-            if error != OK and run == self.run_of_beats:
-                self._new_run()  # whether it took effect, or will, is not known: none may be counted from it
+                child.client.ask(Create(path, tiers.encode_heartbeat(heartbeat)), lambda error, result: None)
+            if error != OK and run == self.heartbeat_run:
+                self._new_heartbeat_run()  # it may take effect at any time, so no later heartbeat may build on it
 
-        client.ask(SetData(path, tiers.write_beat(beat)), made)
+        client.ask(SetData(path, tiers.encode_heartbeat(heartbeat)), on_reply)
 
-    # ---- proposing --------------------------------------------------------------------------------------------
+    # ---- proposals ----------------------------------------------------------------------------------------------
 
     def propose(
         self,
         topic: str,
         body: object,
-        needs: tuple[str, ...],
+        voters: tuple[str, ...],
         quorum: int,
-        patience: float,
-        done: Callable[[Proposal], object] = lambda proposal: None,
-        binds_for: float | None = None,
+        proposal_timeout: float,
+        on_done: Callable[[Proposal], object] = lambda proposal: None,
+        valid_for: float | None = None,
         waits: float | UnsetType = UNSET,
     ) -> Proposal:
-        """Proposes in the whole, as a guest there: every region is asked, whatever `needs` says. Void where the whole
-        is not reached within the patience."""
-        fleet = self.place.whole
-        agreement.check(topic, fleet.expected, len(fleet.expected), patience)
-        guest = self.guest
-        if guest is None:
-            guest = self.guest = self._part(fleet, self._as(self.name), "guest")
-            guest.judge = lambda record: None
-
-        def ended(proposal: Proposal) -> None:
-            self.asked = [each for each in self.asked if each is not proposal]
-            self.loop.after(LINGER, lambda: self._leave_guest(guest))
-            done(proposal)
-
-        proposal = guest.propose(topic, body, fleet.expected, len(fleet.expected), patience, ended, binds_for, waits)
-        self.asked.append(proposal)
-
-        def late() -> None:
+        """Proposes in the top-level fleet, through a guest session: all regions are voters, and `voters` and `quorum`
+        are ignored. The proposal ends as void if that fleet is not reached within `proposal_timeout`."""
+        fleet = self.placement.top
+        agreement.check(topic, fleet.expected, len(fleet.expected), proposal_timeout)
+        proposer = self.proposer
+        if proposer is None:
+            proposer = self.proposer = self._make_agent(fleet, self._member_named(self.name), "guest")
+            proposer.judge = lambda record: None
+
+        def on_ended(proposal: Proposal) -> None:
+            self.live_proposals = [each for each in self.live_proposals if each is not proposal]
+            self.loop.after(PROPOSER_LINGER_S, lambda: self._release_proposer(proposer))
+            on_done(proposal)
+
+        proposal = proposer.propose(
+            topic, body, fleet.expected, len(fleet.expected), proposal_timeout, on_ended, valid_for, waits
+        )
+        self.live_proposals.append(proposal)
+
+        def on_timeout() -> None:
             if proposal.state == "waiting":
-                guest.withdraw(topic, proposal, "the whole's store was not reached in time")
+                proposer.withdraw(topic, proposal, "the store of the top-level fleet was not reached in time")
 
-        self.loop.after(patience, late)
+        self.loop.after(proposal_timeout, on_timeout)
         return proposal
 
     def _publish_delay(self) -> float:
-        """Guards against a cell whose members all say at one moment that they have switched: each word goes to all."""
-        return self.random.uniform(0.5, 1.0) * SAY_EVERY
+        """Randomised, so that members that switch at the same moment do not all publish at once: each update goes to
+        the entire cell."""
+        return self.random.uniform(0.5, 1.0) * MAX_PUBLISH_INTERVAL_S
 
     def herd_wait(self, most: float) -> float:
-        return self.random.uniform(0.0, min(most, HERD * self.supervisors))
+        """Random proposal backoff in seconds, proportional to the number of supervisors and at most `most`."""
+        return self.random.uniform(0.0, min(most, BACKOFF_PER_SUPERVISOR_S * self.supervisor_count))
 
     def withdraw(self, topic: str, proposal: Proposal, why: str = "withdrawn") -> None:
-        if self.guest is not None:
-            self.guest.withdraw(topic, proposal, why)
+        """Withdraws a proposal made by this supervisor, if the guest session is still open."""
+        if self.proposer is not None:
+            self.proposer.withdraw(topic, proposal, why)
 
-    def _leave_guest(self, guest: Agent) -> None:
-        if self.guest is guest and not self.asked:
-            self.guest = None
-            guest.leave()
+    def _release_proposer(self, proposer: Agent) -> None:
+        if self.proposer is proposer and not self.live_proposals:
+            self.proposer = None
+            proposer.leave()
 
-    # ---- going ------------------------------------------------------------------------------------------------
+    # ---- shutdown -----------------------------------------------------------------------------------------------
 
-    def _parts(self) -> list[Agent]:
-        return [part for part in (self.guest, self.for_region, self.for_cell) if part is not None]
+    def _other_agents(self) -> list[Agent]:
+        return [agent for agent in (self.proposer, self.for_region, self.for_cell) if agent is not None]
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
-        for part in self._parts():
-            part.leave()
-        self.guest = self.for_region = self.for_cell = None
+        """Leaves all fleets gracefully; `then` is called after the cell's session is closed."""
+        for agent in self._other_agents():
+            agent.leave()
+        self.proposer = self.for_region = self.for_cell = None
         super().leave(then)
 
     def stop(self) -> None:
-        for part in self._parts():
-            part.stop()
-        self.guest = self.for_region = self.for_cell = None
+        """Stops in all fleets without closing sessions, as a crashed process would."""
+        for agent in self._other_agents():
+            agent.stop()
+        self.proposer = self.for_region = self.for_cell = None
         super().stop()
 
     def view_whole(self) -> dict:
-        whole = self.beats.last.whole if self.beats.last is not None else UNSET
-        return {"whole": None if whole is UNSET else to_builtins(whole)}
+        """Digest of the entire fleet from the last heartbeat, as key `whole`; None where unknown."""
+        summary = self.heartbeats.last.whole if self.heartbeats.last is not None else UNSET
+        return {"whole": None if summary is UNSET else to_builtins(summary)}
 
     def view(self) -> dict:
+        """The view of the cell, with the place in the hierarchy. `chain`: seconds of proven contact left."""
         now = self.loop.clock()
         return (
             super().view()
             | self.view_whole()
             | {
-                "cell": self.place.region.name,
-                "region": self.place.whole.name,
+                "cell": self.placement.region.name,
+                "region": self.placement.top.name,
                 "acts": self.acts(),
-                "speaks_for": [part.name for part in (self.for_cell, self.for_region) if part is not None],
-                "chain": None if self.beats.until == float("-inf") else round(self.beats.until - now, 3),
+                "speaks_for": [agent.name for agent in (self.for_cell, self.for_region) if agent is not None],
+                "chain": None
+                if self.heartbeats.proven_until == float("-inf")
+                else round(self.heartbeats.proven_until - now, 3),
             }
         )
--- a/driftshed/coordination/tiers.py
+++ b/driftshed/coordination/tiers.py
@@ -1,9 +1,9 @@
-"""A fleet in tiers, decided: cells of supervisors, regions of cells, the whole of regions. Free of I/O and of wall
-clocks; times are seconds on the own monotonic clock.
+"""Rules of a hierarchical fleet: cells of supervisors, regions of cells and one top-level fleet of regions. No I/O and
+no wall clock; times are seconds on the local monotonic clock.
 
-A cell and its region lie on one store, so a supervisor sees by one session what stands in both. That its region is in
-touch with the whole it learns from beats (`Beats`). What follows from silence above its cell is `holds` and `waits` of
-`docs/coordination.md`, "In tiers"."""
+A cell and its region share one store, so a supervisor reads both through one session. That its region is in contact
+with the top-level fleet it derives from heartbeats (`HeartbeatTracker`). What follows from silence above its cell is
+described under `holds` and `waits` in `docs/coordination.md`, "In tiers"."""
 
 from __future__ import annotations
 
@@ -18,33 +18,38 @@
 from driftshed.coordination.agreement import MAX_VOTERS
 from driftshed.coordination.members import Digest, Member, MemberError, Row, validate_name
 
-FORM = 1
-MOST_FILE = 1 << 20  # bytes of a tiers file
-MOST_BEAT = 4096  # bytes of a beat
-MOST_POLICIES = 4  # versions told in a digest; the older ones are counted with the oldest of these
-BEATS = 8  # in a session's time-out
-HOLDS = 0.75  # of a time-out: for how long a beat proves that the region is in touch with the whole
-STAGGER = 0.5  # of a time-out: how much later each next one in the order speaks where the first does not
-TIERS = 3
+FORMAT_VERSION = 1
+MAX_FILE_CHARACTERS = 1 << 20  # of a hierarchy file
+MAX_HEARTBEAT_BYTES = 4096  # of an encoded heartbeat
+MAX_POLICY_VERSIONS = 4  # listed in a digest; older versions are counted with the oldest of these
+HEARTBEATS_PER_TIMEOUT = 8  # sent in one session timeout
+HOLDS = 0.75  # of the session timeout: how long a heartbeat proves the region's contact with the top-level fleet
+STAGGER_FRACTION = 0.5  # of the session timeout: delay per rank before the next in order becomes the delegate
+LEVELS = 3
 
 
-class BadTiers(ValueError):
-    """A tiers file that cannot be used; the text says what and the remedy."""
+class HierarchyError(ValueError):
+    """An unusable hierarchy file; the message names the fault and the remedy."""
 
 
 class Cell(Struct, frozen=True, forbid_unknown_fields=True):
+    """Supervisors that form one fleet on their region's store."""
+
     name: str
     members: Annotated[tuple[str, ...], Meta(min_length=1)]
 
 
 class Region(Struct, frozen=True, forbid_unknown_fields=True):
+    """Cells with a common store. `stores`: its connect string."""
+
     name: str
     stores: str
     cells: Annotated[tuple[Cell, ...], Meta(min_length=1)]
 
 
-class Fleet(NamedTuple):
-    """One fleet as one of its members takes part in it. `sizes`: supervisors behind each expected name."""
+class FleetMembership(NamedTuple):
+    """Membership of one supervisor in one fleet, under `name`. `sizes`: number of supervisors behind each expected
+    name, where members are cells or regions."""
 
     name: str
     root: str
@@ -53,127 +58,134 @@
     sizes: dict[str, int]
 
 
-class Place(NamedTuple):
-    """Where a supervisor stands: as itself in its cell, under the cell's name in its region, under the region's name in
-    the whole."""
+class Placement(NamedTuple):
+    """Position of a supervisor in the hierarchy: its cell under its own name, its region under the cell's name, the
+    top-level fleet under the region's name."""
 
-    cell: Fleet
-    region: Fleet
-    whole: Fleet
+    cell: FleetMembership
+    region: FleetMembership
+    top: FleetMembership
 
 
-class Tiers(Struct, frozen=True, forbid_unknown_fields=True):
-    """`stores`: connect string of the whole's store. All supervisors go by the same names; where a store is dialled may
-    differ."""
+class Hierarchy(Struct, frozen=True, forbid_unknown_fields=True):
+    """Contents of a hierarchy file. `stores`: connect string of the top-level fleet's store. All supervisors must use
+    the same names; the addresses of the stores may differ between them."""
 
     form: Literal[1]
     stores: str
     regions: Annotated[tuple[Region, ...], Meta(min_length=1)]
     root: str = "/driftshed"
 
-    def place(self, name: str) -> Place:
-        """BadTiers where no cell has this member."""
+    def placement(self, name: str) -> Placement:
+        """Placement of a supervisor; raises HierarchyError if it is in no cell."""
         for region in self.regions:
             for cell in region.cells:
                 if name in cell.members:
-                    hosts, cells = read_hosts(region.stores, region.name), tuple(each.name for each in region.cells)
+                    hosts, cells = parse_hosts(region.stores, region.name), tuple(each.name for each in region.cells)
                     regions = tuple(each.name for each in self.regions)
-                    return Place(
-                        Fleet(name, f"{self.root}/cells/{cell.name}", hosts, cell.members, {}),
-                        Fleet(
+                    return Placement(
+                        FleetMembership(name, f"{self.root}/cells/{cell.name}", hosts, cell.members, {}),
+                        FleetMembership(
                             cell.name,
                             f"{self.root}/regions/{region.name}",
                             hosts,
                             cells,
                             {each.name: len(each.members) for each in region.cells},
                         ),
-                        Fleet(
+                        FleetMembership(
                             region.name,
                             f"{self.root}/whole",
-                            read_hosts(self.stores, "the whole"),
+                            parse_hosts(self.stores, "the top-level fleet"),
                             regions,
                             {each.name: sum(len(c.members) for c in each.cells) for each in self.regions},
                         ),
                     )
-        raise BadTiers(f"{name!r} is in no cell: name it among the members of one, or give another --name")
+        raise HierarchyError(f"{name!r} is in no cell: name it among the members of one, or give another --name")
 
-    def supervisors(self) -> int:
+    def supervisor_count(self) -> int:
+        """Number of supervisors in all cells."""
         return sum(len(cell.members) for region in self.regions for cell in region.cells)
 
 
-def read_hosts(text: str, whose: str) -> list[tuple[str, int]]:
-    """A connect string, HOST:PORT with commas between; BadTiers names whose it is."""
+def parse_hosts(text: str, owner: str) -> list[tuple[str, int]]:
+    """Parses a connect string, comma-separated HOST:PORT; raises HierarchyError naming its `owner`."""
     hosts = []
     for part in filter(None, (each.strip() for each in text.split(","))):
         host, _, port = part.rpartition(":")
         if not host.startswith("127.") or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-            raise BadTiers(f"stores of {whose}: {part[:80]!r}: write loopback address and port, as 127.0.0.1:2181")
+            raise HierarchyError(
+                f"stores of {owner}: {part[:80]!r}: write loopback address and port, as 127.0.0.1:2181"
+            )
         hosts.append((host, int(port)))
     if not hosts:
-        raise BadTiers(f"stores of {whose}: name at least one 127.0.0.1:PORT")
+        raise HierarchyError(f"stores of {owner}: name at least one 127.0.0.1:PORT")
     return hosts
 
 
-def read_tiers(text: str) -> Tiers:
-    """The tiers of a file; BadTiers says what cannot be and the remedy."""
-    if len(text) > MOST_FILE:
-        raise BadTiers(f"{len(text)} characters: a tiers file of {MOST_FILE} at the most is read; split the fleet")
+def read_tiers(text: str) -> Hierarchy:
+    """Parses and validates a hierarchy file; raises HierarchyError with the fault and the remedy."""
+    if len(text) > MAX_FILE_CHARACTERS:
+        raise HierarchyError(
+            f"{len(text)} characters: a tiers file may have at most {MAX_FILE_CHARACTERS}; split the fleet"
+        )
     try:
-        given = tomllib.loads(text)
+        values = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise BadTiers(f"no TOML: {error}") from None
-    form = given.get("form")
-    if isinstance(form, int) and form > FORM:
-        raise BadTiers(f"form {form} is newer than this build reads ({FORM}): update driftshed")
+        raise HierarchyError(f"invalid TOML: {error}") from None
+    version = values.get("form")
+    if isinstance(version, int) and version > FORMAT_VERSION:
+        raise HierarchyError(f"form {version} is newer than this build reads ({FORMAT_VERSION}): update driftshed")
     try:
-        tiers = msgspec.convert(given, Tiers, strict=True)
+        hierarchy = msgspec.convert(values, Hierarchy, strict=True)
     except msgspec.ValidationError as error:
-        raise BadTiers(f"{error}: see docs/coordination.md, 'In tiers'") from None
-    _check(tiers)
-    return tiers
+        raise HierarchyError(f"{error}: see docs/coordination.md, 'In tiers'") from None
+    _validate(hierarchy)
+    return hierarchy
 
 
-def _check(tiers: Tiers) -> None:
-    if not tiers.root.startswith("/") or tiers.root.endswith("/") or "//" in tiers.root:
-        raise BadTiers(f"root {tiers.root[:80]!r}: write a path such as /driftshed")
-    read_hosts(tiers.stores, "the whole")
-    _count(len(tiers.regions), "regions", "the whole", "merge regions")
+def _validate(hierarchy: Hierarchy) -> None:
+    if not hierarchy.root.startswith("/") or hierarchy.root.endswith("/") or "//" in hierarchy.root:
+        raise HierarchyError(f"root {hierarchy.root[:80]!r}: write a path such as /driftshed")
+    parse_hosts(hierarchy.stores, "the top-level fleet")
+    _check_count(len(hierarchy.regions), "regions", "the top-level fleet", "merge regions")
     seen: dict[str, str] = {}
 
-    def take(name: str, what: str) -> None:
+    def register(name: str, kind: str) -> None:
         try:
             validate_name(name)
         except MemberError as error:
-            raise BadTiers(f"{what}: {error}") from None
+            raise HierarchyError(f"{kind}: {error}") from None
         if name in (".", ".."):
-            raise BadTiers(f"{what}: {name!r} is no name: take another")
+            raise HierarchyError(f"{kind}: {name!r} is not a valid name: choose another")
         if name in seen:
-            raise BadTiers(f"{name!r} is {seen[name]} and {what}: each name stands once, give one of them another")
-        seen[name] = what
+            raise HierarchyError(f"{name!r} is {seen[name]} and {kind}: names must be unique, rename one of them")
+        seen[name] = kind
 
-    for region in tiers.regions:
-        take(region.name, "a region")
-        read_hosts(region.stores, region.name)
-        _count(len(region.cells), "cells", f"region {region.name}", "make another region, or larger cells")
+    for region in hierarchy.regions:
+        register(region.name, "a region")
+        parse_hosts(region.stores, region.name)
+        _check_count(len(region.cells), "cells", f"region {region.name}", "make another region, or larger cells")
         for cell in region.cells:
-            take(cell.name, "a cell")
-            _count(len(cell.members), "members", f"cell {cell.name}", "move some to another cell")
+            register(cell.name, "a cell")
+            _check_count(len(cell.members), "members", f"cell {cell.name}", "move some to another cell")
             for member in cell.members:
-                take(member, f"a member of {cell.name}")
+                register(member, f"a member of {cell.name}")
 
 
-def _count(count: int, what: str, whose: str, remedy: str) -> None:
+def _check_count(count: int, what: str, owner: str, remedy: str) -> None:
     if count > MAX_VOTERS:
-        raise BadTiers(f"{count} {what} in {whose}, {MAX_VOTERS} at the most: {remedy}")
+        raise HierarchyError(f"{count} {what} in {owner}, at most {MAX_VOTERS}: {remedy}")
+
 
+# ---- heartbeats -------------------------------------------------------------------------------------------------
 
-# ---- beats ----------------------------------------------------------------------------------------------------
 
+class Heartbeat(Struct, frozen=True):
+    """Heartbeat of a region, written into the region's fleet by the region's delegate.
 
-class Beat(Struct, frozen=True):
-    """Written by whoever speaks for a region, in the region's fleet, while its lease in the whole holds and all that it
-    has read there stands in the region. `number`: rises by one in a `run`, each made after the one before had taken
-    effect. `whole`: the whole fleet, as last summed."""
+    It is written while the delegate's lease in the top-level fleet is valid and every record read there has been
+    replicated to the region. `number` rises by one within a `run`; each heartbeat is created after the one before took
+    effect. `whole`: digest of the entire fleet, as last aggregated."""
 
     by: Annotated[str, Meta(max_length=64)]
     run: Annotated[str, Meta(max_length=64)]
@@ -181,85 +193,92 @@
     whole: Digest | UnsetType = UNSET
 
 
-BEAT = msgspec.json.Decoder(Beat)
+HEARTBEAT_DECODER = msgspec.json.Decoder(Heartbeat)
 
 
-def write_beat(beat: Beat) -> bytes:
-    return msgspec.json.encode(beat)
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
+    """Encodes a heartbeat as JSON."""
+    return msgspec.json.encode(heartbeat)
 
 
-def read_beat(data: bytes) -> Beat | None:
-    """None where it is no beat."""
+def decode_heartbeat(data: bytes) -> Heartbeat | None:
+    """Decodes a heartbeat; None for malformed data."""
     try:
-        return BEAT.decode(data[: MOST_BEAT + 1])
+        return HEARTBEAT_DECODER.decode(data[: MAX_HEARTBEAT_BYTES + 1])
     except msgspec.DecodeError:
         return None
 
 
-class Beats:
-    """What a supervisor's own polls of its region's beat prove.
+class HeartbeatTracker:
+    """Derives from a supervisor's polls of its region's heartbeat how long the region is known to be in contact with
+    the top-level fleet.
 
-    A beat was made after the one before it of its run had taken effect, and that was after any poll that still read an
-    older one of the run. So it proves that the region's lease in the whole held at some moment after that poll was
-    asked, however late the beat itself arrived. Guards against a supervisor that goes on in a region which the others
-    have come to count as away."""
+    A heartbeat was created after the previous one of its run took effect, which was after any poll that still read an
+    older one of the run. It therefore proves that the region's lease in the top-level fleet was valid at some moment
+    after that poll was sent, however late the heartbeat itself arrived. Guards against a supervisor that continues to
+    act in a region which the others already count as absent."""
 
     def __init__(self, timeout: float, drift: float) -> None:
-        self.holds_for = HOLDS * timeout * (1 - drift)
-        self.run, self.last = "", None  # the beat that was read last
-        self.polls: deque[tuple[int, float]] = deque(maxlen=BEATS)  # of this run: number read, when asked last
-        self.until = float("-inf")  # when the proof is over
-        self.changed_at: float | None = None  # when a new beat was read last, or first looked for
-
-    def heard(self, beat: Beat | None, asked: float, now: float) -> None:
-        """A poll that was asked at `asked` has been answered; None where there is no beat."""
-        if self.changed_at is None:
-            self.changed_at = now
-        if beat is None:
+        """`timeout`: session timeout in seconds; `drift`: largest relative clock drift."""
+        self.valid_for = HOLDS * timeout * (1 - drift)
+        self.run, self.last = "", None  # the heartbeat read last, and its run
+        self.polls: deque[tuple[int, float]] = deque(
+            maxlen=HEARTBEATS_PER_TIMEOUT
+        )  # of this run: number read, time of the last poll that read it
+        self.proven_until = float("-inf")  # end of the proven contact
+        self.last_change_at: float | None = None  # when a new heartbeat was last read, or the first poll answered
+
+    def observe(self, heartbeat: Heartbeat | None, polled_at: float, now: float) -> None:
+        """Records the answer to a poll sent at `polled_at`; `heartbeat` is None where none is stored."""
+        if self.last_change_at is None:
+            self.last_change_at = now
+        if heartbeat is None:
             return
-        if beat.run != self.run:
-            self.run, self.last = beat.run, None
+        if heartbeat.run != self.run:
+            self.run, self.last = heartbeat.run, None
             self.polls.clear()
-        if self.last is None or beat.number != self.last.number:
-            self.changed_at = now
-        older = [at for number, at in self.polls if number <= beat.number - 2]
-        if older:
-            self.until = max(self.until, max(older) + self.holds_for)
-        self.last = beat
-        if self.polls and self.polls[-1][0] == beat.number:
+        if self.last is None or heartbeat.number != self.last.number:
+            self.last_change_at = now
+        older_polls = [at for number, at in self.polls if number <= heartbeat.number - 2]
+        if older_polls:
+            self.proven_until = max(self.proven_until, max(older_polls) + self.valid_for)
+        self.last = heartbeat
+        if self.polls and self.polls[-1][0] == heartbeat.number:
             self.polls.pop()
-        self.polls.append((beat.number, asked))
+        self.polls.append((heartbeat.number, polled_at))
 
-    def quiet_for(self, now: float) -> float | None:
-        """Seconds without a new beat; None before the first poll was answered."""
-        return None if self.changed_at is None else now - self.changed_at
+    def silent_for(self, now: float) -> float | None:
+        """Seconds without a new heartbeat; None before the first poll is answered."""
+        return None if self.last_change_at is None else now - self.last_change_at
 
 
 def everywhere(timeout: float, drift: float) -> float:
-    """Seconds from a settling in the whole until nobody's lease and chain rest on what was read before it: a region's
-    lease in the whole, and what its last beat proves."""
+    """Seconds from a commit in the top-level fleet until no supervisor may act on an earlier read: a region's lease in
+    the top-level fleet plus the validity of its last heartbeat."""
     return (1 + HOLDS) * timeout * (1 + drift)
 
 
-def lag(timeout: float, drift: float) -> float:
-    """Seconds for which supervisors behind a name may hold leases and beats after its own node is gone."""
+def absence_margin(timeout: float, drift: float) -> float:
+    """Seconds for which the supervisors behind a member name may still hold leases and valid heartbeats after the
+    member's node is gone."""
     return timeout * (1 + 2 * drift)
 
 
-# ---- who speaks -----------------------------------------------------------------------------------------------
+# ---- delegates --------------------------------------------------------------------------------------------------
 
 
-def due_to_speak(trouble_for: float, rank: int, at_once: bool, timeout: float) -> bool:
-    """Whether the one of a rank is to speak where nobody is seen to do so for `trouble_for` seconds. `at_once`: there
-    is surely nobody, so the first need not wait. Only cost rests on it: two that speak come to the same."""
-    return trouble_for >= STAGGER * timeout * (rank if at_once else rank + 1)
+def takeover_due(unattended_for: float, rank: int, vacant: bool, timeout: float) -> bool:
+    """Whether the supervisor of a rank is to become the delegate after `unattended_for` seconds without a working one.
+    `vacant`: there is certainly no delegate, so the first in order need not wait. This only limits cost: two delegates
+    at once reach the same result."""
+    return unattended_for >= STAGGER_FRACTION * timeout * (rank if vacant else rank + 1)
 
 
-# ---- digests --------------------------------------------------------------------------------------------------
+# ---- digests ----------------------------------------------------------------------------------------------------
 
 
-def digest_of(rows: Iterable[Row]) -> Digest:
-    """Of a cell, from its roll."""
+def cell_digest(rows: Iterable[Row]) -> Digest:
+    """Digest of a cell, from the rows of its membership view."""
     rows = [row for row in rows if row.state != "stranger"]
     policies: dict[str, int] = {}
     for row in rows:
@@ -267,31 +286,31 @@
             version = str(row.member.policy)
             policies[version] = policies.get(version, 0) + 1
     living, leaving = (sum(row.state == state for row in rows) for state in ("living", "leaving"))
-    return Digest(len(rows), living, leaving, len(rows) - living - leaving, bounded(policies))
+    return Digest(len(rows), living, leaving, len(rows) - living - leaving, bounded_policies(policies))
 
 
-def digest_above(living: dict[str, Member], sizes: dict[str, int]) -> Digest:
-    """Of a fleet of fleets: what those who are there say of theirs. Those behind a name that is not there, or says
-    nothing, count as silent."""
-    said = {name: member.digest for name, member in living.items() if member.digest is not UNSET}
+def aggregate_digest(living: dict[str, Member], sizes: dict[str, int]) -> Digest:
+    """Digest of a fleet of fleets: the sum of the digests that its living members publish. All supervisors behind a
+    member that is absent or publishes no digest count as silent."""
+    reported = {name: member.digest for name, member in living.items() if member.digest is not UNSET}
     policies: dict[str, int] = {}
-    for digest in said.values():
+    for digest in reported.values():
         for version, count in digest.policies.items():
             policies[version] = policies.get(version, 0) + count
-    unheard = sum(size for name, size in sizes.items() if name not in said)
+    silent = sum(size for name, size in sizes.items() if name not in reported)
     return Digest(
         sum(sizes.values()),
-        sum(each.living for each in said.values()),
-        sum(each.leaving for each in said.values()),
-        unheard + sum(each.silent for each in said.values()),
-        bounded(policies),
+        sum(each.living for each in reported.values()),
+        sum(each.leaving for each in reported.values()),
+        silent + sum(each.silent for each in reported.values()),
+        bounded_policies(policies),
     )
 
 
-def bounded(policies: dict[str, int]) -> dict[str, int]:
-    """The newest versions by themselves, all older ones with the oldest of these."""
+def bounded_policies(policies: dict[str, int]) -> dict[str, int]:
+    """Keeps the newest policy versions and adds the counts of all older ones to the oldest of these."""
     newest = sorted(policies, key=int, reverse=True)
-    kept = {version: policies[version] for version in newest[:MOST_POLICIES]}
-    for version in newest[MOST_POLICIES:]:
-        kept[newest[MOST_POLICIES - 1]] += policies[version]
-    return kept
+    counts = {version: policies[version] for version in newest[:MAX_POLICY_VERSIONS]}
+    for version in newest[MAX_POLICY_VERSIONS:]:
+        counts[newest[MAX_POLICY_VERSIONS - 1]] += policies[version]
+    return counts
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -124,7 +124,7 @@
     def up(self) -> None:
         self.until(lambda: all(agent.holds() for agent in self.agents.values()))
 
-    # ---- faults -----------------------------------------------------------------------------------------------
+    # ---- faults -------------------------------------------------------------------------------------------------
 
     def kill(self, name: str) -> None:
         self.network.end(self.seats[name])
@@ -158,7 +158,7 @@
     def store_still(self, seconds: float) -> None:
         self.store_seat.hold_still(self.loop.now + seconds)
 
-    # ---- what stands ------------------------------------------------------------------------------------------
+    # ---- what stands --------------------------------------------------------------------------------------------
 
     def propose(
         self, name: str, topic: str, body: object = None, quorum: int | None = None, patience: float = 3.0, **more
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -89,7 +89,7 @@
     all_ended(fleet)
 
 
-# ---- each check is seen to fail -------------------------------------------------------------------------------
+# ---- each check is seen to fail ---------------------------------------------------------------------------------
 
 
 class NoLease(Agent):
@@ -157,7 +157,7 @@
     assert not fails(range(30), agent=Bounded, drift=0.3)
 
 
-# ---- one by one -----------------------------------------------------------------------------------------------
+# ---- one by one -------------------------------------------------------------------------------------------------
 
 
 @pytest.fixture
--- a/tests/test_coordination_model.py
+++ b/tests/test_coordination_model.py
@@ -130,7 +130,7 @@
     assert said in found.broken and found.way
 
 
-# ---- records: proposals, words, and who counts them, over a store ------------------------------------------------
+# ---- records: proposals, words, and who counts them, over a store -----------------------------------------------
 
 
 class Peer(NamedTuple):
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -6,7 +6,7 @@
 from driftshed.coordination import agreement
 from driftshed.coordination.members import Roll
 from driftshed.coordination.tiered import Tiered
-from driftshed.coordination.tiers import BadTiers, read_tiers
+from driftshed.coordination.tiers import HierarchyError, read_tiers
 from driftshed.policy.change import waited_out
 from driftshed.policy.part import PolicyPart
 from driftshed.roster.announce import Standing
@@ -50,7 +50,7 @@
     check_ends(fleet)
 
 
-# ---- whoever speaks is lost, at each point ------------------------------------------------------------------------
+# ---- whoever speaks is lost, at each point ----------------------------------------------------------------------
 
 CELL = "r1c1"
 
@@ -104,8 +104,8 @@
     fleet.until(lambda: MOMENTS[moment](fleet), 5, 0.001)
     first = fleet.speaker(CELL)
     second = fleet.agents[next(name for name in fleet.cells[CELL] if name != first)]
-    second.named, second.troubled_at = False, float("-inf")
-    second._speak_for_cell()
+    second.cell_registered, second.unattended_since = False, float("-inf")
+    second._maintain_cell_delegate()
     assert second.for_cell is not None and fleet.agents[first].for_cell is not None
     fleet.until(lambda: fleet.everywhere(2), 20)
     assert fleet.words_up("r1", made) == {cell: True for cell in fleet.regions["r1"]}
@@ -113,7 +113,7 @@
     assert sum(fleet.agents[name].for_cell is not None for name in fleet.cells[CELL]) == 1
 
 
-# ---- some are always away -----------------------------------------------------------------------------------------
+# ---- some are always away ---------------------------------------------------------------------------------------
 
 
 def test_a_member_that_is_away_is_done_without_once_it_holds_still_by_itself_and_not_before(tmp_path):
@@ -172,7 +172,7 @@
     ends(fleet, 2)
 
 
-# ---- a region cut off ---------------------------------------------------------------------------------------------
+# ---- a region cut off -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("when", ["before it is asked for", "while it is open", "once it is settled"])
@@ -198,7 +198,7 @@
     ends(fleet, 3)
 
 
-# ---- a store gone, all starting at once ---------------------------------------------------------------------------
+# ---- a store gone, all starting at once -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("store", [WHOLE, "r1"])
@@ -230,7 +230,7 @@
         assert {node.partition("~")[0] for node in expected} <= set(fleet.cells[fleet.cell_of[name]])
 
 
-# ---- bad input ----------------------------------------------------------------------------------------------------
+# ---- bad input --------------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -255,7 +255,7 @@
 def test_a_file_that_cannot_be_says_why_and_what_to_do(old, new, said):
     text = tiers_text()
     assert old in text
-    with pytest.raises(BadTiers) as error:
+    with pytest.raises(HierarchyError) as error:
         read_tiers(text.replace(old, new) if old == "[[regions]]" else text.replace(old, new, 1))
     assert said in str(error.value) and "\n" not in str(error.value)
 
@@ -293,7 +293,7 @@
     assert fleet.above().state == "void" and "by r3: give all the same --tiers" in fleet.above().why
 
 
-# ---- drawn histories ----------------------------------------------------------------------------------------------
+# ---- drawn histories --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -303,7 +303,7 @@
     check_ends(fleet)
 
 
-# ---- each check is seen to fail -----------------------------------------------------------------------------------
+# ---- each check is seen to fail ---------------------------------------------------------------------------------
 
 
 def test_a_build_that_acts_by_its_cell_alone_is_seen(tmp_path, monkeypatch):
--- a/tests/test_tiers_decisions.py
+++ b/tests/test_tiers_decisions.py
@@ -10,7 +10,7 @@
 from driftshed.coordination import agreement, tiers
 from driftshed.coordination.agreement import Record, Standing, Vote
 from driftshed.coordination.members import Digest, Member, Roll
-from driftshed.coordination.tiers import BadTiers, Beat, Beats, read_tiers
+from driftshed.coordination.tiers import Heartbeat, HeartbeatTracker, HierarchyError, read_tiers
 
 FILE = """
 form = 1
@@ -34,13 +34,19 @@
 
 
 def test_a_supervisor_finds_its_place_in_three_fleets():
-    place = read_tiers(FILE).place("n1b")
-    assert place.cell == ("n1b", "/driftshed/cells/n1", [("127.0.0.3", 2181), ("127.0.0.4", 2181)], ("n1a", "n1b"), {})
-    assert (place.region.name, place.region.root) == ("n1", "/driftshed/regions/north")
-    assert place.region.expected == ("n1", "n2")
-    assert place.region.hosts == place.cell.hosts and place.region.sizes == {"n1": 2, "n2": 1}
-    assert place.whole[:4] == ("north", "/driftshed/whole", [("127.0.0.2", 2181)], ("north", "south"))
-    assert place.whole.sizes == {"north": 3, "south": 3} and read_tiers(FILE).supervisors() == 6
+    placement = read_tiers(FILE).placement("n1b")
+    assert placement.cell == (
+        "n1b",
+        "/driftshed/cells/n1",
+        [("127.0.0.3", 2181), ("127.0.0.4", 2181)],
+        ("n1a", "n1b"),
+        {},
+    )
+    assert (placement.region.name, placement.region.root) == ("n1", "/driftshed/regions/north")
+    assert placement.region.expected == ("n1", "n2")
+    assert placement.region.hosts == placement.cell.hosts and placement.region.sizes == {"n1": 2, "n2": 1}
+    assert placement.top[:4] == ("north", "/driftshed/whole", [("127.0.0.2", 2181)], ("north", "south"))
+    assert placement.top.sizes == {"north": 3, "south": 3} and read_tiers(FILE).supervisor_count() == 6
 
 
 NAMES = ", ".join(f'"m{k}"' for k in range(65))
@@ -52,105 +58,111 @@
         (
             'members = ["n2a"]',
             f"members = [{NAMES}]",
-            "65 members in cell n2, 64 at the most: move some to another cell",
+            "65 members in cell n2, at most 64: move some to another cell",
         ),
         ('name = "n2"', 'name = "n 2"', "a cell: 'n 2': a name of letters"),
-        ('name = "n2"', 'name = ".."', "'..' is no name"),
-        ('name = "n2"', 'name = "n1"', "'n1' is a cell and a cell: each name stands once"),
+        ('name = "n2"', 'name = ".."', "'..' is not a valid name"),
+        ('name = "n2"', 'name = "n1"', "'n1' is a cell and a cell: names must be unique"),
         ('"s1c"', '"n1a"', "'n1a' is a member of n1 and a member of s1"),
-        ('name = "south"', 'name = "n1"', "'n1' is a cell and a region: each name stands once"),
+        ('name = "south"', 'name = "n1"', "'n1' is a cell and a region: names must be unique"),
         ('members = ["n2a"]', "members = []", "length >= 1"),
         ('"127.0.0.5:2181"', '"10.0.0.5:2181"', "stores of south: '10.0.0.5:2181': write loopback address and port"),
         ('"127.0.0.5:2181"', '""', "stores of south: name at least one"),
         ('stores = "127.0.0.2:2181"', "", "missing required field `stores`"),
         ("form = 1", "form = 2", "form 2 is newer than this build reads (1): update driftshed"),
-        ("form = 1", "form = ", "no TOML"),
+        ("form = 1", "form = ", "invalid TOML"),
         ("form = 1", 'form = 1\nroot = "driftshed"', "root 'driftshed': write a path such as /driftshed"),
         ("form = 1", "form = 1\nspeed = 3", "unknown field"),
     ],
 )
 def test_a_file_that_cannot_be_is_refused_with_the_remedy(old, new, says):
     assert FILE.count(old) >= 1
-    with pytest.raises(BadTiers) as told:
+    with pytest.raises(HierarchyError) as told:
         read_tiers(FILE.replace(old, new, 1))
     assert says in str(told.value)
 
 
 def test_65_cells_and_65_regions_are_refused():
     cells = "".join(f'[[regions.cells]]\nname = "c{k}"\nmembers = ["m{k}"]\n' for k in range(65))
-    with pytest.raises(BadTiers, match="65 cells in region far, 64 at the most"):
+    with pytest.raises(HierarchyError, match="65 cells in region far, at most 64"):
         read_tiers(FILE + f'[[regions]]\nname = "far"\nstores = "127.0.0.6:2181"\n{cells}')
     regions = "".join(
         f'[[regions]]\nname = "r{k}"\nstores = "127.0.0.6:2181"\n[[regions.cells]]\nname = "c{k}"\nmembers = ["m{k}"]\n'
         for k in range(63)
     )
-    with pytest.raises(BadTiers, match="65 regions in the whole, 64 at the most"):
+    with pytest.raises(HierarchyError, match="65 regions in the top-level fleet, at most 64"):
         read_tiers(FILE + regions)
 
 
 def test_one_that_is_in_no_cell_is_told_what_to_do():
-    with pytest.raises(BadTiers, match="'n9' is in no cell: name it among the members of one, or give another --name"):
-        read_tiers(FILE).place("n9")
+    with pytest.raises(
+        HierarchyError, match="'n9' is in no cell: name it among the members of one, or give another --name"
+    ):
+        read_tiers(FILE).placement("n9")
 
 
-# ---- beats --------------------------------------------------------------------------------------------------------
+# ---- beats ------------------------------------------------------------------------------------------------------
 
 
 def test_a_beat_counts_from_the_last_poll_that_read_one_two_older():
-    beats = Beats(4.0, 0.0)
-    beats.heard(Beat("a", "r", 5), 10.0, 10.1)
-    beats.heard(Beat("a", "r", 6), 10.5, 10.6)
-    assert beats.until == float("-inf")  # the one before may have been sent long ago and come late
-    beats.heard(Beat("a", "r", 7), 11.0, 11.1)
-    assert beats.until == 10.0 + 3.0  # number 6 took effect after the poll of 10.0 was asked, and 7 was made after that
-    beats.heard(Beat("a", "r", 7), 11.5, 11.6)
-    assert beats.until == 13.0  # nothing new, nothing proven
+    tracker = HeartbeatTracker(4.0, 0.0)
+    tracker.observe(Heartbeat("a", "r", 5), 10.0, 10.1)
+    tracker.observe(Heartbeat("a", "r", 6), 10.5, 10.6)
+    assert tracker.proven_until == float("-inf")  # the one before may have been sent long ago and come late
+    tracker.observe(Heartbeat("a", "r", 7), 11.0, 11.1)
+    assert (
+        tracker.proven_until == 10.0 + 3.0
+    )  # number 6 took effect after the poll of 10.0 was asked, and 7 was made after that
+    tracker.observe(Heartbeat("a", "r", 7), 11.5, 11.6)
+    assert tracker.proven_until == 13.0  # nothing new, nothing proven
 
 
 def test_a_beat_that_was_held_up_proves_nothing_of_when_it_came():
-    beats = Beats(4.0, 0.0)
+    tracker = HeartbeatTracker(4.0, 0.0)
     for number, asked in ((1, 0.0), (2, 0.5), (3, 1.0)):
-        beats.heard(Beat("a", "r", number), asked, asked)
-    assert beats.until == 3.0
+        tracker.observe(Heartbeat("a", "r", number), asked, asked)
+    assert tracker.proven_until == 3.0
     for k in range(20):  # the next one is in a pipe; it was made before it went in
-        beats.heard(Beat("a", "r", 3), 1.5 + k, 1.5 + k)
-    beats.heard(Beat("a", "r", 4), 30.0, 30.0)
-    assert beats.until == 0.5 + 3.0
+        tracker.observe(Heartbeat("a", "r", 3), 1.5 + k, 1.5 + k)
+    tracker.observe(Heartbeat("a", "r", 4), 30.0, 30.0)
+    assert tracker.proven_until == 0.5 + 3.0
 
 
 def test_beats_of_another_run_count_by_themselves():
-    beats = Beats(4.0, 0.0)
+    tracker = HeartbeatTracker(4.0, 0.0)
     for number, asked in ((1, 0.0), (2, 0.5), (3, 1.0)):
-        beats.heard(Beat("a", "r", number), asked, asked)
-    beats.heard(Beat("b", "q", 9), 2.0, 2.0)
-    beats.heard(Beat("b", "q", 10), 2.5, 2.5)
-    assert beats.until == 3.0
-    beats.heard(Beat("b", "q", 11), 3.0, 3.0)
-    assert beats.until == 5.0
+        tracker.observe(Heartbeat("a", "r", number), asked, asked)
+    tracker.observe(Heartbeat("b", "q", 9), 2.0, 2.0)
+    tracker.observe(Heartbeat("b", "q", 10), 2.5, 2.5)
+    assert tracker.proven_until == 3.0
+    tracker.observe(Heartbeat("b", "q", 11), 3.0, 3.0)
+    assert tracker.proven_until == 5.0
 
 
 def test_silence_is_counted_from_the_last_new_beat_or_the_first_look():
-    beats = Beats(4.0, 0.0)
-    assert beats.quiet_for(1.0) is None
-    beats.heard(None, 1.0, 1.0)
-    assert beats.quiet_for(3.0) == 2.0
-    beats.heard(Beat("a", "r", 1), 3.0, 3.0)
-    beats.heard(Beat("a", "r", 1), 4.0, 4.0)
-    assert beats.quiet_for(5.0) == 2.0
+    tracker = HeartbeatTracker(4.0, 0.0)
+    assert tracker.silent_for(1.0) is None
+    tracker.observe(None, 1.0, 1.0)
+    assert tracker.silent_for(3.0) == 2.0
+    tracker.observe(Heartbeat("a", "r", 1), 3.0, 3.0)
+    tracker.observe(Heartbeat("a", "r", 1), 4.0, 4.0)
+    assert tracker.silent_for(5.0) == 2.0
 
 
 def test_what_is_no_beat_is_none():
-    assert tiers.read_beat(b"") is None and tiers.read_beat(b'{"by":"a","run":"r","number":0}') is None
-    assert tiers.read_beat(tiers.write_beat(Beat("a", "r", 1, Digest(3, 2)))) == Beat("a", "r", 1, Digest(3, 2))
+    assert tiers.decode_heartbeat(b"") is None and tiers.decode_heartbeat(b'{"by":"a","run":"r","number":0}') is None
+    assert tiers.decode_heartbeat(tiers.encode_heartbeat(Heartbeat("a", "r", 1, Digest(3, 2)))) == Heartbeat(
+        "a", "r", 1, Digest(3, 2)
+    )
 
 
 def test_the_next_in_the_order_speaks_later():
-    assert tiers.due_to_speak(0.0, 0, True, 4.0) and not tiers.due_to_speak(0.0, 0, False, 4.0)
-    assert not tiers.due_to_speak(1.9, 1, True, 4.0) and tiers.due_to_speak(2.0, 1, True, 4.0)
-    assert not tiers.due_to_speak(3.9, 1, False, 4.0) and tiers.due_to_speak(4.0, 1, False, 4.0)
+    assert tiers.takeover_due(0.0, 0, True, 4.0) and not tiers.takeover_due(0.0, 0, False, 4.0)
+    assert not tiers.takeover_due(1.9, 1, True, 4.0) and tiers.takeover_due(2.0, 1, True, 4.0)
+    assert not tiers.takeover_due(3.9, 1, False, 4.0) and tiers.takeover_due(4.0, 1, False, 4.0)
 
 
-# ---- copies and words ---------------------------------------------------------------------------------------------
+# ---- copies and words -------------------------------------------------------------------------------------------
 
 STOOD = Standing(3, "old", "x", {"version": 1})
 
@@ -220,7 +232,7 @@
     assert agreement.aborted(record, "no").state == "void"
 
 
-# ---- who is away --------------------------------------------------------------------------------------------------
+# ---- who is away ------------------------------------------------------------------------------------------------
 
 
 def test_silence_is_counted_from_when_the_roll_was_watched_without_a_gap():
@@ -245,28 +257,28 @@
     assert "a" not in roll.living() and roll.away(100.0) == {}
 
 
-# ---- digests ------------------------------------------------------------------------------------------------------
+# ---- digests ----------------------------------------------------------------------------------------------------
 
 
 def test_digests_of_cells_add_up_and_are_bounded():
     roll = Roll(("a", "b", "c", "d"), 0.0)
     for k, (name, state, policy) in enumerate((("a", "serving", 3), ("b", "leaving", 2), ("x", "serving", 9))):
         roll.appeared(f"{name}~1", Member(name, state=state, policy=policy, incarnation=1), k, 0.0)
-    digest = tiers.digest_of(roll.rows(1.0))
+    digest = tiers.cell_digest(roll.rows(1.0))
     assert digest == Digest(4, 1, 1, 2, {"3": 1, "2": 1})
-    above = tiers.digest_above({"n1": Member("n1", digest=digest), "n2": Member("n2")}, {"n1": 4, "n2": 3, "n3": 5})
+    above = tiers.aggregate_digest({"n1": Member("n1", digest=digest), "n2": Member("n2")}, {"n1": 4, "n2": 3, "n3": 5})
     assert above == Digest(12, 1, 1, 2 + 3 + 5, {"3": 1, "2": 1})
-    many = tiers.bounded({str(k): k for k in range(1, 9)})
+    many = tiers.bounded_policies({str(k): k for k in range(1, 9)})
     assert many == {"8": 8, "7": 7, "6": 6, "5": 1 + 2 + 3 + 4 + 5}
 
 
-# ---- the command line ---------------------------------------------------------------------------------------------
+# ---- the command line -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     "text, more, says",
     [
-        (FILE.replace('"n2a"', NAMES), (), "65 members in cell n2, 64 at the most: move some to another cell"),
+        (FILE.replace('"n2a"', NAMES), (), "65 members in cell n2, at most 64: move some to another cell"),
         (FILE, ("--name", "n9"), "'n9' is in no cell: name it among the members of one, or give another --name"),
         (FILE, ("--fleet-connect", "127.0.0.1:2181"), "--fleet-connect does not go with it"),
         (FILE, ("--expected", "a,b"), "--expected does not go with it"),
--- a/tests/tiers.py
+++ b/tests/tiers.py
@@ -11,7 +11,7 @@
 from driftshed.coordination import agreement
 from driftshed.coordination.lease import DRIFT
 from driftshed.coordination.taking_part import take_part
-from driftshed.coordination.tiers import Tiers, lag, read_tiers
+from driftshed.coordination.tiers import Hierarchy, absence_margin, read_tiers
 from driftshed.core.hub import Refused
 from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
 from driftshed.policy.change import TOPIC, everywhere_within, read_change
@@ -150,7 +150,7 @@
         self.timeout, self.part_class = timeout, part
         self.loop, self.starts = VirtualLoop(), 0
         self.text = text or tiers_text(regions, cells, members)
-        self.tiers: Tiers = read_tiers(self.text)
+        self.tiers: Hierarchy = read_tiers(self.text)
         self.near, self.far = near, far
         self.network = Network(self.loop, seed, self._way)
         self.regions = {f"r{r}": [f"r{r}c{c}" for c in range(1, cells + 1)] for r in range(1, regions + 1)}
@@ -176,7 +176,7 @@
         self.services: dict[str, HollowService] = {}
         self.seats: dict[str, DriftingSeat] = {}
         self.dead: set[str] = set()
-        self.other_tiers: dict[str, Tiers] = {}  # of those that were told something else
+        self.other_tiers: dict[str, Hierarchy] = {}  # of those that were told something else
         self.acts: list[tuple[float, str, int]] = []
         self.claims: list[tuple[float, str, str]] = []
         self.logs: list[tuple[float, str, str, dict]] = []
@@ -191,7 +191,7 @@
         delay = self.near if len(places) == 1 else self.far
         return Way(delay, delay / 10)
 
-    # ---- supervisors ------------------------------------------------------------------------------------------
+    # ---- supervisors --------------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
         """A new process of this name."""
@@ -236,7 +236,7 @@
             cell = self.cell_of[name]
             for who in (cell, self.region_of[name]):
                 gone = now - self.there_at.get(who, 0.0)
-                if gone > lag(self.timeout, self.drift) + SLACK and not self._stands(who):
+                if gone > absence_margin(self.timeout, self.drift) + SLACK and not self._stands(who):
                     self.claims.append((now, name, f"nobody has spoken for {who} for {gone:.2f} s"))
 
     def store_of(self, name: str) -> Place:
@@ -283,7 +283,7 @@
         for stream in [s for s in self.network.streams if s.peer[0] == host]:
             stream.abort("reset", hard=True)
 
-    # ---- time -------------------------------------------------------------------------------------------------
+    # ---- time ---------------------------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
         self.loop.run(self.loop.now + seconds)
@@ -302,7 +302,7 @@
     def living(self) -> list[str]:
         return [name for name in self.names if name not in self.dead]
 
-    # ---- changes ----------------------------------------------------------------------------------------------
+    # ---- changes ------------------------------------------------------------------------------------------------
 
     def ask(self, name: str, grace: float, **more) -> dict | str:
         """Proposes a document; why not, where it is refused."""
@@ -346,7 +346,7 @@
     def everywhere(self, version: int) -> bool:
         return set(self.runs().values()) == {version}
 
-    # ---- what stands ------------------------------------------------------------------------------------------
+    # ---- what stands --------------------------------------------------------------------------------------------
 
     def record(self, store: str, root: str):
         data = self.stores[store].data(f"{root}/records/{TOPIC}")
@@ -425,7 +425,7 @@
         return everywhere_within(self.timeout, AHEAD, self.drift, tiers=3)
 
 
-# ---- what must hold -----------------------------------------------------------------------------------------------
+# ---- what must hold ---------------------------------------------------------------------------------------------
 
 
 def check_acts(fleet: TieredFleet) -> None:
@@ -513,7 +513,7 @@
     check_leases(fleet)
 
 
-# ---- drawn histories ----------------------------------------------------------------------------------------------
+# ---- drawn histories --------------------------------------------------------------------------------------------
 
 
 def drawn_history(folder: Path, seed: int, seconds: float = 30.0, quiet: float = 22.0, **given) -> TieredFleet:
