--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,5 @@
-"""Several agents and a store in virtual time, with faults between them; and what must hold of any history."""
+"""A simulated fleet: several agents and a store in virtual time, with injected faults; and a checker of its
+invariants."""
 
 from __future__ import annotations
 
@@ -14,11 +15,11 @@
 from driftshed.roster.serve import StoreServer
 from driftshed.roster.tree import Tree
 
-STORE, ROOT, TIMEOUT, ACT_EVERY = ("127.0.0.2", 2181), "/driftshed/fleet", 2.0, 0.05
+STORE, ROOT, TIMEOUT, ACTION_INTERVAL_S = ("127.0.0.2", 2181), "/driftshed/fleet", 2.0, 0.05
 
 
 class MemoryLog:
-    """As the store's log: what was synced is there after a crash, the rest is not."""
+    """In-memory replacement for the store's log: only synced rows survive a crash."""
 
     def __init__(self, rows: list) -> None:
         self.rows, self.synced, self.tree = rows, len(rows), Tree()
@@ -36,7 +37,7 @@
 
 
 class DriftingSeat(Seat):
-    """A process whose monotonic clock runs at a rate of its own."""
+    """A simulated process whose monotonic clock runs at its own rate."""
 
     def __init__(self, loop: VirtualLoop, name: str, rate: float) -> None:
         super().__init__(loop, name)
@@ -48,27 +49,31 @@
         return self.clock()
 
     def at(self, when, call):
-        return super().at(when / self.rate + 1e-9, call)  # else rounding calls it too early by its own clock
+        return super().at(when / self.rate + 1e-9, call)  # rounding must not fire it too early by its own clock
 
     def after(self, seconds, call):
         return self.at(self.clock() + seconds, call)
 
 
 class Fleet:
-    """`names` of the expected; `settled`, `told` and `acts` collect what the checkers look at."""
+    """Agents with the given `names` and one store. `actions`, `saw` and `proposals` record what `check` examines."""
 
     def __init__(self, names=("a", "b", "c"), seed: int = 1, drift: float = DRIFT, agent=Agent, delay=0.002) -> None:
         self.loop, self.names, self.random, self.agent_class = VirtualLoop(), tuple(names), Random(seed), agent
         self.network = Network(self.loop, seed, lambda here, there: Way(delay, delay / 2))
         self.network.zones[STORE[0]] = "store"
         self.drift, self.seed, self.starts = drift, seed, 0
-        self.acts: list[tuple[float, str, int, bool]] = []  # time, name, incarnation, whether its session stood
-        self.saw: dict[tuple[str, int, str], list] = defaultdict(list)  # by agent and topic: records, as they came
+        self.actions: list[
+            tuple[float, str, int, bool]
+        ] = []  # time, name, incarnation, whether the store still had its session
+        self.saw: dict[tuple[str, int, str], list] = defaultdict(
+            list
+        )  # by agent and topic: records in the order received
         self.proposals: list[tuple[str, object]] = []  # topic, proposal
         self.agents: dict[str, Agent] = {}
         self.all: list[Agent] = []
         self.seats: dict[str, DriftingSeat] = {}
-        self.words = {}  # by name: what it says of records, by topic
+        self.votes = {}  # by name and topic: the vote to cast, (True, "") unless set
         self.rows: list = []
         self._serve()
         for name in self.names:
@@ -80,12 +85,12 @@
         self.store = StoreServer(self.store_seat, STORE, self.log, self.seed, self.network.listen)
 
     def start(self, name: str, host: str | None = None) -> Agent:
-        """A new process of this name; one that still runs goes on beside it."""
+        """Starts a process with this name; an earlier one that still runs continues alongside."""
         self.starts += 1
         host = host or f"127.0.1.{self.starts}"
         self.network.zones[host] = host
-        rate = 1 + self.drift / 2 * self.random.uniform(-1, 1)
-        seat = DriftingSeat(self.loop, name, rate)
+        clock_rate = 1 + self.drift / 2 * self.random.uniform(-1, 1)
+        seat = DriftingSeat(self.loop, name, clock_rate)
         member = Member(name, f"{host}:7000", "test")
         agent = self.agent_class(
             seat,
@@ -98,18 +103,18 @@
             dial=self.network.dial(host),
         )
         agent.host, agent.seat = host, seat
-        agent.judge = lambda record: self.words.get((name, record.topic), (True, ""))
+        agent.judge = lambda record: self.votes.get((name, record.topic), (True, ""))
         agent.on_record = lambda record: self.saw[name, id(agent), record.topic].append(record)
         self.agents[name], self.seats[name] = agent, seat
         self.all.append(agent)
 
-        def act() -> None:
+        def record_action() -> None:
             if agent.holds():
-                stands = agent.client.session.session in self.store.store.tree.sessions
-                self.acts.append((self.loop.now, name, agent.incarnation, stands))
-            seat.after(ACT_EVERY, act)
+                session_exists = agent.client.session.session in self.store.store.tree.sessions
+                self.actions.append((self.loop.now, name, agent.incarnation, session_exists))
+            seat.after(ACTION_INTERVAL_S, record_action)
 
-        seat.after(ACT_EVERY * self.random.random(), act)
+        seat.after(ACTION_INTERVAL_S * self.random.random(), record_action)
         return agent
 
     def run(self, seconds: float) -> None:
@@ -118,7 +123,7 @@
     def until(self, condition, most: float = 60.0) -> None:
         end = self.loop.now + most
         while not condition():
-            assert self.loop.now < end, "not within the time"
+            assert self.loop.now < end, "the condition did not hold in time"
             self.run(0.05)
 
     def up(self) -> None:
@@ -134,18 +139,18 @@
 
     def cut(self, name: str, seconds: float, forth: bool = True, back: bool = True) -> None:
         host = self.agents[name].host
-        ways = [(host, STORE[0])] * forth + [(STORE[0], host)] * back
-        for way in ways:
-            self.network.way(*way).cut = True
+        links = [(host, STORE[0])] * forth + [(STORE[0], host)] * back
+        for link in links:
+            self.network.way(*link).cut = True
 
-        def mend() -> None:
-            for way in ways:
-                self.network.way(*way).cut = False
+        def reconnect() -> None:
+            for link in links:
+                self.network.way(*link).cut = False
 
-        self.network.loop_seat.after(seconds, mend)
+        self.network.loop_seat.after(seconds, reconnect)
 
     def lose_answers(self, name: str) -> None:
-        """Its connection is reset from the store's side: what it has asked for may be done, and is not answered."""
+        """Resets its connections from the store's side: pending requests may be executed, but stay unanswered."""
         host = self.agents[name].host
         for stream in [s for s in self.network.streams if s.peer[0] == host]:
             stream.abort("reset", hard=True)
@@ -155,10 +160,10 @@
         del self.rows[self.log.synced :]
         self.network.loop_seat.after(seconds, self._serve)
 
-    def store_still(self, seconds: float) -> None:
+    def pause_store(self, seconds: float) -> None:
         self.store_seat.hold_still(self.loop.now + seconds)
 
-    # ---- what stands --------------------------------------------------------------------------------------------
+    # ---- proposals and records ----------------------------------------------------------------------------------
 
     def propose(
         self, name: str, topic: str, body: object = None, quorum: int | None = None, patience: float = 3.0, **more
@@ -172,8 +177,8 @@
         return agreement.read_record(topic, node.data) if node is not None else None
 
     def history(self) -> list:
-        """Every record that was ever written, in the store's order, from its log."""
-        tree, written, versions = Tree(), [], {}
+        """Every record version ever written, in the store's order, from its log."""
+        tree, found, versions = Tree(), [], {}
         for row in self.rows:
             replay(tree, *row)
             folder = tree.nodes.get(f"{ROOT}/records")
@@ -181,42 +186,44 @@
                 node = tree.nodes[f"{ROOT}/records/{name}"]
                 if versions.get(name) != node.mzxid:
                     versions[name] = node.mzxid
-                    written.append(agreement.read_record(name, node.data))
-        return written
+                    found.append(agreement.read_record(name, node.data))
+        return found
 
 
 def check(fleet: Fleet) -> None:
-    """What must hold of any history, whatever broke. AssertionError names what does not."""
-    for at, name, incarnation, stood in fleet.acts:
-        assert stood, f"{name}~{incarnation} acted at {at:.3f} s on a lease whose session was over"
+    """Checks the invariants of any history, whatever faults occurred; AssertionError names the violation."""
+    for at, name, incarnation, session_existed in fleet.actions:
+        assert session_existed, f"{name}~{incarnation} acted at {at:.3f} s on a lease whose session had expired"
     owners: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    for at, name, incarnation, _ in fleet.acts:
+    for at, name, incarnation, _ in fleet.actions:
         owners[name].append((at, incarnation))
-    for name, acts in owners.items():
-        for (_, one), (at, two) in zip(acts, acts[1:], strict=False):
-            assert two >= one, f"{name}: start {one} had acted, then start {two} did at {at:.3f} s"
+    for name, actions in owners.items():
+        for (_, earlier), (at, later) in zip(actions, actions[1:], strict=False):
+            assert later >= earlier, f"{name}: start {earlier} had acted, then start {later} did at {at:.3f} s"
     written = fleet.history()
-    made: dict[int, str] = {}
-    ends: dict[int, set] = defaultdict(set)
+    tokens: dict[int, str] = {}
+    outcomes: dict[int, set] = defaultdict(set)
     for record in written:
-        assert made.setdefault(record.epoch, record.token) == record.token, f"epoch {record.epoch} was had twice"
+        assert tokens.setdefault(record.epoch, record.token) == record.token, (
+            f"epoch {record.epoch} was allocated twice"
+        )
         if record.state in ("settled", "void"):
-            ends[record.epoch].add(record.state)
-    for epoch, states in ends.items():
-        assert len(states) == 1, f"epoch {epoch} was both settled and voided"
+            outcomes[record.epoch].add(record.state)
+    for epoch, states in outcomes.items():
+        assert len(states) == 1, f"epoch {epoch} was both settled and void"
     last: dict[str, int] = {}
     for record in written:
-        assert record.epoch >= last.get(record.topic, 0), f"{record.topic}: epochs fell"
+        assert record.epoch >= last.get(record.topic, 0), f"{record.topic}: epochs decreased"
         last[record.topic] = record.epoch
     settled = {record.token: record for record in written if record.state == "settled"}
     for (name, _, topic), records in fleet.saw.items():
-        for one, two in zip(records, records[1:], strict=False):
-            assert agreement.newer(two, one), f"{name} saw {topic} fall from {one} to {two}"
+        for earlier, later in zip(records, records[1:], strict=False):
+            assert agreement.newer(later, earlier), f"{name} saw {topic} regress from {earlier} to {later}"
         for record in records:
             if record.state == "settled":
-                assert record.token in settled, f"{name} saw {topic} settled, and the store did not"
+                assert record.token in settled, f"{name} saw {topic} settled, but the store has no such record"
     for topic, proposal in fleet.proposals:
         if proposal.state == "settled":
-            assert proposal.token in settled, f"{topic}: told as settled, and it was not"
+            assert proposal.token in settled, f"{topic}: reported as settled, but it was not"
         elif proposal.state in ("void", "lost", "refused"):
-            assert proposal.token not in settled, f"{topic}: told as {proposal.state}, and it was settled"
+            assert proposal.token not in settled, f"{topic}: reported as {proposal.state}, but it was settled"
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Several supervisors over one store, in virtual time: members, leases, records, and drawn histories of faults."""
+"""Several supervisors over one store, in virtual time: members, leases, records, and random histories of faults."""
 
 from random import Random
 
@@ -16,49 +16,49 @@
 TOPICS = ("policy", "zone.east")
 
 
-def trouble(fleet: Fleet, chance: Random) -> None:
-    """One fault, or something that is asked for."""
+def inject_fault(fleet: Fleet, random: Random) -> None:
+    """Injects one fault, or requests one operation."""
     names = fleet.names
-    name, luck = chance.choice(names), chance.random()
-    if luck < 0.35:
-        topic = chance.choice(TOPICS)
+    name, draw = random.choice(names), random.random()
+    if draw < 0.35:
+        topic = random.choice(TOPICS)
         if fleet.agents[name].chair.standing is not Standing.FENCED and not fleet.seats[name].ended:
-            quorum = chance.choice([len(names), len(names) // 2 + 1])
-            binds = chance.choice([None, 2.0])
-            fleet.propose(name, topic, chance.random(), quorum, chance.choice([0.5, 3.0]), valid_for=binds)
-    elif luck < 0.42:
-        fleet.pause(name, TIMEOUT * chance.choice([0.3, 0.9, 1.1, 2.5]))
-    elif luck < 0.52:
-        fleet.cut(name, TIMEOUT * chance.choice([0.3, 0.9, 1.5, 3]), *chance.choice([(1, 1), (1, 0), (0, 1)]))
-    elif luck < 0.64:
+            quorum = random.choice([len(names), len(names) // 2 + 1])
+            valid_for = random.choice([None, 2.0])
+            fleet.propose(name, topic, random.random(), quorum, random.choice([0.5, 3.0]), valid_for=valid_for)
+    elif draw < 0.42:
+        fleet.pause(name, TIMEOUT * random.choice([0.3, 0.9, 1.1, 2.5]))
+    elif draw < 0.52:
+        fleet.cut(name, TIMEOUT * random.choice([0.3, 0.9, 1.5, 3]), *random.choice([(1, 1), (1, 0), (0, 1)]))
+    elif draw < 0.64:
         fleet.lose_answers(name)
-    elif luck < 0.7:
+    elif draw < 0.7:
         fleet.kill(name)
-        fleet.network.loop_seat.after(chance.choice([0.1, 1.0, 4.0]), lambda: fleet.start(name))
-    elif luck < 0.74:
-        fleet.start(name)  # a second process under one name
-    elif luck < 0.78 and not fleet.store_seat.ended:
-        fleet.store_down(chance.choice([0.2, 1.0, 3.0]))
-    elif luck < 0.82:
-        fleet.store_still(chance.choice([0.3, TIMEOUT, 2 * TIMEOUT]))
-    elif luck < 0.9:
-        fleet.words[name, chance.choice(TOPICS)] = chance.choice([(True, ""), (False, "no"), None])
+        fleet.network.loop_seat.after(random.choice([0.1, 1.0, 4.0]), lambda: fleet.start(name))
+    elif draw < 0.74:
+        fleet.start(name)  # a second process with the same name
+    elif draw < 0.78 and not fleet.store_seat.ended:
+        fleet.store_down(random.choice([0.2, 1.0, 3.0]))
+    elif draw < 0.82:
+        fleet.pause_store(random.choice([0.3, TIMEOUT, 2 * TIMEOUT]))
+    elif draw < 0.9:
+        fleet.votes[name, random.choice(TOPICS)] = random.choice([(True, ""), (False, "no"), None])
     else:
         for topic in TOPICS:
-            stands = fleet.agents[name].agreed(topic)
-            if stands is not None:
-                fleet.agents[name].end(topic, stands.epoch, "enough")
+            committed = fleet.agents[name].agreed(topic)
+            if committed is not None:
+                fleet.agents[name].end(topic, committed.epoch, "enough")
 
 
-def history(seed: int, steps: int = 14, agents: int = 3, **given) -> Fleet:
-    """A drawn history: faults one after the other and over each other, then quiet in which all must end."""
-    chance = Random(f"history {seed}")
-    fleet = Fleet("abcdefghi"[:agents], seed, **given)
-    fleet.run(chance.choice([0.0, 0.05, 1.0]))
+def history(seed: int, steps: int = 14, agents: int = 3, **options) -> Fleet:
+    """A random history: successive and overlapping faults, then a period without any, in which all must finish."""
+    random = Random(f"history {seed}")
+    fleet = Fleet("abcdefghi"[:agents], seed, **options)
+    fleet.run(random.choice([0.0, 0.05, 1.0]))
     for _ in range(steps):
-        trouble(fleet, chance)
-        fleet.run(chance.choice([0.003, 0.01, 0.05, 0.3, 1.5]))
-    fleet.words.clear()
+        inject_fault(fleet, random)
+        fleet.run(random.choice([0.003, 0.01, 0.05, 0.3, 1.5]))
+    fleet.votes.clear()
     fleet.run(6)
     for name in fleet.names:
         if not any(
@@ -71,36 +71,36 @@
 
 
 def all_ended(fleet: Fleet) -> None:
-    """After the faults everybody is up again, and nothing is left waiting."""
+    """Asserts that after the faults every supervisor is up again and nothing is pending."""
     up = [agent.name for agent in fleet.all if agent.holds() and not agent.seat.ended]
     assert sorted(up) == sorted(fleet.names), {n: a.view() for n, a in fleet.agents.items()}
     for topic in TOPICS:
         record = fleet.stored(topic)
         assert record is None or record.state != "open", record
-    stuck = [(topic, p.state) for topic, p in fleet.proposals if p.state in ("waiting", "open")]
-    kept = [p for agent in fleet.all if agent.holds() for topic in agent.topics.values() for p in topic.proposals]
-    assert not kept, stuck
+    open_proposals = [(topic, p.state) for topic, p in fleet.proposals if p.state in ("waiting", "open")]
+    unfinished = [p for agent in fleet.all if agent.holds() for topic in agent.topics.values() for p in topic.proposals]
+    assert not unfinished, open_proposals
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_drawn_histories_keep_what_was_agreed_and_end_all_that_was_begun(seed):
+def test_random_histories_keep_agreements_and_finish_every_proposal(seed):
     fleet = history(seed)
     check(fleet)
     all_ended(fleet)
 
 
-# ---- each check is seen to fail ---------------------------------------------------------------------------------
+# ---- each check detects its violation ---------------------------------------------------------------------------
 
 
 class NoLease(Agent):
-    """Acts as long as it has heard of nothing else."""
+    """Ignores the lease: acts until it learns of another start."""
 
     def holds(self) -> bool:
         return self.chair.standing is Standing.LISTED and self.roll.highest.get(self.name, 0) == self.incarnation
 
 
 class NoFence(Agent):
-    """Goes on beside another start of its name."""
+    """Continues to act alongside another start of its name."""
 
     def holds(self) -> bool:
         session = self.client.session
@@ -115,7 +115,7 @@
 
 
 class NoCompare(Agent):
-    """Writes over whatever is there."""
+    """Overwrites nodes regardless of their version."""
 
     def _write(self, request, then) -> None:
         if isinstance(request, SetData):
@@ -123,41 +123,41 @@
         super()._write(request, then)
 
 
-def fails(seeds: range, **given) -> str:
+def first_violation(seeds: range, **options) -> str:
     for seed in seeds:
         try:
-            check(history(seed, **given))
+            check(history(seed, **options))
         except AssertionError as error:
             return str(error)
     return ""
 
 
 @pytest.mark.parametrize(
-    "agent, said",
+    "agent, message",
     [
-        (NoLease, "on a lease whose session was over"),
+        (NoLease, "on a lease whose session had expired"),
         (NoFence, "had acted, then start"),
-        (NoCompare, "epochs fell"),
+        (NoCompare, "epochs decreased"),
     ],
 )
-def test_a_build_without_lease_fence_or_compare_and_set_is_seen(agent, said):
-    assert said in fails(range(400), agent=agent)
+def test_a_build_without_lease_fence_or_compare_and_set_is_detected(agent, message):
+    assert message in first_violation(range(400), agent=agent)
 
 
-def test_clocks_that_differ_by_more_than_the_bound_are_seen_and_a_bound_for_them_holds():
+def test_clock_drift_beyond_the_bound_is_detected_and_a_larger_bound_holds():
     class Unbounded(Agent):
-        def __init__(self, *given, **more) -> None:
-            super().__init__(*given, **more, drift=0.0, max_pause=0.0)
+        def __init__(self, *args, **options) -> None:
+            super().__init__(*args, **options, drift=0.0, max_pause=0.0)
 
     class Bounded(Agent):
-        def __init__(self, *given, **more) -> None:
-            super().__init__(*given, **more, drift=0.3)
+        def __init__(self, *args, **options) -> None:
+            super().__init__(*args, **options, drift=0.3)
 
-    assert "on a lease" in fails(range(60), agent=Unbounded, drift=0.3)
-    assert not fails(range(30), agent=Bounded, drift=0.3)
+    assert "on a lease" in first_violation(range(60), agent=Unbounded, drift=0.3)
+    assert not first_violation(range(30), agent=Bounded, drift=0.3)
 
 
-# ---- one by one -------------------------------------------------------------------------------------------------
+# ---- single cases -----------------------------------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -171,7 +171,7 @@
     fleet.propose("a", "policy", 1)
     fleet.run(1)
     written, zxid = [agent.written for agent in fleet.all], fleet.store.store.tree.zxid
-    fleet.run(SWEEP_DELAY_S + 1)  # the words that were given are swept once
+    fleet.run(SWEEP_DELAY_S + 1)  # the cast votes are swept once
     assert fleet.store.store.tree.zxid == zxid + len(fleet.names)
     zxid, messages = fleet.store.store.tree.zxid, fleet.network.messages
     fleet.run(60)
@@ -181,10 +181,10 @@
     assert sum(agent.written for agent in fleet.all) == sum(written) + len(fleet.names)
 
 
-def test_all_must_assent_and_one_objection_leaves_what_stood(fleet):
+def test_all_must_assent_and_one_objection_keeps_the_value_in_force(fleet):
     fleet.propose("a", "policy", "first")
     fleet.run(1)
-    fleet.words["b", "policy"] = False, "it would leave proxy 7 bare"
+    fleet.votes["b", "policy"] = False, "it would leave proxy 7 bare"
     proposal = fleet.propose("c", "policy", "second")
     fleet.run(1)
     assert (proposal.state, proposal.why) == ("void", "b: it would leave proxy 7 bare")
@@ -192,7 +192,7 @@
 
 
 def test_a_majority_settles_though_one_objects_or_is_silent(fleet):
-    fleet.words["b", "policy"] = False, "no"
+    fleet.votes["b", "policy"] = False, "no"
     fleet.kill("c")
     proposal = fleet.propose("a", "policy", 1, quorum=1)
     fleet.run(1)
@@ -202,36 +202,36 @@
     assert proposal.state == "void" and "no word within 1 s from c" in proposal.why
 
 
-def test_of_two_at_once_one_wins_and_the_other_is_told_by_which(fleet):
-    one, two = fleet.propose("a", "policy", 1), fleet.propose("b", "policy", 2)
+def test_of_two_concurrent_proposals_one_wins_and_the_other_learns_which(fleet):
+    first, second = fleet.propose("a", "policy", 1), fleet.propose("b", "policy", 2)
     fleet.run(2)
-    won, lost = (one, two) if one.state == "settled" else (two, one)
+    won, lost = (first, second) if first.state == "settled" else (second, first)
     assert (won.state, lost.state) == ("settled", "lost")
     assert f"of {won.token.partition('~')[0]} was there first" in lost.why
     check(fleet)
 
 
 def test_a_proposal_is_withdrawn_and_a_standing_one_is_ended(fleet):
-    fleet.words["b", "policy"] = None
+    fleet.votes["b", "policy"] = None
     proposal = fleet.propose("a", "policy", 1)
     fleet.run(0.5)
     assert proposal.state == "open"
     fleet.agents["a"].withdraw("policy", proposal)
     fleet.run(0.5)
     assert (proposal.state, proposal.why) == ("void", "withdrawn")
-    fleet.words.clear()
-    proposal, told = fleet.propose("a", "policy", 2), []
+    fleet.votes.clear()
+    proposal, results = fleet.propose("a", "policy", 2), []
     fleet.run(0.5)
-    fleet.agents["c"].end("policy", proposal.epoch + 1, "wrong", lambda *said: told.append(said))
-    fleet.agents["b"].end("policy", proposal.epoch, "done with", lambda *said: told.append(said))
+    fleet.agents["c"].end("policy", proposal.epoch + 1, "wrong", lambda *result: results.append(result))
+    fleet.agents["b"].end("policy", proposal.epoch, "done with", lambda *result: results.append(result))
     fleet.run(0.5)
-    assert told == [(False, "policy: epoch 2 is in force, not epoch 3"), (True, "")]
+    assert results == [(False, "policy: epoch 2 is in force, not epoch 3"), (True, "")]
     assert all(agent.agreed("policy") is None for agent in fleet.all)
 
 
 @pytest.mark.parametrize("after", [0.002 * k for k in range(24)])
-def test_a_writer_that_dies_at_any_point_leaves_what_others_finish_or_void(after, fleet):
-    """From its first request to what it has settled takes some 40 ms."""
+def test_a_proposal_whose_writer_crashes_at_any_point_is_committed_or_aborted_by_others(after, fleet):
+    """A proposal takes about 40 ms from its first request to its commit."""
     fleet.propose("a", "policy", 1, patience=2.0)
     fleet.run(after)
     fleet.kill("a")
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("after", [0.002 * k for k in range(24)])
-def test_an_answer_that_is_lost_is_looked_up_and_nothing_is_done_twice(after, fleet):
+def test_a_lost_answer_is_looked_up_and_nothing_is_done_twice(after, fleet):
     proposal = fleet.propose("a", "policy", 1)
     fleet.run(after)
     fleet.lose_answers("a")
@@ -256,32 +256,32 @@
     check(fleet)
 
 
-def test_one_that_was_stopped_finds_out_before_it_acts(fleet):
+def test_a_suspended_supervisor_finds_its_lease_expired_before_it_acts(fleet):
     fleet.propose("a", "policy", 1)
     fleet.run(1)
     fleet.pause("a", 1.5 * TIMEOUT)
-    woke = fleet.loop.now + 1.5 * TIMEOUT
+    resumed = fleet.loop.now + 1.5 * TIMEOUT
     fleet.run(4 * TIMEOUT)
     check(fleet)
-    acted = [at for at, name, _, _ in fleet.acts if name == "a"]
-    assert not [at for at in acted if woke - TIMEOUT / 2 < at < woke + 0.01]
-    assert [at for at in acted if at > woke + 0.01]  # it has joined again
+    action_times = [at for at, name, _, _ in fleet.actions if name == "a"]
+    assert not [at for at in action_times if resumed - TIMEOUT / 2 < at < resumed + 0.01]
+    assert [at for at in action_times if at > resumed + 0.01]  # it has rejoined
     rows = {row.name: row for row in fleet.agents["b"].roll.rows(fleet.agents["b"].loop.clock())}
     assert rows["a"].state == "living"
 
 
-def test_the_older_of_two_processes_is_fenced_and_says_so(fleet):
-    older, said = fleet.agents["a"], []
-    older.on_fenced = lambda: said.append(fleet.loop.now)
+def test_the_older_of_two_processes_is_fenced_and_reports_it(fleet):
+    older, notifications = fleet.agents["a"], []
+    older.on_fenced = lambda: notifications.append(fleet.loop.now)
     fleet.start("a")
     fleet.until(lambda: fleet.agents["a"].holds())
-    assert said and older.chair.standing is Standing.FENCED and not older.holds()
+    assert notifications and older.chair.standing is Standing.FENCED and not older.holds()
     assert fleet.agents["a"].incarnation == 2
     rows = {row.name: row for row in fleet.agents["b"].roll.rows(fleet.loop.now)}
     assert (rows["a"].state, rows["a"].starts) == ("living", 1)
 
 
-def test_the_silent_the_strangers_and_those_never_seen_are_told_apart():
+def test_silent_unknown_and_never_seen_supervisors_are_distinguished():
     fleet = Fleet("abc")
     fleet.names = ("a", "b", "c", "x")  # only this process expects x
     fleet.start("x")
@@ -298,7 +298,7 @@
     assert "x" not in agent.roll.order() and agent.roll.addresses() == ["127.0.1.1:7000", "127.0.1.3:7000"]
 
 
-def test_a_store_that_answers_from_an_older_state_is_not_believed(fleet):
+def test_answers_from_an_older_state_of_the_store_are_ignored(fleet):
     fleet.propose("a", "policy", 1)
     fleet.run(1)
     agent = fleet.agents["b"]
@@ -306,12 +306,12 @@
     old = agreement.write(agreement.proposed(None, "policy", 1, "a", "t", 0, ("a",), 1, 1.0))
     agent._record_updated("policy", old, topic.stat._replace(mzxid=topic.stat.mzxid - 1))
     assert agent.stale_reads == 1 and topic.record.state == "settled"
-    agent._record_updated("policy", old, topic.stat)  # nor one that falls back within an epoch
+    agent._record_updated("policy", old, topic.stat)  # nor one that regresses within an epoch
     assert agent.stale_reads == 2 and topic.record.state == "settled"
 
 
-def test_a_store_restored_from_an_old_copy_lets_nobody_in_who_has_seen_more(fleet):
-    """Until it is put right or the supervisors are started anew, nothing rests on an agreement."""
+def test_a_store_restored_from_an_old_copy_refuses_sessions_that_have_seen_more(fleet):
+    """No supervisor acts on an agreement until the store is repaired or the supervisors are restarted."""
     rows = list(fleet.rows)
     fleet.propose("a", "policy", 1)
     fleet.run(2)
@@ -328,7 +328,7 @@
     assert fleet.agents["a"].agreed("policy") is None
 
 
-def test_a_sweep_takes_words_and_dead_records_and_nothing_that_binds(fleet):
+def test_a_sweep_deletes_votes_and_ended_records_and_no_valid_record(fleet):
     nodes = fleet.store.store.tree.nodes
     fleet.propose("a", "zone.east", 1, valid_for=30.0)
     west = fleet.propose("b", "zone.west", 1)
@@ -345,7 +345,7 @@
     assert all("zone.west" not in agent.topics for agent in fleet.all)
 
 
-def test_a_stop_in_peace_is_known_at_once_and_a_death_after_its_time(fleet):
+def test_a_graceful_stop_is_noticed_at_once_and_a_crash_after_the_session_timeout(fleet):
     fleet.agents["c"].leave()
     fleet.run(0.1)
     assert fleet.agents["a"].roll.order() and "c" not in fleet.agents["a"].roll.order()
@@ -357,7 +357,7 @@
 
 
 @pytest.mark.parametrize(
-    "given, said",
+    "arguments, message",
     [
         ({"topic": "a/b"}, "letters"),
         ({"voters": ()}, "each once"),
@@ -367,14 +367,14 @@
         ({"body": "x" * 70000}, "put less into it"),
     ],
 )
-def test_a_proposal_that_could_never_be_is_refused_with_the_reason(given, said, fleet):
-    given = {"topic": "policy", "body": 1, "voters": ("a", "b"), "quorum": 2, "proposal_timeout": 1.0} | given
-    with pytest.raises(Barred, match=said):
-        fleet.agents["a"].propose(**given)
+def test_a_proposal_that_could_never_be_committed_is_refused_with_the_reason(arguments, message, fleet):
+    arguments = {"topic": "policy", "body": 1, "voters": ("a", "b"), "quorum": 2, "proposal_timeout": 1.0} | arguments
+    with pytest.raises(Barred, match=message):
+        fleet.agents["a"].propose(**arguments)
     assert not fleet.agents["a"].topics
 
 
-def test_a_lease_counts_from_the_sending_of_what_was_answered():
+def test_a_lease_counts_from_the_sending_of_an_answered_request():
     lease = Lease(10.0, drift=0.02, max_pause=1.0)
     assert lease.expires_at(100.0, 10.0) == pytest.approx(108.8)
     assert lease.holds(108.7, 100.0, 10.0) and not lease.holds(108.9, 100.0, 10.0)
@@ -393,17 +393,17 @@
         ("../a~1", b'{"name":"../a","incarnation":1}'),
     ],
 )
-def test_bad_members_are_told(name, data):
+def test_malformed_member_nodes_raise(name, data):
     with pytest.raises(MemberError):
         read_member(name, data)
 
 
-def test_what_a_newer_build_says_besides_is_passed_over():
+def test_unknown_fields_of_a_newer_build_are_ignored():
     member = read_member("a~3", write_member(Member("a", incarnation=3))[:-1] + b',"mood":"good"}')
     assert member.incarnation == 3
 
 
-def test_strangers_are_bounded():
+def test_unknown_peers_are_bounded():
     roll = Roll(("a",), 0.0)
     for k in range(3 * MAX_UNKNOWN_PEERS):
         roll.appeared(f"s{k}~1", Member(f"s{k}", incarnation=1), k, float(k))
@@ -411,7 +411,7 @@
     assert len(roll.rows(500.0)) == MAX_UNKNOWN_PEERS + 1 and len(roll.highest) == MAX_UNKNOWN_PEERS
 
 
-def test_what_could_be_opened_and_never_be_settled_is_refused_when_it_is_proposed():
+def test_a_record_too_large_to_be_committed_is_refused_when_proposed():
     fleet = Fleet()
     fleet.up()
     with pytest.raises(Barred, match="bytes, 65536 at the most: put less into it"):
