--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -1,4 +1,4 @@
-"""A fleet in tiers: the hard cases, one by one; drawn histories; and each check seen to fail."""
+"""A hierarchical fleet: difficult single cases, random histories, and a detected violation for each check."""
 
 import pytest
 from msgspec.structs import replace
@@ -25,22 +25,22 @@
     tiers_text,
 )
 
-WAITS = waited_out(DESPITE_AFTER, 0.02)
+ABSENCE_TIMEOUT_S = waited_out(DESPITE_AFTER, 0.02)
 
 
-def fleet_up(folder, version: int = 1, **given) -> TieredFleet:
-    """A fleet that has gone by a first version for a while."""
-    fleet = TieredFleet(folder, **given)
+def fleet_up(folder, version: int = 1, **options) -> TieredFleet:
+    """A fleet that has run its first versions for a while."""
+    fleet = TieredFleet(folder, **options)
     fleet.up()
     for k in range(version):
-        fleet.asks(fleet.names[0], 2.5 + k / 10)
+        fleet.open_change(fleet.names[0], 2.5 + k / 10)
         fleet.until(lambda k=k: fleet.everywhere(k + 1), 20)
     fleet.run(1)
     return fleet
 
 
-def ends(fleet: TieredFleet, version: int, most: float = 40.0) -> None:
-    """Everybody that lives comes to go by a version, and all that must hold has held."""
+def assert_converges(fleet: TieredFleet, version: int, most: float = 40.0) -> None:
+    """Asserts that all living supervisors converge to a version and that no invariant has been violated."""
     fleet.until(
         lambda: fleet.everywhere(version) and not any(fleet.parts[name].instance.still() for name in fleet.living()),
         most,
@@ -50,28 +50,28 @@
     check_ends(fleet)
 
 
-# ---- whoever speaks is lost, at each point ----------------------------------------------------------------------
+# ---- the delegate is lost, at each point ------------------------------------------------------------------------
 
 CELL = "r1c1"
 
 
-def epoch(fleet: TieredFleet) -> int:
+def open_epoch(fleet: TieredFleet) -> int:
     return fleet.above().epoch
 
 
 MOMENTS = {
-    "before the cell's words": lambda fleet: fleet.above().state == "open",
-    "once the copy stands": lambda fleet: fleet.copy_of(CELL).epoch == epoch(fleet),
-    "between the cell's words": lambda fleet: 0 < len(fleet.cell_words(CELL, epoch(fleet))),
-    "after the cell's words": lambda fleet: len(fleet.cell_words(CELL, epoch(fleet))) == len(fleet.cells[CELL]),
-    "before the word upwards": lambda fleet: fleet.copy_of(CELL).state == "ready",
-    "after the word upwards": lambda fleet: CELL in fleet.words_up("r1", epoch(fleet)),
-    "once it is settled above": lambda fleet: fleet.above().state == "settled",
+    "before the cell's votes": lambda fleet: fleet.above().state == "open",
+    "once the replica is stored": lambda fleet: fleet.cell_record(CELL).epoch == open_epoch(fleet),
+    "between the cell's votes": lambda fleet: 0 < len(fleet.cell_votes(CELL, open_epoch(fleet))),
+    "after the cell's votes": lambda fleet: len(fleet.cell_votes(CELL, open_epoch(fleet))) == len(fleet.cells[CELL]),
+    "before the vote in the region": lambda fleet: fleet.cell_record(CELL).state == "ready",
+    "after the vote in the region": lambda fleet: CELL in fleet.region_votes("r1", open_epoch(fleet)),
+    "once it is committed": lambda fleet: fleet.above().state == "settled",
 }
 LOSSES = {
     "killed": lambda fleet, name: fleet.kill(name),
-    "stopped past its lease": lambda fleet, name: fleet.pause(name, 3 * fleet.timeout),
-    "cut off from its cell": lambda fleet, name: fleet.cut_off(name, 3 * fleet.timeout),
+    "paused past its lease": lambda fleet, name: fleet.pause(name, 3 * fleet.timeout),
+    "disconnected": lambda fleet, name: fleet.disconnect(name, 3 * fleet.timeout),
 }
 
 
@@ -80,161 +80,163 @@
 
 @pytest.mark.parametrize("loss", LOSSES)
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_who_speaks_is_lost_and_the_change_comes_to_its_one_end(tmp_path, moment, loss):
-    """In a region of two cells when it is killed; else the same supervisor speaks for its cell and its region."""
+def test_the_delegate_is_lost_and_the_change_is_still_committed(tmp_path, moment, loss):
+    """Killed, it is in a region of two cells; else the same supervisor is the delegate of its cell and its region."""
     fleet = fleet_up(tmp_path, cells=2 if loss == "killed" else 1, members=2)
-    made = fleet.asks(fleet.names[-1], 3.3)
+    change_epoch = fleet.open_change(fleet.names[-1], 3.3)
     fleet.until(lambda: MOMENTS[moment](fleet), 5, 0.001)
-    speaker = fleet.speaker(CELL)
-    assert loss == "killed" or speaker == fleet.speaker("r1")
-    LOSSES[loss](fleet, speaker)
+    delegate = fleet.delegate(CELL)
+    assert loss == "killed" or delegate == fleet.delegate("r1")
+    LOSSES[loss](fleet, delegate)
     took = fleet.until(lambda: fleet.above().state == "settled", 29)
-    assert took < WAITS + 4 * fleet.timeout, f"settled after {took:.1f} s"
+    assert took < ABSENCE_TIMEOUT_S + 4 * fleet.timeout, f"committed after {took:.1f} s"
     fleet.until(lambda: fleet.everywhere(2), 20)
-    assert fleet.words_up("r1", made) == {cell: True for cell in fleet.regions["r1"]}
-    if speaker in fleet.dead:
-        fleet.start(speaker)
-    ends(fleet, 2)
+    assert fleet.region_votes("r1", change_epoch) == {cell: True for cell in fleet.regions["r1"]}
+    if delegate in fleet.dead:
+        fleet.start(delegate)
+    assert_converges(fleet, 2)
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_two_that_think_that_they_speak_give_one_word(tmp_path, moment):
+def test_two_delegates_of_one_cell_cast_one_vote(tmp_path, moment):
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    made = fleet.asks(fleet.names[-1], 3.3)
+    change_epoch = fleet.open_change(fleet.names[-1], 3.3)
     fleet.until(lambda: MOMENTS[moment](fleet), 5, 0.001)
-    first = fleet.speaker(CELL)
+    first = fleet.delegate(CELL)
     second = fleet.agents[next(name for name in fleet.cells[CELL] if name != first)]
     second.cell_registered, second.unattended_since = False, float("-inf")
     second._maintain_cell_delegate()
     assert second.for_cell is not None and fleet.agents[first].for_cell is not None
     fleet.until(lambda: fleet.everywhere(2), 20)
-    assert fleet.words_up("r1", made) == {cell: True for cell in fleet.regions["r1"]}
-    ends(fleet, 2)
+    assert fleet.region_votes("r1", change_epoch) == {cell: True for cell in fleet.regions["r1"]}
+    assert_converges(fleet, 2)
     assert sum(fleet.agents[name].for_cell is not None for name in fleet.cells[CELL]) == 1
 
 
-# ---- some are always away ---------------------------------------------------------------------------------------
+# ---- absent supervisors -----------------------------------------------------------------------------------------
 
 
-def test_a_member_that_is_away_is_done_without_once_it_holds_still_by_itself_and_not_before(tmp_path):
+def test_an_absent_member_is_skipped_only_after_it_has_paused_its_own_updates(tmp_path):
     fleet = fleet_up(tmp_path)
-    name = next(each for each in fleet.cells[CELL] if each != fleet.speaker(CELL))
+    name = next(each for each in fleet.cells[CELL] if each != fleet.delegate(CELL))
     fleet.kill(name)
-    died = fleet.loop.now
-    fleet.asks(ELSEWHERE, 3.3)
+    killed_at = fleet.loop.now
+    fleet.open_change(ELSEWHERE, 3.3)
     fleet.until(lambda: fleet.above().state == "settled", 29)
-    took = fleet.loop.now - died  # its session lasts for up to a time-out more
-    assert WAITS * (1 - fleet.drift) <= took < WAITS + 2 * fleet.timeout, f"after {took:.2f} s"
-    assert fleet.copy_of(CELL).away == (name,)
-    # The next change waits for it no more: it has been away for long enough by then.
+    elapsed = fleet.loop.now - killed_at  # its session lasts for up to one more timeout
+    assert ABSENCE_TIMEOUT_S * (1 - fleet.drift) <= elapsed < ABSENCE_TIMEOUT_S + 2 * fleet.timeout, (
+        f"after {elapsed:.2f} s"
+    )
+    assert fleet.cell_record(CELL).away == (name,)
+    # The next change does not wait for it: it has been absent for long enough.
     fleet.until(lambda: fleet.everywhere(2), 20)
     fleet.run(1)
-    fleet.asks(ELSEWHERE, 3.4)
+    fleet.open_change(ELSEWHERE, 3.4)
     assert fleet.until(lambda: fleet.everywhere(3), 29) < 3
-    # It takes what stands before its first order.
+    # It adopts the version in force before its first order.
     fleet.start(name)
-    began = fleet.loop.now
+    restarted_at = fleet.loop.now
     fleet.run(10)
-    versions = [version for at, each, version in fleet.acts if each == name and at > began]
+    versions = [version for at, each, version in fleet.acts if each == name and at > restarted_at]
     assert versions and set(versions) == {3}
-    ends(fleet, 3)
+    assert_converges(fleet, 3)
 
 
-def test_one_that_is_cut_off_goes_on_by_itself_for_just_as_long_as_the_others_wait_for_it(tmp_path):
+def test_a_disconnected_member_acts_for_just_as_long_as_the_others_wait_for_it(tmp_path):
     fleet = fleet_up(tmp_path)
-    name = next(each for each in fleet.cells[CELL] if each != fleet.speaker(CELL))
-    fleet.cut_off(name, 60)
-    cut = fleet.loop.now
-    fleet.asks(ELSEWHERE, 3.3)
+    name = next(each for each in fleet.cells[CELL] if each != fleet.delegate(CELL))
+    fleet.disconnect(name, 60)
+    disconnected_at = fleet.loop.now
+    fleet.open_change(ELSEWHERE, 3.3)
     fleet.until(lambda: fleet.above().state == "settled", 29)
-    last = max(at for at, each, _ in fleet.acts if each == name)
-    assert cut + DESPITE_AFTER * (1 - 2 * fleet.drift) < last < fleet.loop.now
+    last_action = max(at for at, each, _ in fleet.acts if each == name)
+    assert disconnected_at + DESPITE_AFTER * (1 - 2 * fleet.drift) < last_action < fleet.loop.now
     fleet.run(62)
-    ends(fleet, 2)
+    assert_converges(fleet, 2)
 
 
-@pytest.mark.parametrize("away", [["r1c2"], ["r2c1", "r2c2"]], ids=["a cell", "a region"])
-def test_a_cell_or_a_region_that_is_gone_at_once_is_done_without_and_comes_back_to_what_stands(tmp_path, away):
+@pytest.mark.parametrize("absent_cells", [["r1c2"], ["r2c1", "r2c2"]], ids=["a cell", "a region"])
+def test_a_cell_or_a_region_that_crashes_is_skipped_and_returns_to_the_version_in_force(tmp_path, absent_cells):
     fleet = fleet_up(tmp_path)
-    gone = [name for cell in away for name in fleet.cells[cell]]
-    for name in gone:
+    killed = [name for cell in absent_cells for name in fleet.cells[cell]]
+    for name in killed:
         fleet.kill(name)
-    died = fleet.loop.now
-    fleet.asks("r1c1s1", 3.3, 60.0)
+    killed_at = fleet.loop.now
+    fleet.open_change("r1c1s1", 3.3, 60.0)
     fleet.until(lambda: fleet.everywhere(2), 59)
-    assert fleet.loop.now - died >= WAITS * (1 - fleet.drift)
+    assert fleet.loop.now - killed_at >= ABSENCE_TIMEOUT_S * (1 - fleet.drift)
     fleet.run(2)
-    began = fleet.loop.now
-    for name in gone:
+    restarted_at = fleet.loop.now
+    for name in killed:
         fleet.start(name)
     fleet.until(lambda: fleet.everywhere(2), 30)
-    assert {version for at, name, version in fleet.acts if at > began} == {2}
-    ends(fleet, 2)
+    assert {version for at, name, version in fleet.acts if at > restarted_at} == {2}
+    assert_converges(fleet, 2)
 
 
-# ---- a region cut off -------------------------------------------------------------------------------------------
+# ---- a region disconnected --------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("when", ["before it is asked for", "while it is open", "once it is settled"])
+@pytest.mark.parametrize("when", ["before the proposal", "while it is open", "once it is committed"])
 def test_a_region_cut_off_for_two_minutes_around_a_change_and_its_reversal(tmp_path, when):
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    if when == "before it is asked for":
+    if when == "before the proposal":
         fleet.cut_region("r2", 120)
-    fleet.asks("r1c1s1", 3.3, 60.0)
+    fleet.open_change("r1c1s1", 3.3, 60.0)
     if when == "while it is open":
         fleet.cut_region("r2", 120)
     fleet.until(lambda: fleet.above().state == "settled", 59, 0.001)
-    if when == "once it is settled":
+    if when == "once it is committed":
         fleet.cut_region("r2", 120)
-    cut = fleet.loop.now
-    there = [name for name in fleet.names if fleet.region_of[name] == "r1"]
-    fleet.until(lambda: {fleet.runs()[name] for name in there} == {2}, 20)
+    cut_at = fleet.loop.now
+    others = [name for name in fleet.names if fleet.region_of[name] == "r1"]
+    fleet.until(lambda: {fleet.versions()[name] for name in others} == {2}, 20)
     fleet.run(20)
-    fleet.asks("r1c1s2", 2.5, 60.0)  # back to what was before
-    fleet.until(lambda: {fleet.runs()[name] for name in there} == {3}, 59)
-    assert fleet.loop.now < cut + 100
-    assert all(fleet.parts[name].instance.still() for name in fleet.names if name not in there)
-    fleet.run(cut + 125 - fleet.loop.now)
-    ends(fleet, 3)
+    fleet.open_change("r1c1s2", 2.5, 60.0)  # the earlier document again
+    fleet.until(lambda: {fleet.versions()[name] for name in others} == {3}, 59)
+    assert fleet.loop.now < cut_at + 100
+    assert all(fleet.parts[name].instance.still() for name in fleet.names if name not in others)
+    fleet.run(cut_at + 125 - fleet.loop.now)
+    assert_converges(fleet, 3)
 
 
 # ---- a store gone, all starting at once -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("store", [WHOLE, "r1"])
-def test_a_store_that_is_gone_for_a_minute_holds_changes_up_and_nothing_else_breaks(tmp_path, store):
+def test_a_store_outage_of_a_minute_delays_changes_and_breaks_nothing_else(tmp_path, store):
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    made = fleet.asks("r2c1s1", 3.3, 5.0)
-    fleet.stores[store].fall(60)
+    change_epoch = fleet.open_change("r2c1s1", 3.3, 5.0)
+    fleet.stores[store].crash(60)
     fleet.run(62)
-    fleet.until(lambda: fleet.above().epoch == made and fleet.above().state in ("settled", "void"), 40)
+    fleet.until(lambda: fleet.above().epoch == change_epoch and fleet.above().state in ("settled", "void"), 40)
     fleet.until(lambda: not isinstance(fleet.ask("r2c1s1", 3.4, patience=30.0), str), 20)
-    fleet.until(lambda: fleet.above().epoch > made and fleet.above().state == "settled", 40)
-    ends(fleet, fleet.settled()[-1][1])
+    fleet.until(lambda: fleet.above().epoch > change_epoch and fleet.above().state == "settled", 40)
+    assert_converges(fleet, fleet.settled()[-1][1])
 
 
-def test_all_start_within_thirty_seconds_and_nobody_reads_all_others(tmp_path):
+def test_all_start_within_thirty_seconds_and_none_reads_all_others(tmp_path):
     fleet = TieredFleet(tmp_path, 2, 3, 4, start=False)
     for name in fleet.names:
         fleet.network.loop_seat.after(fleet.random.uniform(0, 30), lambda name=name: fleet.start(name))
     fleet.run(31)
     fleet.until(lambda: all(not fleet.parts[name].instance.still() for name in fleet.living()), 30)
     fleet.run(10)
-    watched = {}
+    region_members = {}
     for store, place in fleet.stores.items():
         paths = place.server.store.tree.nodes
-        watched[store] = sum(path.startswith(f"{ROOT}/whole/members/") for path in paths)
-    assert watched[WHOLE] == 2  # one for each region, whoever it is
+        region_members[store] = sum(path.startswith(f"{ROOT}/whole/members/") for path in paths)
+    assert region_members[WHOLE] == 2  # one delegate for each region
     for name in fleet.names:
         expected = set(fleet.agents[name].roll.nodes)
         assert {node.partition("~")[0] for node in expected} <= set(fleet.cells[fleet.cell_of[name]])
 
 
-# ---- bad input --------------------------------------------------------------------------------------------------
+# ---- invalid input ----------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, message",
     [
         ('"r1c1"', '"r1 c1"', "letters"),
         ('"r1c1"', '"r1/c1"', "letters"),
@@ -252,163 +254,163 @@
         ("form = 1", "form = ", ""),
     ],
 )
-def test_a_file_that_cannot_be_says_why_and_what_to_do(old, new, said):
+def test_an_invalid_file_is_refused_with_reason_and_remedy(old, new, message):
     text = tiers_text()
     assert old in text
     with pytest.raises(HierarchyError) as error:
         read_tiers(text.replace(old, new) if old == "[[regions]]" else text.replace(old, new, 1))
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    "old, new, odd",
+    "old, new, differing",
     [
         ('"r1c1s3"', '"r1c1s3", "r1c1s4"', "r1c1s4"),
         ('"r1c1s2", ', "", "r1c1s2"),
     ],
     ids=["one more", "one less"],
 )
-def test_supervisors_with_other_tiers_change_nothing_and_say_what_to_do(tmp_path, old, new, odd):
+def test_supervisors_with_different_hierarchies_change_nothing_and_name_the_remedy(tmp_path, old, new, differing):
     fleet = TieredFleet(tmp_path, start=False)
-    fleet.other_tiers["r1c1s1"] = read_tiers(fleet.text.replace(old, new, 1))
+    fleet.other_hierarchies["r1c1s1"] = read_tiers(fleet.text.replace(old, new, 1))
     for name in fleet.names:
         fleet.start(name)
     fleet.up()
-    made = fleet.asks(ELSEWHERE, 3.3, 20.0)
+    change_epoch = fleet.open_change(ELSEWHERE, 3.3, 20.0)
     fleet.until(lambda: fleet.above().state != "open", 25)
-    assert fleet.above().epoch == made and fleet.above().state == "void"
-    assert odd in fleet.above().why and "give all the same --tiers" in fleet.above().why
+    assert fleet.above().epoch == change_epoch and fleet.above().state == "void"
+    assert differing in fleet.above().why and "give all the same --tiers" in fleet.above().why
     fleet.run(2)
     check(fleet)
 
 
-def test_a_proposal_from_one_with_other_regions_is_refused(tmp_path):
+def test_a_proposal_from_a_supervisor_with_other_regions_is_refused(tmp_path):
     fleet = TieredFleet(tmp_path, start=False)
-    fleet.other_tiers[ELSEWHERE] = read_tiers(tiers_text(3))
+    fleet.other_hierarchies[ELSEWHERE] = read_tiers(tiers_text(3))
     for name in fleet.names:
         fleet.start(name)
     fleet.up()
-    fleet.asks(ELSEWHERE, 3.3, 20.0)
+    fleet.open_change(ELSEWHERE, 3.3, 20.0)
     fleet.until(lambda: fleet.above().state != "open", 25)
     assert fleet.above().state == "void" and "by r3: give all the same --tiers" in fleet.above().why
 
 
-# ---- drawn histories --------------------------------------------------------------------------------------------
+# ---- random histories -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_drawn_histories_hold_and_end(tmp_path, seed):
+def test_random_histories_keep_the_invariants_and_finish(tmp_path, seed):
     fleet = drawn_history(tmp_path, seed, 10, 15)
     check(fleet)
     check_ends(fleet)
 
 
-# ---- each check is seen to fail ---------------------------------------------------------------------------------
+# ---- each check detects its violation ---------------------------------------------------------------------------
 
 
-def test_a_build_that_acts_by_its_cell_alone_is_seen(tmp_path, monkeypatch):
+def test_a_build_that_acts_on_its_cells_lease_alone_is_detected(tmp_path, monkeypatch):
     monkeypatch.setattr(Tiered, "acts", lambda self: self.holds() and self.records.current)
     monkeypatch.setattr(Tiered, "acts_until", lambda self: self.lease_until())
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut_region("r2", 60)
-    fleet.asks("r1c1s1", 3.3)
+    fleet.open_change("r1c1s1", 3.3)
     fleet.until(lambda: fleet.above().state == "settled", 29)
     fleet.run(fleet.bound() + 1)
-    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was settled"):
+    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was committed"):
         check_acts(fleet)
-    with pytest.raises(AssertionError, match="nobody has spoken for r2"):
+    with pytest.raises(AssertionError, match="r2 has had no delegate"):
         check_leases(fleet)
 
 
-def test_a_build_without_doubt_is_seen(tmp_path, monkeypatch):
+def test_a_build_that_ignores_undecided_records_is_detected(tmp_path, monkeypatch):
     monkeypatch.setattr(PolicyPart, "_doubt", lambda self: False)
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    made = fleet.asks("r1c1s1", 3.3)
-    fleet.until(lambda: "r2" in fleet.words(WHOLE, f"{ROOT}/whole", made), 5, 0.001)
+    change_epoch = fleet.open_change("r1c1s1", 3.3)
+    fleet.until(lambda: "r2" in fleet.votes(WHOLE, f"{ROOT}/whole", change_epoch), 5, 0.001)
     fleet.cut_region("r2", 60)
     fleet.run(10)
-    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was settled"):
+    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was committed"):
         check_acts(fleet)
 
 
-def test_a_build_that_does_not_wait_the_silence_out_is_seen(tmp_path, monkeypatch):
-    away = Roll.away
-    monkeypatch.setattr(Roll, "away", lambda self, now: {name: 1e9 for name in away(self, now)})
+def test_a_build_that_does_not_wait_out_the_silence_is_detected(tmp_path, monkeypatch):
+    silent_seconds = Roll.away
+    monkeypatch.setattr(Roll, "away", lambda self, now: {name: 1e9 for name in silent_seconds(self, now)})
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut_region("r2", 60)
-    fleet.asks("r1c1s1", 3.3)
+    fleet.open_change("r1c1s1", 3.3)
     fleet.run(12)
-    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was settled"):
+    with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was committed"):
         check_acts(fleet)
 
 
-def test_a_build_that_acts_without_a_lease_is_seen(tmp_path, monkeypatch):
+def test_a_build_that_acts_without_a_lease_is_detected(tmp_path, monkeypatch):
     monkeypatch.setattr(Tiered, "holds", lambda self: self.chair.standing is Standing.LISTED)
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut("r1c1s2", "r1", 20)
     fleet.run(10)
-    with pytest.raises(AssertionError, match="its own session is over"):
+    with pytest.raises(AssertionError, match="its own session has expired"):
         check_leases(fleet)
 
 
 RECORDS = f"{ROOT}/regions/r1/records/policy"
 
 
-def tampered(fleet: TieredFleet, store: str, path: str, **changes) -> None:
+def tamper_with_record(fleet: TieredFleet, store: str, path: str, **changes) -> None:
     record = agreement.read_record("policy", fleet.stores[store].data(path))
-    fleet.writes(store, SetData(path, agreement.write(replace(record, **changes))))
+    fleet.write_directly(store, SetData(path, agreement.write(replace(record, **changes))))
 
 
-def test_a_word_that_changes_is_seen(tmp_path):
+def test_a_vote_that_changes_is_detected(tmp_path):
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    made = fleet.asks(fleet.names[-1], 3.3)
-    fleet.until(lambda: CELL in fleet.words_up("r1", made), 5, 0.001)
-    word = agreement.Vote(CELL, made, False, "I would rather not")
-    fleet.writes("r1", SetData(f"{RECORDS}/{made}.{CELL}", agreement.write(word)))
-    with pytest.raises(AssertionError, match="the word .* changed"):
+    change_epoch = fleet.open_change(fleet.names[-1], 3.3)
+    fleet.until(lambda: CELL in fleet.region_votes("r1", change_epoch), 5, 0.001)
+    vote = agreement.Vote(CELL, change_epoch, False, "I would rather not")
+    fleet.write_directly("r1", SetData(f"{RECORDS}/{change_epoch}.{CELL}", agreement.write(vote)))
+    with pytest.raises(AssertionError, match="the vote .* changed"):
         check_records(fleet)
 
 
 @pytest.mark.parametrize(
-    "store, path, changes, said",
+    "store, path, changes, message",
     [
-        ("r1", RECORDS, {"token": "somebody's"}, "was had twice"),
-        ("r1", RECORDS, {"state": "open"}, "falls from 1 settled to 1 open"),
+        ("r1", RECORDS, {"token": "somebody's"}, "was allocated twice"),
+        ("r1", RECORDS, {"state": "open"}, "regresses from 1 settled to 1 open"),
         (
             WHOLE,
             f"{ROOT}/whole/records/policy",
             {"epoch": 9, "state": "settled"},
-            "versions were settled in the whole as",
+            "versions were committed as",
         ),
     ],
 )
-def test_records_that_others_write_over_are_seen(tmp_path, store, path, changes, said):
+def test_records_that_are_overwritten_are_detected(tmp_path, store, path, changes, message):
     fleet = fleet_up(tmp_path, cells=1, members=2)
     check(fleet)
-    tampered(fleet, store, path, **changes)
-    with pytest.raises(AssertionError, match=said):
+    tamper_with_record(fleet, store, path, **changes)
+    with pytest.raises(AssertionError, match=message):
         check(fleet)
 
 
-def test_what_is_settled_in_a_cell_alone_is_seen_twice(tmp_path):
+def test_a_commit_in_a_cell_alone_is_detected_by_two_checks(tmp_path):
     fleet = fleet_up(tmp_path, cells=1, members=2)
-    fleet.services["r2c1s1"].instance.cannot = "it objects"
-    fleet.asks(fleet.names[-1], 3.3, 3.0)
-    fleet.until(lambda: fleet.copy_of(CELL).epoch == 2, 5, 0.001)
-    record = fleet.copy_of(CELL)
+    fleet.services["r2c1s1"].instance.refusal = "it objects"
+    fleet.open_change(fleet.names[-1], 3.3, 3.0)
+    fleet.until(lambda: fleet.cell_record(CELL).epoch == 2, 5, 0.001)
+    record = fleet.cell_record(CELL)
     standing = agreement.Standing(record.epoch, record.token, record.by, record.body)
-    tampered(fleet, "r1", f"{ROOT}/cells/{CELL}/records/policy", state="settled", standing=standing)
+    tamper_with_record(fleet, "r1", f"{ROOT}/cells/{CELL}/records/policy", state="settled", standing=standing)
     fleet.run(3)
-    with pytest.raises(AssertionError, match="is settled, and not above"):
+    with pytest.raises(AssertionError, match="is settled, but not in the top-level fleet"):
         check_records(fleet)
-    with pytest.raises(AssertionError, match="acts on version 2, which was never settled"):
+    with pytest.raises(AssertionError, match="acts on version 2, which was never committed"):
         check_acts(fleet)
 
 
-def test_a_fleet_that_does_not_come_to_its_end_is_seen(tmp_path):
+def test_a_fleet_that_does_not_converge_is_detected(tmp_path):
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut_region("r2", 60)
-    fleet.asks("r1c1s1", 3.3)
+    fleet.open_change("r1c1s1", 3.3)
     fleet.run(15)
-    with pytest.raises(AssertionError, match="goes by version 1, and 2 stands|is open|is ready"):
+    with pytest.raises(AssertionError, match="runs version 1, but 2 is in force|is open|is ready"):
         check_ends(fleet)
--- a/tests/test_tiers_decisions.py
+++ b/tests/test_tiers_decisions.py
@@ -1,4 +1,4 @@
-"""What is decided of a fleet in tiers, without any I/O: the file, beats, who speaks, copies, words, digests."""
+"""Rules of a hierarchical fleet, without I/O: the file, heartbeats, delegates, replicas, votes and digests."""
 
 import subprocess
 import sys
@@ -33,7 +33,7 @@
 """
 
 
-def test_a_supervisor_finds_its_place_in_three_fleets():
+def test_a_supervisor_has_a_placement_in_three_fleets():
     placement = read_tiers(FILE).placement("n1b")
     assert placement.cell == (
         "n1b",
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, message",
     [
         (
             'members = ["n2a"]',
@@ -75,11 +75,11 @@
         ("form = 1", "form = 1\nspeed = 3", "unknown field"),
     ],
 )
-def test_a_file_that_cannot_be_is_refused_with_the_remedy(old, new, says):
+def test_an_invalid_file_is_refused_with_the_remedy(old, new, message):
     assert FILE.count(old) >= 1
-    with pytest.raises(HierarchyError) as told:
+    with pytest.raises(HierarchyError) as error:
         read_tiers(FILE.replace(old, new, 1))
-    assert says in str(told.value)
+    assert message in str(error.value)
 
 
 def test_65_cells_and_65_regions_are_refused():
@@ -94,41 +94,41 @@
         read_tiers(FILE + regions)
 
 
-def test_one_that_is_in_no_cell_is_told_what_to_do():
+def test_a_supervisor_in_no_cell_is_refused_with_the_remedy():
     with pytest.raises(
         HierarchyError, match="'n9' is in no cell: name it among the members of one, or give another --name"
     ):
         read_tiers(FILE).placement("n9")
 
 
-# ---- beats ------------------------------------------------------------------------------------------------------
+# ---- heartbeats -------------------------------------------------------------------------------------------------
 
 
-def test_a_beat_counts_from_the_last_poll_that_read_one_two_older():
+def test_a_heartbeat_counts_from_the_last_poll_that_read_one_two_older():
     tracker = HeartbeatTracker(4.0, 0.0)
     tracker.observe(Heartbeat("a", "r", 5), 10.0, 10.1)
     tracker.observe(Heartbeat("a", "r", 6), 10.5, 10.6)
-    assert tracker.proven_until == float("-inf")  # the one before may have been sent long ago and come late
+    assert tracker.proven_until == float("-inf")  # the one before may have been sent long ago and arrived late
     tracker.observe(Heartbeat("a", "r", 7), 11.0, 11.1)
     assert (
         tracker.proven_until == 10.0 + 3.0
-    )  # number 6 took effect after the poll of 10.0 was asked, and 7 was made after that
+    )  # number 6 took effect after the poll sent at 10.0, and 7 was created after that
     tracker.observe(Heartbeat("a", "r", 7), 11.5, 11.6)
     assert tracker.proven_until == 13.0  # nothing new, nothing proven
 
 
-def test_a_beat_that_was_held_up_proves_nothing_of_when_it_came():
+def test_a_delayed_heartbeat_proves_nothing_about_its_arrival_time():
     tracker = HeartbeatTracker(4.0, 0.0)
     for number, asked in ((1, 0.0), (2, 0.5), (3, 1.0)):
         tracker.observe(Heartbeat("a", "r", number), asked, asked)
     assert tracker.proven_until == 3.0
-    for k in range(20):  # the next one is in a pipe; it was made before it went in
+    for k in range(20):  # the next heartbeat is delayed on its way, after it was created
         tracker.observe(Heartbeat("a", "r", 3), 1.5 + k, 1.5 + k)
     tracker.observe(Heartbeat("a", "r", 4), 30.0, 30.0)
     assert tracker.proven_until == 0.5 + 3.0
 
 
-def test_beats_of_another_run_count_by_themselves():
+def test_heartbeats_of_another_run_count_separately():
     tracker = HeartbeatTracker(4.0, 0.0)
     for number, asked in ((1, 0.0), (2, 0.5), (3, 1.0)):
         tracker.observe(Heartbeat("a", "r", number), asked, asked)
@@ -139,7 +139,7 @@
     assert tracker.proven_until == 5.0
 
 
-def test_silence_is_counted_from_the_last_new_beat_or_the_first_look():
+def test_silence_is_counted_from_the_last_new_heartbeat_or_the_first_poll():
     tracker = HeartbeatTracker(4.0, 0.0)
     assert tracker.silent_for(1.0) is None
     tracker.observe(None, 1.0, 1.0)
@@ -149,93 +149,108 @@
     assert tracker.silent_for(5.0) == 2.0
 
 
-def test_what_is_no_beat_is_none():
+def test_a_malformed_heartbeat_is_none():
     assert tiers.decode_heartbeat(b"") is None and tiers.decode_heartbeat(b'{"by":"a","run":"r","number":0}') is None
     assert tiers.decode_heartbeat(tiers.encode_heartbeat(Heartbeat("a", "r", 1, Digest(3, 2)))) == Heartbeat(
         "a", "r", 1, Digest(3, 2)
     )
 
 
-def test_the_next_in_the_order_speaks_later():
+def test_the_next_in_the_order_takes_over_later():
     assert tiers.takeover_due(0.0, 0, True, 4.0) and not tiers.takeover_due(0.0, 0, False, 4.0)
     assert not tiers.takeover_due(1.9, 1, True, 4.0) and tiers.takeover_due(2.0, 1, True, 4.0)
     assert not tiers.takeover_due(3.9, 1, False, 4.0) and tiers.takeover_due(4.0, 1, False, 4.0)
 
 
-# ---- copies and words -------------------------------------------------------------------------------------------
+# ---- replicas and votes -----------------------------------------------------------------------------------------
 
-STOOD = Standing(3, "old", "x", {"version": 1})
+IN_FORCE = Standing(3, "old", "x", {"version": 1})
 
 
-def above(state: str = "open", epoch: int = 7, **more) -> Record:
-    given = {"standing": STOOD, "waits": 3.0} | more
-    return Record("policy", epoch, state, "north", "t7", {"version": 2}, ("north", "south"), 2, 10.0, **given)
+def parent_record(state: str = "open", epoch: int = 7, **changes) -> Record:
+    fields = {"standing": IN_FORCE, "waits": 3.0} | changes
+    return Record("policy", epoch, state, "north", "t7", {"version": 2}, ("north", "south"), 2, 10.0, **fields)
 
 
-def test_what_is_open_above_is_asked_below_once():
-    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
-    assert (copy.state, copy.epoch, copy.token, copy.body, copy.copied) == ("open", 7, "t7", {"version": 2}, True)
-    assert (copy.needs, copy.quorum, copy.standing, copy.waits) == (("n1", "n2"), 2, STOOD, 3.0)
+def test_a_record_open_in_the_parent_is_replicated_once():
+    replica = agreement.replicated(None, parent_record(), "n1", ("n1", "n2"))
+    assert (replica.state, replica.epoch, replica.token, replica.body, replica.copied) == (
+        "open",
+        7,
+        "t7",
+        {"version": 2},
+        True,
+    )
+    assert (replica.needs, replica.quorum, replica.standing, replica.waits) == (("n1", "n2"), 2, IN_FORCE, 3.0)
     for state in ("open", "ready", "refused"):
-        assert agreement.replicated(copy, above(state), "n1", ("n1", "n2")) is None
-        assert agreement.replicated(None, above(state), "n1", ("n1", "n2")) == copy
-    assert agreement.replicated(above(epoch=8), above(), "n1", ("n1", "n2")) is None  # a newer one is there
-
-
-@pytest.mark.parametrize("below", ["open", "ready", "refused"])
-def test_what_ended_above_ends_below_whatever_was_said_below(below):
-    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
-    copy = agreement.replace(copy, state=below)
-    new = Standing(7, "t7", "north", {"version": 2})
-    ended = agreement.replicated(copy, above("settled", standing=new, passed=True), "n1", ("n1", "n2"))
-    assert (ended.state, ended.standing, ended.passed) == ("settled", new, True) and agreement.newer(ended, copy)
-    assert agreement.replicated(ended, above("settled", standing=new, passed=True), "n1", ("n1", "n2")) is None
-    void = agreement.replicated(copy, above("void", why="no"), "n1", ("n1", "n2"))
-    assert (void.state, void.standing, void.why) == ("void", STOOD, "no") and agreement.newer(void, copy)
-
-
-def test_what_stands_above_stands_below_though_nothing_was_asked():
-    copy = agreement.replicated(None, above("void"), "n1", ("n1",))
-    assert (copy.state, copy.epoch, copy.standing) == ("void", 7, STOOD)
-    assert agreement.replicated(None, above("void", standing=None), "n1", ("n1",)) is None
-
-
-def test_a_copy_that_all_assent_to_is_ready_and_one_that_somebody_objects_to_refused():
-    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
-    yes = {name: Vote(name, 7, True) for name in ("n1", "n2")}
-    ready = agreement.outcome(copy, yes)
-    assert ready.state == "ready" and agreement.pending(ready) and ready.standing == STOOD
+        assert agreement.replicated(replica, parent_record(state), "n1", ("n1", "n2")) is None
+        assert agreement.replicated(None, parent_record(state), "n1", ("n1", "n2")) == replica
+    assert (
+        agreement.replicated(parent_record(epoch=8), parent_record(), "n1", ("n1", "n2")) is None
+    )  # the stored record is newer
+
+
+@pytest.mark.parametrize("replica_state", ["open", "ready", "refused"])
+def test_a_decision_of_the_parent_is_replicated_whatever_the_replica_decided(replica_state):
+    replica = agreement.replicated(None, parent_record(), "n1", ("n1", "n2"))
+    replica = agreement.replace(replica, state=replica_state)
+    committed = Standing(7, "t7", "north", {"version": 2})
+    ended = agreement.replicated(replica, parent_record("settled", standing=committed, passed=True), "n1", ("n1", "n2"))
+    assert (ended.state, ended.standing, ended.passed) == ("settled", committed, True) and agreement.newer(
+        ended, replica
+    )
+    assert (
+        agreement.replicated(ended, parent_record("settled", standing=committed, passed=True), "n1", ("n1", "n2"))
+        is None
+    )
+    aborted = agreement.replicated(replica, parent_record("void", why="no"), "n1", ("n1", "n2"))
+    assert (aborted.state, aborted.standing, aborted.why) == ("void", IN_FORCE, "no") and agreement.newer(
+        aborted, replica
+    )
+
+
+def test_a_committed_value_of_the_parent_is_replicated_without_a_vote():
+    replica = agreement.replicated(None, parent_record("void"), "n1", ("n1",))
+    assert (replica.state, replica.epoch, replica.standing) == ("void", 7, IN_FORCE)
+    assert agreement.replicated(None, parent_record("void", standing=None), "n1", ("n1",)) is None
+
+
+def test_a_replica_that_all_assent_to_is_ready_and_one_with_an_objection_refused():
+    replica = agreement.replicated(None, parent_record(), "n1", ("n1", "n2"))
+    assents = {name: Vote(name, 7, True) for name in ("n1", "n2")}
+    ready = agreement.outcome(replica, assents)
+    assert ready.state == "ready" and agreement.pending(ready) and ready.standing == IN_FORCE
     assert agreement.vote_for_parent(ready, 7) == (True, "")
-    refused = agreement.outcome(copy, yes | {"n2": Vote("n2", 7, False, "too far")})
+    refused = agreement.outcome(replica, assents | {"n2": Vote("n2", 7, False, "too far")})
     assert refused.state == "refused" and agreement.pending(refused)
     assert agreement.vote_for_parent(refused, 7) == (False, "n2: too far")
-    late = agreement.timed_out(copy, {"n1": yes["n1"]})
+    late = agreement.timed_out(replica, {"n1": assents["n1"]})
     assert late.state == "refused" and "n2" in late.why
-    assert agreement.vote_for_parent(copy, 7) is None and agreement.vote_for_parent(ready, 8) is None
+    assert agreement.vote_for_parent(replica, 7) is None and agreement.vote_for_parent(ready, 8) is None
     assert agreement.vote_for_parent(None, 7) is None
 
 
-def test_a_word_of_one_that_is_away_is_not_needed_and_an_objection_is_never_done_without():
-    copy = agreement.replicated(None, above(), "n1", ("n1", "n2"))
-    one = {"n1": Vote("n1", 7, True)}
-    assert agreement.outcome(copy, one) is agreement.UNSET
-    ready = agreement.outcome(copy, one, frozenset({"n2"}))
+def test_an_absent_voter_is_skipped_and_an_objection_never_is():
+    replica = agreement.replicated(None, parent_record(), "n1", ("n1", "n2"))
+    votes = {"n1": Vote("n1", 7, True)}
+    assert agreement.outcome(replica, votes) is agreement.UNSET
+    ready = agreement.outcome(replica, votes, frozenset({"n2"}))
     assert ready.state == "ready" and ready.away == ("n2",)
-    said = one | {"n2": Vote("n2", 7, False, "no")}
-    assert agreement.outcome(copy, said, frozenset({"n2"})).state == "refused"
+    with_objection = votes | {"n2": Vote("n2", 7, False, "no")}
+    assert agreement.outcome(replica, with_objection, frozenset({"n2"})).state == "refused"
 
 
-def test_a_flat_fleets_record_is_written_as_before():
+def test_a_record_of_a_flat_fleet_has_no_fields_of_hierarchies():
     record = agreement.proposed(None, "policy", 1, "a", "t", 1, ("a",), 1, 3.0)
     assert b"copied" not in agreement.write(record) and b"waits" not in agreement.write(record)
     assert agreement.outcome(record, {"a": Vote("a", 1, True)}).state == "settled"
     assert agreement.aborted(record, "no").state == "void"
 
 
-# ---- who is away ------------------------------------------------------------------------------------------------
+# ---- absent supervisors -----------------------------------------------------------------------------------------
 
 
-def test_silence_is_counted_from_when_the_roll_was_watched_without_a_gap():
+def test_silence_is_counted_from_when_the_view_became_complete():
     roll = Roll(("a", "b", "c"), 0.0)
     assert roll.away(5.0) == {}
     roll.complete_since = 1.0
@@ -248,7 +263,7 @@
     assert roll.away(21.0) == {"b": 1.0, "c": 1.0}
 
 
-def test_one_whose_older_start_is_still_there_is_not_away():
+def test_a_supervisor_with_a_node_of_an_older_start_is_not_absent():
     roll = Roll(("a",), 0.0)
     roll.complete_since = 0.0
     roll.appeared("a~1", Member("a", incarnation=1), 1, 0.0)
@@ -266,8 +281,10 @@
         roll.appeared(f"{name}~1", Member(name, state=state, policy=policy, incarnation=1), k, 0.0)
     digest = tiers.cell_digest(roll.rows(1.0))
     assert digest == Digest(4, 1, 1, 2, {"3": 1, "2": 1})
-    above = tiers.aggregate_digest({"n1": Member("n1", digest=digest), "n2": Member("n2")}, {"n1": 4, "n2": 3, "n3": 5})
-    assert above == Digest(12, 1, 1, 2 + 3 + 5, {"3": 1, "2": 1})
+    region_digest = tiers.aggregate_digest(
+        {"n1": Member("n1", digest=digest), "n2": Member("n2")}, {"n1": 4, "n2": 3, "n3": 5}
+    )
+    assert region_digest == Digest(12, 1, 1, 2 + 3 + 5, {"3": 1, "2": 1})
     many = tiers.bounded_policies({str(k): k for k in range(1, 9)})
     assert many == {"8": 8, "7": 7, "6": 6, "5": 1 + 2 + 3 + 4 + 5}
 
@@ -276,7 +293,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, more, says",
+    "text, flags, message",
     [
         (FILE.replace('"n2a"', NAMES), (), "65 members in cell n2, at most 64: move some to another cell"),
         (FILE, ("--name", "n9"), "'n9' is in no cell: name it among the members of one, or give another --name"),
@@ -286,17 +303,17 @@
         (None, (), "name a file that can be read"),
     ],
 )
-def test_supervise_refuses_what_cannot_be_with_the_remedy(tmp_path, text, more, says):
+def test_supervise_refuses_invalid_input_with_the_remedy(tmp_path, text, flags, message):
     file = tmp_path / "tiers.toml"
     if text is not None:
         file.write_text(text)
     operation = "look:objective=0.5,timeout=1.5,value=1"
-    given = ["supervise", "--operation", operation, "--name", "n1a", "--tiers", str(file), *more]
-    result = CliRunner().invoke(main, given)
-    assert result.exit_code == 2 and says in " ".join(result.output.replace("\u2502", " ").split())
+    arguments = ["supervise", "--operation", operation, "--name", "n1a", "--tiers", str(file), *flags]
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 2 and message in " ".join(result.output.replace("\u2502", " ").split())
 
 
-def test_one_alone_loads_nothing_of_tiers():
+def test_a_single_supervisor_loads_no_module_of_hierarchies():
     code = "import sys, driftshed.supervisor.command as c; print([m for m in sys.modules if 'tier' in m])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/tiers.py
+++ b/tests/tiers.py
@@ -1,6 +1,6 @@
-"""A fleet in tiers in virtual time: supervisors with whole parts in policies over hollow services, a store for the
-whole and for each region, faults between them; and what must hold of any history, judged from the stores' logs and from
-what supervisors do."""
+"""A simulated hierarchical fleet in virtual time: supervisors with complete policy parts over stub services, a store
+for the top-level fleet and one for each region, with injected faults; and checkers of the invariants of any history,
+which use the stores' logs and the actions of supervisors."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 ROOT, TIMEOUT, AHEAD, DESPITE_AFTER = "/driftshed", 2.0, 0.3, 5.0
 WHOLE = "whole"
-LOOK_EVERY = 0.1  # seconds between looks at what supervisors do
-SLACK = 0.2  # seconds: ways of some milliseconds, a look
-NEAR, FAR = 0.001, 0.015  # seconds: one way within a region, and between regions
+CHECK_INTERVAL_S = 0.1  # between checks of what supervisors would do
+TOLERANCE_S = 0.2  # network delays of some milliseconds, and one check interval
+NEAR_DELAY_S, FAR_DELAY_S = 0.001, 0.015  # one-way delay within a region, and between regions
 
 
 def tiers_text(regions: int = 2, cells: int = 2, members: int = 3) -> str:
-    """The file of a fleet whose regions are r1, r2 ..., its cells r1c1 ..., its supervisors r1c1s1 ..."""
+    """The hierarchy file of a fleet with regions r1, r2 ..., cells r1c1 ... and supervisors r1c1s1 ..."""
     rows = ["form = 1", f'root = "{ROOT}"', 'stores = "127.0.0.2:2181"']
     for r in range(1, regions + 1):
         rows += ["[[regions]]", f'name = "r{r}"', f'stores = "127.0.0.{r + 2}:2181"']
@@ -42,27 +42,27 @@
     return "\n".join(rows) + "\n"
 
 
-class HollowInstance:
-    """What a part in policies asks of an instance: `cannot` is what a dry run says."""
+class StubInstance:
+    """The interface of an instance that a policy part uses. `refusal`: result of a dry run, "" for success."""
 
     def __init__(self) -> None:
-        self.facts, self.faults, self.policy, self.cannot = FACTS, 0, 0, ""
+        self.facts, self.faults, self.policy, self.refusal = FACTS, 0, 0, ""
         self.still = lambda: False
         self.switched: list[int] = []
 
     def check_switch(self, facts) -> str:
-        return self.cannot
+        return self.refusal
 
     def switch(self, facts, version: int, now: float) -> None:
         self.facts, self.policy = facts, version
         self.switched.append(version)
 
 
-class HollowService:
-    """What agents and parts ask of a service."""
+class StubService:
+    """The interface of a service that agents and policy parts use."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.address, self.instance = address, HollowInstance()
+        self.address, self.instance = address, StubInstance()
         self.polls, self.views, self.actions = {}, {}, {}
         self.waits, self.living = (lambda: ""), (lambda: [])
 
@@ -71,41 +71,41 @@
 
 
 class TimedLog(MemoryLog):
-    """Knows when each of its rows was written. `at` goes with `rows`, over restarts."""
+    """A log that records when each row was written. `times` is parallel to `rows`, also across restarts."""
 
-    def __init__(self, rows: list, at: list[float], loop: VirtualLoop) -> None:
-        self.at, self.loop = at, loop
+    def __init__(self, rows: list, times: list[float], loop: VirtualLoop) -> None:
+        self.times, self.loop = times, loop
         super().__init__(rows)
 
     def add(self, *row) -> None:
         super().add(*row)
-        self.at.append(self.loop.now)
+        self.times.append(self.loop.now)
 
 
-class Place:
-    """A store: what stands for one over its falls."""
+class RestartableStore:
+    """A store server that can crash and restart; rows that were not synced are lost."""
 
     def __init__(self, fleet: TieredFleet, name: str, address: tuple[str, int]) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.rows: list = []
-        self.at: list[float] = []
+        self.times: list[float] = []
         self.down = False
-        self.serve()
+        self.start()
 
-    def serve(self) -> None:
+    def start(self) -> None:
         fleet = self.fleet
         self.seat = Seat(fleet.loop, f"store {self.name}")
-        self.log = TimedLog(self.rows, self.at, fleet.loop)
+        self.log = TimedLog(self.rows, self.times, fleet.loop)
         self.server = StoreServer(self.seat, self.address, self.log, fleet.seed, fleet.network.listen)
         self.down = False
 
-    def fall(self, seconds: float) -> None:
+    def crash(self, seconds: float) -> None:
         if self.down:
             return
         self.down = True
         self.fleet.network.end(self.seat)
-        del self.rows[self.log.synced :], self.at[self.log.synced :]
-        self.fleet.network.loop_seat.after(seconds, self.serve)
+        del self.rows[self.log.synced :], self.times[self.log.synced :]
+        self.fleet.network.loop_seat.after(seconds, self.start)
 
     @property
     def tree(self) -> Tree:
@@ -116,9 +116,9 @@
         return None if node is None else node.data
 
     def written(self) -> list[tuple[float, str, bytes]]:
-        """All that was ever written under records: time, path and data, in the store's order, from its log."""
+        """Every write below a records folder: time, path and data, in the store's order, from its log."""
         tree, found, seen = Tree(), [], {}
-        for row, at in zip(self.rows, self.at, strict=True):
+        for row, at in zip(self.rows, self.times, strict=True):
             replay(tree, *row)
             for path, node in tree.nodes.items():
                 if "/records/" in path and seen.get(path) != (node.czxid, node.mzxid):
@@ -128,8 +128,9 @@
 
 
 class TieredFleet:
-    """`acts`: time, name and version of each look that found a supervisor's tables free to change; `claims`: time,
-    name, and which of its sessions in the stores were over while it claimed that it may act."""
+    """`acts`: time, name and version of each check that found a supervisor's tables free to change. `invalid_claims`:
+    time, name and reason of each check at which a supervisor held a lease or claimed to act without being entitled
+    to."""
 
     def __init__(
         self,
@@ -138,8 +139,8 @@
         cells: int = 2,
         members: int = 3,
         seed: int = 1,
-        near: float = NEAR,
-        far: float = FAR,
+        near: float = NEAR_DELAY_S,
+        far: float = FAR_DELAY_S,
         drift: float = DRIFT,
         text: str = "",
         start: bool = True,
@@ -163,44 +164,44 @@
         self.region_of |= {cell: cell[: cell.index("c")] for cell in self.cells}
         self.hosts = {name: f"127.1.{k // 200}.{k % 200 + 1}" for k, name in enumerate(self.names)}
         self.by_host = {host: name for name, host in self.hosts.items()}
-        self.who: dict[tuple[str, int], str] = {}  # by store and session
-        self.there_at: dict[str, float] = {}  # when a node stood last for a cell or a region
-        self.stores: dict[str, Place] = {}
+        self.session_owners: dict[tuple[str, int], str] = {}  # supervisor by store and session
+        self.registered_at: dict[str, float] = {}  # by cell or region: when it last had a member node
+        self.stores: dict[str, RestartableStore] = {}
         for name, host in [(WHOLE, "127.0.0.2"), *((f"r{r}", f"127.0.0.{r + 2}") for r in range(1, regions + 1))]:
             self.network.zones[host] = f"store {name}"
-            self.stores[name] = Place(self, name, (host, 2181))
+            self.stores[name] = RestartableStore(self, name, (host, 2181))
         for name, host in self.hosts.items():
             self.network.zones[host] = name
         self.parts: dict[str, PolicyPart] = {}
         self.agents: dict[str, object] = {}
-        self.services: dict[str, HollowService] = {}
+        self.services: dict[str, StubService] = {}
         self.seats: dict[str, DriftingSeat] = {}
         self.dead: set[str] = set()
-        self.other_tiers: dict[str, Hierarchy] = {}  # of those that were told something else
+        self.other_hierarchies: dict[str, Hierarchy] = {}  # by supervisor: a hierarchy that differs from the others'
         self.acts: list[tuple[float, str, int]] = []
-        self.claims: list[tuple[float, str, str]] = []
+        self.invalid_claims: list[tuple[float, str, str]] = []
         self.logs: list[tuple[float, str, str, dict]] = []
         self.asked = Counter()
-        self._note()
+        self._record_sessions()
         if start:
             for name in self.names:
                 self.start(name)
 
     def _way(self, here: str, there: str) -> Way:
-        places = {self.region_of.get(place, place.removeprefix("store ")) for place in (here, there)}
-        delay = self.near if len(places) == 1 else self.far
+        regions = {self.region_of.get(name, name.removeprefix("store ")) for name in (here, there)}
+        delay = self.near if len(regions) == 1 else self.far
         return Way(delay, delay / 10)
 
     # ---- supervisors --------------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """A new process of this name."""
+        """Starts a new process with this name."""
         host, loop = self.hosts[name], self.loop
         self.starts += 1
         self.dead.discard(name)
         seat = DriftingSeat(loop, name, 1 + self.drift / 2 * self.random.uniform(-1, 1))
         log = lambda event, **fields: self.logs.append((loop.now, name, event, fields))  # noqa: E731
-        service = HollowService((host, 7000))
+        service = StubService((host, 7000))
         agent = take_part(
             seat,
             service,
@@ -212,34 +213,36 @@
             log,
             seed=self.random.getrandbits(30),
             dial=self.network.dial(host),
-            tiers=self.other_tiers.get(name, self.tiers),
+            tiers=self.other_hierarchies.get(name, self.tiers),
         )
         part = self.part_class(
             seat, service, agent, Keep(self.folder / name, "fleet", name), log, unix=lambda: loop.now
         )
         self.parts[name], self.agents[name], self.services[name], self.seats[name] = part, agent, service, seat
 
-        def look() -> None:
-            self._look(name, agent, part)
-            seat.after(LOOK_EVERY, look)
+        def check_periodically() -> None:
+            self._check_supervisor(name, agent, part)
+            seat.after(CHECK_INTERVAL_S, check_periodically)
 
-        seat.after(LOOK_EVERY * self.random.random(), look)
+        seat.after(CHECK_INTERVAL_S * self.random.random(), check_periodically)
 
-    def _look(self, name: str, agent, part: PolicyPart) -> None:
-        """What it would do now. Called as the process itself would: not while it is stopped or dead."""
+    def _check_supervisor(self, name: str, agent, part: PolicyPart) -> None:
+        """Records what the supervisor would do now. Runs as part of its process: not while it is paused or dead."""
         now = self.loop.now
         if not part.instance.still():
             self.acts.append((now, name, part.instance.policy))
         if agent.holds() and agent.client.session.session not in self.store_of(name).tree.sessions:
-            self.claims.append((now, name, "its own session is over"))
+            self.invalid_claims.append((now, name, "its own session has expired"))
         if agent.acts():
             cell = self.cell_of[name]
-            for who in (cell, self.region_of[name]):
-                gone = now - self.there_at.get(who, 0.0)
-                if gone > absence_margin(self.timeout, self.drift) + SLACK and not self._stands(who):
-                    self.claims.append((now, name, f"nobody has spoken for {who} for {gone:.2f} s"))
-
-    def store_of(self, name: str) -> Place:
+            for delegator in (cell, self.region_of[name]):
+                absent_for = now - self.registered_at.get(delegator, 0.0)
+                if absent_for > absence_margin(self.timeout, self.drift) + TOLERANCE_S and not self._is_registered(
+                    delegator
+                ):
+                    self.invalid_claims.append((now, name, f"{delegator} has had no delegate for {absent_for:.2f} s"))
+
+    def store_of(self, name: str) -> RestartableStore:
         return self.stores[self.region_of[name]]
 
     def kill(self, name: str) -> None:
@@ -253,24 +256,24 @@
         self.seats[name].hold_still(self.loop.now + seconds)
 
     def cut(self, name: str, store: str, seconds: float, forth: bool = True, back: bool = True) -> None:
-        """Between one supervisor and one store."""
-        host, there = self.hosts[name], self.stores[store].address[0]
-        ways = [self.network.way(host, there)] * forth + [self.network.way(there, host)] * back
-        for way in ways:
-            way.cut = True
+        """Cuts the connection between one supervisor and one store."""
+        host, store_host = self.hosts[name], self.stores[store].address[0]
+        links = [self.network.way(host, store_host)] * forth + [self.network.way(store_host, host)] * back
+        for link in links:
+            link.cut = True
 
-        def mend() -> None:
-            for way in ways:
-                way.cut = False
+        def reconnect() -> None:
+            for link in links:
+                link.cut = False
 
-        self.network.loop_seat.after(seconds, mend)
+        self.network.loop_seat.after(seconds, reconnect)
 
-    def cut_off(self, name: str, seconds: float) -> None:
+    def disconnect(self, name: str, seconds: float) -> None:
         for store in self.stores:
             self.cut(name, store, seconds)
 
     def cut_region(self, region: str, seconds: float) -> None:
-        """Its supervisors from all that is elsewhere."""
+        """Cuts the connections of a region's supervisors to all stores but their own."""
         for name in self.names:
             if self.region_of[name] == region:
                 for store in self.stores:
@@ -278,7 +281,7 @@
                         self.cut(name, store, seconds)
 
     def lose_answers(self, name: str) -> None:
-        """Its connections are reset from the stores' side: what it has asked for may be done, and is not answered."""
+        """Resets its connections from the stores' side: pending requests may be executed, but stay unanswered."""
         host = self.hosts[name]
         for stream in [s for s in self.network.streams if s.peer[0] == host]:
             stream.abort("reset", hard=True)
@@ -289,12 +292,12 @@
         self.loop.run(self.loop.now + seconds)
 
     def until(self, condition, most: float = 60.0, step: float = 0.05) -> float:
-        """Seconds that it took."""
-        began = self.loop.now
+        """Runs until the condition holds; returns the seconds it took."""
+        start = self.loop.now
         while not condition():
-            assert self.loop.now < began + most, f"not within {most:g} s"
+            assert self.loop.now < start + most, f"not within {most:g} s"
             self.run(step)
-        return self.loop.now - began
+        return self.loop.now - start
 
     def up(self) -> None:
         self.until(lambda: all(not self.parts[name].instance.still() for name in self.living()))
@@ -304,32 +307,32 @@
 
     # ---- changes ------------------------------------------------------------------------------------------------
 
-    def ask(self, name: str, grace: float, **more) -> dict | str:
-        """Proposes a document; why not, where it is refused."""
+    def ask(self, name: str, grace: float, **options) -> dict | str:
+        """Proposes a document; returns the reason where it is refused."""
         try:
-            said = self.parts[name].ask(Asked("propose", "somebody", TEXT.format(grace=grace), **more))
+            answer = self.parts[name].ask(Asked("propose", "somebody", TEXT.format(grace=grace), **options))
         except Refused as error:
-            said = str(error)
-        self.asked["refused" if isinstance(said, str) else "taken"] += 1
-        return said
+            answer = str(error)
+        self.asked["refused" if isinstance(answer, str) else "taken"] += 1
+        return answer
 
-    def runs(self) -> dict[str, int]:
-        """The version that each living supervisor goes by."""
+    def versions(self) -> dict[str, int]:
+        """The policy version that each living supervisor runs."""
         return {name: self.parts[name].instance.policy for name in self.living()}
 
-    def asks(self, name: str, grace: float, patience: float = 30.0) -> int:
-        """Proposes, and waits until it is open: its epoch."""
-        before = 0 if self.above() is None else self.above().epoch
-        said = self.ask(name, grace, patience=patience)
-        assert not isinstance(said, str), said
-        self.until(lambda: self.above() is not None and self.above().epoch > before, 5, 0.001)
+    def open_change(self, name: str, grace: float, patience: float = 30.0) -> int:
+        """Proposes a change, waits until its record is open, and returns its epoch."""
+        previous_epoch = 0 if self.above() is None else self.above().epoch
+        answer = self.ask(name, grace, patience=patience)
+        assert not isinstance(answer, str), answer
+        self.until(lambda: self.above() is not None and self.above().epoch > previous_epoch, 5, 0.001)
         return self.above().epoch
 
-    def writes(self, store: str, request) -> None:
-        """Somebody else writes into a store, past all rules."""
+    def write_directly(self, store: str, request) -> None:
+        """Writes into a store as a client that ignores all rules."""
         seat, host = Seat(self.loop, "intruder"), "127.9.0.1"
         self.network.zones[host] = "intruder"
-        done = []
+        errors = []
         client = RosterClient(
             seat,
             [self.stores[store].address],
@@ -339,85 +342,85 @@
             lambda event: None,
             self.network.dial(host),
         )
-        client.ask(request, lambda error, result: done.append(error))
-        self.until(lambda: done, 5, 0.01)
-        assert done == [0], done
+        client.ask(request, lambda error, result: errors.append(error))
+        self.until(lambda: errors, 5, 0.01)
+        assert errors == [0], errors
 
     def everywhere(self, version: int) -> bool:
-        return set(self.runs().values()) == {version}
+        return set(self.versions().values()) == {version}
 
-    # ---- what stands --------------------------------------------------------------------------------------------
+    # ---- stored state -------------------------------------------------------------------------------------------
 
     def record(self, store: str, root: str):
         data = self.stores[store].data(f"{root}/records/{TOPIC}")
         return None if data is None else agreement.read_record(TOPIC, data)
 
     def above(self):
-        """The whole's record."""
+        """The record of the top-level fleet."""
         return self.record(WHOLE, f"{ROOT}/whole")
 
-    def copy_of(self, cell: str):
+    def cell_record(self, cell: str):
         return self.record(self.region_of[cell], f"{ROOT}/cells/{cell}")
 
-    def region_copy(self, region: str):
+    def region_record(self, region: str):
         return self.record(region, f"{ROOT}/regions/{region}")
 
-    def words(self, store: str, root: str, epoch: int) -> dict[str, bool]:
-        """Of an epoch, by name, as they lie in a store."""
-        found, start = {}, f"{root}/records/{TOPIC}/{epoch}."
+    def votes(self, store: str, root: str, epoch: int) -> dict[str, bool]:
+        """The stored votes on an epoch, by name."""
+        found, prefix = {}, f"{root}/records/{TOPIC}/{epoch}."
         for path, node in self.stores[store].tree.nodes.items():
-            if path.startswith(start):
-                ballot = agreement.read_ballot(path.rpartition("/")[2], node.data)
-                found[ballot.name] = ballot.assent
+            if path.startswith(prefix):
+                vote = agreement.read_ballot(path.rpartition("/")[2], node.data)
+                found[vote.name] = vote.assent
         return found
 
-    def cell_words(self, cell: str, epoch: int) -> dict[str, bool]:
-        return self.words(self.region_of[cell], f"{ROOT}/cells/{cell}", epoch)
+    def cell_votes(self, cell: str, epoch: int) -> dict[str, bool]:
+        return self.votes(self.region_of[cell], f"{ROOT}/cells/{cell}", epoch)
 
-    def words_up(self, region: str, epoch: int) -> dict[str, bool]:
-        return self.words(region, f"{ROOT}/regions/{region}", epoch)
+    def region_votes(self, region: str, epoch: int) -> dict[str, bool]:
+        return self.votes(region, f"{ROOT}/regions/{region}", epoch)
 
-    def speaker(self, cell: str) -> str:
-        """Whose node stands for a cell above, or for a region: that of the latest start. "" where there is none."""
+    def delegate(self, cell: str) -> str:
+        """The delegate of a cell or a region: owner of its member node of the latest start; "" where there is none."""
         region = self.region_of.get(cell)
-        place, root = (
+        store, root = (
             (self.stores[WHOLE], f"{ROOT}/whole")
             if region is None
             else (self.stores[region], f"{ROOT}/regions/{region}")
         )
-        start, found = f"{root}/members/{cell}~", (0, "")
-        for path, node in place.tree.nodes.items():
-            if path.startswith(start):
-                found = max(found, (int(path[len(start) :]), self.who.get((place.name, node.owner), "")))
+        prefix, found = f"{root}/members/{cell}~", (0, "")
+        for path, node in store.tree.nodes.items():
+            if path.startswith(prefix):
+                found = max(found, (int(path[len(prefix) :]), self.session_owners.get((store.name, node.owner), "")))
         return found[1]
 
-    def _standing(self, place: Place) -> set[str]:
-        """The cells, or the regions, that have a node in the fleet of a store."""
-        root = f"{ROOT}/whole" if place.name == WHOLE else f"{ROOT}/regions/{place.name}"
-        folder = place.tree.nodes.get(f"{root}/members")
+    def _registered_members(self, store: RestartableStore) -> set[str]:
+        """The cells or regions that have a member node in the fleet of a store."""
+        root = f"{ROOT}/whole" if store.name == WHOLE else f"{ROOT}/regions/{store.name}"
+        folder = store.tree.nodes.get(f"{root}/members")
         return set() if folder is None else {node.partition("~")[0] for node in folder.children}
 
-    def _stands(self, who: str) -> bool:
-        return who in self._standing(self.stores[self.region_of.get(who, WHOLE)])
+    def _is_registered(self, name: str) -> bool:
+        return name in self._registered_members(self.stores[self.region_of.get(name, WHOLE)])
 
-    def _note(self) -> None:
-        """Whose sessions there are, and for which cells and regions somebody speaks."""
+    def _record_sessions(self) -> None:
+        """Records the owners of the sessions, and which cells and regions have a member node."""
         now = self.loop.now
-        for place in self.stores.values():
-            for stream, line in place.server.streams.items():
+        for store in self.stores.values():
+            for stream, line in store.server.streams.items():
                 if line.session:
-                    self.who[place.name, line.session] = self.by_host.get(stream.peer[0], "")
-            self.there_at.update(dict.fromkeys(self._standing(place), now))
-        self.network.loop_seat.after(LOOK_EVERY, self._note)
+                    self.session_owners[store.name, line.session] = self.by_host.get(stream.peer[0], "")
+            self.registered_at.update(dict.fromkeys(self._registered_members(store), now))
+        self.network.loop_seat.after(CHECK_INTERVAL_S, self._record_sessions)
 
     def settled(self) -> list[tuple[float, int, str]]:
-        """When each version was settled in the whole, in the order of its store, and its digest."""
-        found, last = [], 0
+        """Time, version and digest of each commit in the top-level fleet, in the order of its store."""
+        found, last_epoch = [], 0
         for at, path, data in self.stores[WHOLE].written():
             if path == f"{ROOT}/whole/records/{TOPIC}":
                 record = agreement.read_record(TOPIC, data)
-                if record.state == "settled" and record.epoch > last:
-                    last, (change, _) = record.epoch, read_change(record.standing.body)
+                if record.state == "settled" and record.epoch > last_epoch:
+                    last_epoch, (change, _) = record.epoch, read_change(record.standing.body)
                     found.append((at, change.version, change.digest))
         return found
 
@@ -425,58 +428,63 @@
         return everywhere_within(self.timeout, AHEAD, self.drift, tiers=3)
 
 
-# ---- what must hold ---------------------------------------------------------------------------------------------
+# ---- invariants -------------------------------------------------------------------------------------------------
 
 
 def check_acts(fleet: TieredFleet) -> None:
-    """Everywhere or nowhere: nobody acts on what was never settled, nor after the bound on what is over."""
+    """Checks that no supervisor acts on a version that was never committed, or on a superseded one after the bound."""
     settled = fleet.settled()
     versions = [version for _, version, _ in settled]
-    assert versions == sorted(set(versions)), f"versions were settled in the whole as {versions}"
-    at = {version: when for when, version, _ in settled}
-    over = [(when + fleet.bound() + SLACK, version) for when, version, _ in settled]
+    assert versions == sorted(set(versions)), f"versions were committed as {versions}"
+    committed_at = {version: when for when, version, _ in settled}
+    superseded = [(when + fleet.bound() + TOLERANCE_S, version) for when, version, _ in settled]
     for when, name, version in fleet.acts:
-        assert not version or version in at, f"{name} acts on version {version}, which was never settled in the whole"
-        assert not version or when >= at[version], f"{name} acts on version {version} before it was settled"
-        newer = [each for end, each in over if each > version and when > end]
+        assert not version or version in committed_at, f"{name} acts on version {version}, which was never committed"
+        assert not version or when >= committed_at[version], f"{name} acts on version {version} before it was committed"
+        newer = [each for end, each in superseded if each > version and when > end]
         assert not newer, (
-            f"{name} acts on version {version} at {when:.2f} s, and version {newer[0]} was settled at "
-            f"{at[newer[0]]:.2f} s"
+            f"{name} acts on version {version} at {when:.2f} s, but version {newer[0]} was committed at "
+            f"{committed_at[newer[0]]:.2f} s"
         )
 
 
 def check_leases(fleet: TieredFleet) -> None:
-    for when, name, why in fleet.claims:
-        raise AssertionError(f"{name} claims that it may act at {when:.3f} s, and {why}")
+    """Checks that no supervisor claimed to act without being entitled to."""
+    for when, name, why in fleet.invalid_claims:
+        raise AssertionError(f"{name} claims that it may act at {when:.3f} s, but {why}")
 
 
 def check_records(fleet: TieredFleet) -> None:
-    """In each fleet an epoch has one token, a record never falls, and a word never changes."""
-    for store, place in fleet.stores.items():
+    """Checks that in each fleet an epoch has one token, a record never regresses, and a vote never changes."""
+    for store, server in fleet.stores.items():
         tokens: dict[tuple[str, int], str] = {}
         last: dict[str, agreement.Record] = {}
-        words: dict[str, tuple] = {}
-        ends: dict[tuple[str, int], str] = {}
-        for at, path, data in place.written():
+        votes: dict[str, tuple] = {}
+        outcomes: dict[tuple[str, int], str] = {}
+        for at, path, data in server.written():
             folder, _, node = path.partition("/records/")
             if "/" in node:
-                ballot = agreement.read_ballot(node.rpartition("/")[2], data)
-                said = words.setdefault(path, (ballot.assent, ballot.why))
-                assert said == (ballot.assent, ballot.why), f"{store}: the word {path} changed at {at:.2f} s"
+                vote = agreement.read_ballot(node.rpartition("/")[2], data)
+                cast = votes.setdefault(path, (vote.assent, vote.why))
+                assert cast == (vote.assent, vote.why), f"{store}: the vote {path} changed at {at:.2f} s"
                 continue
             record = agreement.read_record(node, data)
             key = folder, record.epoch
-            assert tokens.setdefault(key, record.token) == record.token, f"{path}: epoch {record.epoch} was had twice"
+            assert tokens.setdefault(key, record.token) == record.token, (
+                f"{path}: epoch {record.epoch} was allocated twice"
+            )
             old = last.get(path)
             assert agreement.newer(record, old), (
-                f"{path} falls from {old.epoch} {old.state} to {record.epoch} {record.state} at {at:.2f} s"
+                f"{path} regresses from {old.epoch} {old.state} to {record.epoch} {record.state} at {at:.2f} s"
             )
             last[path] = record
             if folder == f"{ROOT}/whole" and record.state in ("settled", "void"):
-                end = ends.setdefault(key, record.state)
-                assert end == record.state, f"epoch {record.epoch} was both settled and voided"
+                outcome = outcomes.setdefault(key, record.state)
+                assert outcome == record.state, f"epoch {record.epoch} was both settled and void"
             if folder != f"{ROOT}/whole" and record.state == "settled":
-                assert record.token in _settled_tokens(fleet), f"{path}: {record.epoch} is settled, and not above"
+                assert record.token in _settled_tokens(fleet), (
+                    f"{path}: {record.epoch} is settled, but not in the top-level fleet"
+                )
 
 
 def _settled_tokens(fleet: TieredFleet) -> set[str]:
@@ -492,92 +500,97 @@
 
 
 def check_ends(fleet: TieredFleet) -> None:
-    """With all faults over for long enough, everybody that lives goes by what stands, and nothing is open."""
+    """Checks that, long enough after the last fault, all living supervisors run the version in force and nothing is
+    open."""
     settled = fleet.settled()
-    stands = settled[-1][1] if settled else 0
+    in_force = settled[-1][1] if settled else 0
     for name in fleet.living():
         part = fleet.parts[name]
-        assert part.instance.policy == stands, f"{name} goes by version {part.instance.policy}, and {stands} stands"
-        assert not part.instance.still(), f"{name} holds still to the end"
-    opened = [("the whole", fleet.above())]
-    opened += [(region, fleet.region_copy(region)) for region in fleet.regions]
-    opened += [(cell, fleet.copy_of(cell)) for cell in fleet.cells if set(fleet.cells[cell]) - fleet.dead]
-    for where, record in opened:
+        assert part.instance.policy == in_force, (
+            f"{name} runs version {part.instance.policy}, but {in_force} is in force"
+        )
+        assert not part.instance.still(), f"{name} has its updates paused at the end"
+    records = [("the top-level fleet", fleet.above())]
+    records += [(region, fleet.region_record(region)) for region in fleet.regions]
+    records += [(cell, fleet.cell_record(cell)) for cell in fleet.cells if set(fleet.cells[cell]) - fleet.dead]
+    for where, record in records:
         assert not agreement.pending(record), f"{where}: epoch {record.epoch} is {record.state}"
 
 
 def check(fleet: TieredFleet) -> None:
-    """AssertionError names what does not hold."""
+    """Checks all invariants; AssertionError names the violation."""
     check_records(fleet)
     check_acts(fleet)
     check_leases(fleet)
 
 
-# ---- drawn histories --------------------------------------------------------------------------------------------
+# ---- random histories -------------------------------------------------------------------------------------------
 
 
-def drawn_history(folder: Path, seed: int, seconds: float = 30.0, quiet: float = 22.0, **given) -> TieredFleet:
-    """Changes asked for every second or so, and faults, drawn by a seed; then quiet, in which all must end."""
+def drawn_history(folder: Path, seed: int, seconds: float = 30.0, settle_time: float = 22.0, **given) -> TieredFleet:
+    """A random history: a change about every second, and faults; then `settle_time` seconds without any, in which all
+    must finish."""
     random = Random(f"tiers {seed}")
     members = random.choice([2, 3])
     fleet = TieredFleet(folder, members=members, seed=seed, **given)
     fleet.run(random.choice([0.5, 3.0, 6.0]))
     end, faults = fleet.loop.now + seconds, random.choice([0.2, 0.5, 0.8])
-    asking = 0.0
+    next_change_at = 0.0
     while fleet.loop.now < end:
         fleet.run(random.choice([0.01, 0.1, 0.4, 1.0]))
-        if fleet.loop.now >= asking:
-            asking = fleet.loop.now + random.uniform(0.3, 1.7)
+        if fleet.loop.now >= next_change_at:
+            next_change_at = fleet.loop.now + random.uniform(0.3, 1.7)
             name = random.choice(fleet.living() or fleet.names)
             if name not in fleet.dead:
                 fleet.ask(name, round(random.uniform(2.2, 4.0), 2), patience=random.choice([2.0, 5.0, 12.0]))
         if random.random() < faults:
-            trouble(fleet, random)
+            inject_fault(fleet, random)
     for service in fleet.services.values():
-        service.instance.cannot = ""
-    for way in fleet.network.ways.values():
-        way.cut = False
-    stay = random.random() < 0.3  # some are away to the end
+        service.instance.refusal = ""
+    for link in fleet.network.ways.values():
+        link.cut = False
+    stay_absent = random.random() < 0.3  # some supervisors stay absent to the end
     for name in sorted(fleet.dead):
-        if not stay:
+        if not stay_absent:
             fleet.start(name)
-    fleet.run(quiet)
+    fleet.run(settle_time)
     return fleet
 
 
-def trouble(fleet: TieredFleet, random: Random) -> None:
-    name, luck = random.choice(fleet.names), random.random()
+def inject_fault(fleet: TieredFleet, random: Random) -> None:
+    """Injects one random fault, preferably into a delegate."""
+    name, draw = random.choice(fleet.names), random.random()
     region, cell = fleet.region_of[name], fleet.cell_of[name]
     if random.random() < 0.4:
-        name = fleet.speaker(cell) or name  # those matter most
-    span = fleet.timeout * random.choice([0.3, 0.7, 0.95, 1.2, 2.0, 3.5, 5.0])
-    if luck < 0.10:
+        name = fleet.delegate(cell) or name  # delegates matter most
+    duration = fleet.timeout * random.choice([0.3, 0.7, 0.95, 1.2, 2.0, 3.5, 5.0])
+    if draw < 0.10:
         fleet.kill(name)
-        fleet.network.loop_seat.after(span, lambda: name in fleet.dead and fleet.start(name))
-    elif luck < 0.15:
-        fleet.kill(name)  # for long
-    elif luck < 0.25:
+        fleet.network.loop_seat.after(duration, lambda: name in fleet.dead and fleet.start(name))
+    elif draw < 0.15:
+        fleet.kill(name)  # until a later fault restarts it
+    elif draw < 0.25:
         if name in fleet.dead:
             fleet.start(name)
-    elif luck < 0.37:
-        fleet.pause(name, span)
-    elif luck < 0.57:
-        fleet.cut(name, random.choice([WHOLE, region]), span, *random.choice([(1, 1), (1, 0), (0, 1)]))
-    elif luck < 0.65:
-        fleet.cut_off(name, span)
-    elif luck < 0.72:
-        fleet.cut_region(region, span)
-    elif luck < 0.80:
+    elif draw < 0.37:
+        fleet.pause(name, duration)
+    elif draw < 0.57:
+        fleet.cut(name, random.choice([WHOLE, region]), duration, *random.choice([(1, 1), (1, 0), (0, 1)]))
+    elif draw < 0.65:
+        fleet.disconnect(name, duration)
+    elif draw < 0.72:
+        fleet.cut_region(region, duration)
+    elif draw < 0.80:
         fleet.lose_answers(name)
-    elif luck < 0.84:
-        fleet.stores[random.choice([WHOLE, region])].fall(random.choice([0.2, 1.0, 3.0]))
-    elif luck < 0.88:
-        place = fleet.stores[random.choice([WHOLE, region])]
-        place.seat.hold_still(fleet.loop.now + random.choice([0.3, fleet.timeout, 2 * fleet.timeout]))
-    elif luck < 0.92:
+    elif draw < 0.84:
+        fleet.stores[random.choice([WHOLE, region])].crash(random.choice([0.2, 1.0, 3.0]))
+    elif draw < 0.88:
+        store = fleet.stores[random.choice([WHOLE, region])]
+        store.seat.hold_still(fleet.loop.now + random.choice([0.3, fleet.timeout, 2 * fleet.timeout]))
+    elif draw < 0.92:
         for each in fleet.cells[cell]:
-            fleet.pause(each, span) if random.random() < 0.5 else fleet.cut_off(each, span)
+            fleet.pause(each, duration) if random.random() < 0.5 else fleet.disconnect(each, duration)
     else:
         instance = fleet.services[name].instance
-        instance.cannot = "it objects"
-        fleet.network.loop_seat.after(2 * span, lambda: setattr(instance, "cannot", ""))
+        instance.refusal = "it objects"
+        fleet.network.loop_seat.after(2 * duration, lambda: setattr(instance, "refusal", ""))
