--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -66,7 +66,7 @@
     """Joins the fleet and returns the agent. Joining never blocks the supervisor, which serves alike without a fleet.
 
     `seed` of the random generator: drawn unless given. With `tiers`, the hierarchy determines the fleet, its members
-    and its store, and `hosts`, `root` and `expected` are ignored; raises BadTiers where `name` is not in it."""
+    and its store, and `hosts`, `root` and `expected` are ignored; raises HierarchyError where `name` is not in it."""
     host, port = service.address
     member = Member(name, advertise or f"{host}:{port}", version("driftshed"))
     seed = int.from_bytes(os.urandom(6), "big") if seed is None else seed
