--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -102,24 +102,24 @@
         committed = record["standing"]
         text = f"{record['topic']}: epoch {record['epoch']} of {record['by']} is {record['state']}"
         if committed:
-            text += f"; epoch {committed['epoch']} of {committed['by']} is in force"
+            text += f"; epoch {committed['epoch']} of {committed['by']} stands"
         if record["state"] == "open":
             cast = ", ".join(f"{vote['name']} {'assents' if vote['assent'] else 'objects'}" for vote in votes) or "none"
-            text += f"; votes: {cast}; waiting for {', '.join(missing_voters(record, votes)) or 'nobody'}"
+            text += f"; words: {cast}; waits for {', '.join(missing_voters(record, votes)) or 'nobody'}"
         console.print(text + (f" ({record['why']})" if record["why"] else ""), highlight=False)
     if view["by"] is not None:
         if view.get("cell"):
             summary, delegate_of = view["whole"], " and ".join(view["speaks_for"])
             text = f"cell {view['cell']} of region {view['region']}" + (
-                f"; delegate of {delegate_of}" if delegate_of else ""
+                f"; speaks for {delegate_of}" if delegate_of else ""
             )
             text += "" if view["acts"] else "; may not act on what was agreed above"
             console.print(text, highlight=False)
             if summary:
                 console.print(
-                    f"entire fleet: {summary['living']} of {summary['expected']} alive, {summary['leaving']} leaving, "
-                    f"{summary['silent']} silent",
+                    f"the whole: {summary['living']} of {summary['expected']} live, {summary['leaving']} leave, "
+                    f"{summary['silent']} are silent",
                     highlight=False,
                 )
-        lease = "holds no lease" if view["lease"] is None else f"lease valid for {view['lease']:.2f} s"
-        console.print(f"as seen by {view['by']}, start {view['incarnation']}, {view['standing']}, {lease}")
+        lease = "holds no lease" if view["lease"] is None else f"lease for {view['lease']:.2f} s more"
+        console.print(f"seen by {view['by']}, start {view['incarnation']}, {view['standing']}, {lease}")
