--- a/driftshed/roster/follow.py
+++ b/driftshed/roster/follow.py
@@ -77,7 +77,7 @@
             # the list has been read it is not known whether it is whole.
             self.loop.soon(self._list)
         elif state in (State.AWAY, State.EXPIRED):
-            self.membership.away(now)
+            self.membership.store_unreachable(now)
             self.log("roster_session", level="warning", state=state.value)
             if state is State.EXPIRED and not self.stopped:
                 self.loop.soon(self._begin)
@@ -123,7 +123,7 @@
         self.unread.pop(name, None)
         self.nodes.pop(name, None)
         if not self.whole_due:
-            self.membership.vanished(name, self.loop.clock())
+            self.membership.node_removed(name, self.loop.clock())
             self._soon()
 
     def _read(self, name: str) -> None:
@@ -169,7 +169,7 @@
             return
         self.nodes[name] = node
         if not self.whole_due:
-            self.membership.appeared(name, node, self.loop.clock())
+            self.membership.node_updated(name, node, self.loop.clock())
             self._soon()
 
     def _whole(self) -> None:
@@ -178,14 +178,14 @@
             return
         if self.whole_due or self.membership.away_since is not None:
             self.whole_due = False
-            self.membership.whole(dict(self.nodes), self.loop.clock())
+            self.membership.replace_nodes(dict(self.nodes), self.loop.clock())
             self._soon()
 
     # ---- telling ----------------------------------------------------------------------------------------------
 
     def answered(self, server: str) -> None:
         """Reports have met this server giving good answers."""
-        self.membership.answered(server, self.loop.clock())
+        self.membership.record_answer(server, self.loop.clock())
 
     def _soon(self) -> None:
         if not self.turn_due:
@@ -197,8 +197,8 @@
         if self.whole_due and not self.told_whole:
             return  # no list has been read yet
         now = self.loop.clock()
-        changes = self.membership.turn(now)
-        if not self.membership.settled:
+        changes = self.membership.evaluate(now)
+        if not self.membership.first_list_ready:
             due = self.membership.next_at(now)
             if due is not None:
                 self.loop.at(due, self._soon)
--- a/driftshed/roster/membership.py
+++ b/driftshed/roster/membership.py
@@ -1,8 +1,9 @@
-"""Decides who is listed, from what the nodes say and when they vanish. Pure: told of events and times, it keeps a
-wanted list, and `turn` gives the difference to what was listed before. The rules are written down in docs/roster.md.
+"""Decides which servers are listed, from the data of their nodes and from when nodes are removed. Free of I/O and of
+clocks: callers pass in events and times, and `evaluate` returns the changes since the last listing. The rules are
+specified in docs/roster.md.
 
-A node that says "draining" or "gone" binds at once. One that vanishes without a word is evidence: the session lapsed,
-which a dead server, a paused one, a sick network and a sick store all look like."""
+A node with state "draining" or "gone" takes effect at once. A node that is removed without such a state is only
+evidence: its session lapsed, which a dead server, a paused server, a network fault and a store fault all cause."""
 
 from __future__ import annotations
 
@@ -10,13 +11,13 @@
 
 from driftshed.core.messages import ListedServer
 
-MASS_SHARE = 0.25  # of the servers listed: so many lapsing within a hold are the store's trouble, not theirs
-MASS_LEAST = 3  # servers, below which it never is one
-SETTLED = 0.125  # of the hold without a new server: the first list is as long as it will be for now
+MASS_LAPSE_SHARE = 0.25  # of the ready servers: so many lapses within one hold are a store fault, not server faults
+MIN_MASS_LAPSE_SERVERS = 3  # fewer lapses are never a mass lapse
+FIRST_LIST_QUIET_SHARE = 0.125  # of the hold without a new server, after which the first list counts as complete
 
 
 class Announced(NamedTuple):
-    """What a node says of its server. `epoch` rises with each start of a server at one address."""
+    """The data of a server's node. `epoch` increases with each start of a server at one address."""
 
     server: str
     zone: str
@@ -28,174 +29,187 @@
     epoch: int
 
 
-class Change(NamedTuple):
-    """What is to be told of one server, and why."""
+class ListChange(NamedTuple):
+    """A change of the list for one server, and the reason for it."""
 
     listed: ListedServer
     why: str
 
 
 class Membership:
-    """`hold`: seconds for which a server whose node vanished stays listed while it is met answering; `hold_most`: for
-    which a list is held against a mass lapse at the longest."""
+    """The list of servers, computed from their nodes. All times are seconds on the caller's clock."""
 
-    def __init__(self, hold: float, hold_most: float) -> None:
-        self.hold, self.hold_most = hold, hold_most
+    def __init__(self, lapse_hold_s: float, max_list_hold_s: float) -> None:
+        """`lapse_hold_s`: how long a server whose node was removed stays listed while it still answers requests;
+        `max_list_hold_s`: how long the list is held at most after a mass lapse."""
+        self.lapse_hold_s, self.max_list_hold_s = lapse_hold_s, max_list_hold_s
         self.nodes: dict[str, Announced] = {}  # by path
-        self.place: dict[str, int] = {}  # of a server in the arrays
+        self.index_of: dict[str, int] = {}  # by server: its position in the lists below
         self.servers: list[str] = []
-        self.said: list[Announced | None] = []  # the newest word of each, None: it may be forgotten
-        self.paths: list[str] = []  # of the node that said so; "" once it has vanished
-        self.lapsed_at: list[float] = []  # when it vanished without a word; inf while it is there
+        self.announced: list[Announced | None] = []  # by server: the data with the highest epoch
+        self.paths: list[str] = []  # node that holds this data; "" once it is removed
+        self.lapsed_at: list[float] = []  # when that node was removed; inf while it exists
         self.answered_at: list[float] = []
         self.listed: list[ListedServer | None] = []
-        self.away_since: float | None = None  # no list from the store since
-        self.mass_since: float | None = None
-        self.begun_at: float | None = None  # when the first list was read
-        self.grown_at = 0.0  # when a server was last heard of for the first time
-        self.settled = False
+        self.away_since: float | None = None  # since when the store is unreachable
+        self.mass_lapse_since: float | None = None
+        self.first_read_at: float | None = None  # when the nodes were first read completely
+        self.last_new_server_at = 0.0  # when a server was last seen for the first time
+        self.first_list_ready = False
 
-    # ---- what is heard ----------------------------------------------------------------------------------------
+    # ---- events ------------------------------------------------------------------------------------------------
 
-    def appeared(self, path: str, node: Announced, now: float) -> None:
-        """A node is there, or its data changed."""
+    def node_updated(self, path: str, node: Announced, now: float) -> None:
+        """A node was created, or its data changed."""
         self.nodes[path] = node
-        i = self.place.get(node.server)
+        i = self.index_of.get(node.server)
         if i is None:
-            self.grown_at = now
-            i = self.place[node.server] = len(self.servers)
+            self.last_new_server_at = now
+            i = self.index_of[node.server] = len(self.servers)
             self.servers.append(node.server)
-            self.said.append(None)
+            self.announced.append(None)
             self.paths.append("")
             self.lapsed_at.append(float("inf"))
             self.answered_at.append(float("-inf"))
             self.listed.append(None)
-        present = self.said[i]
-        # Guards against an older process that wakes from a pause, or whose node has not lapsed yet: the higher epoch
-        # holds the address.
-        if present is not None and node.epoch < present.epoch:
+        current = self.announced[i]
+        # Guards against an older process that resumes after a pause, or whose node has not lapsed yet: the node with
+        # the higher epoch owns the address.
+        if current is not None and node.epoch < current.epoch:
             return
-        self.said[i], self.paths[i], self.lapsed_at[i] = node, path, float("inf")
+        self.announced[i], self.paths[i], self.lapsed_at[i] = node, path, float("inf")
 
-    def vanished(self, path: str, now: float) -> None:
-        """A node is there no more."""
+    def node_removed(self, path: str, now: float) -> None:
+        """A node was removed."""
         node = self.nodes.pop(path, None)
-        i = self.place.get(node.server) if node is not None else None
+        i = self.index_of.get(node.server) if node is not None else None
         if i is None or self.paths[i] != path:
-            return  # another one stands for the address by now
+            return  # a newer node owns the address
         self.paths[i] = ""
         self.lapsed_at[i] = now
 
-    def whole(self, nodes: dict[str, Announced], now: float) -> None:
-        """All the nodes that the store has: what is not among them has vanished. Guards against a store that came back
-        with less than it had: what is missing is a lapse like any other, and many at once are a mass of them."""
+    def replace_nodes(self, nodes: dict[str, Announced], now: float) -> None:
+        """Applies a complete read of the store's nodes, by path: nodes missing from it count as removed. Guards against
+        a store that came back with fewer nodes than before: each missing node is a lapse like any other, and many at
+        once are a mass lapse."""
         self.away_since = None
-        self.begun_at = now if self.begun_at is None else self.begun_at
+        self.first_read_at = now if self.first_read_at is None else self.first_read_at
         for path in [path for path in self.nodes if path not in nodes]:
-            self.vanished(path, now)
+            self.node_removed(path, now)
         for path, node in nodes.items():
-            self.appeared(path, node, now)
+            self.node_updated(path, node, now)
 
-    def away(self, now: float) -> None:
-        """The store does not answer, or our session with it has ended: nothing is known, and the list holds."""
+    def store_unreachable(self, now: float) -> None:
+        """The store does not answer, or the session with it has expired: the list is held until the next complete
+        read."""
         self.away_since = now if self.away_since is None else self.away_since
 
-    def answered(self, server: str, now: float) -> None:
-        """Reports have met this server giving good answers."""
-        i = self.place.get(server)
+    def record_answer(self, server: str, now: float) -> None:
+        """Reports show that this server gave good answers."""
+        i = self.index_of.get(server)
         if i is not None:
             self.answered_at[i] = now
 
-    # ---- what is decided --------------------------------------------------------------------------------------
+    # ---- decisions ---------------------------------------------------------------------------------------------
 
     def next_at(self, now: float) -> float | None:
-        """When a turn is due though nothing is heard."""
-        if not self.settled:
-            return self._settles_at()
-        due = [at + self.hold for at in self.lapsed_at if at < float("inf")]
-        if self.mass_since is not None:
-            due.append(self.mass_since + self.hold_most)
+        """When `evaluate` is due even without an event; None if it is not."""
+        if not self.first_list_ready:
+            return self._first_list_at()
+        due = [at + self.lapse_hold_s for at in self.lapsed_at if at < float("inf")]
+        if self.mass_lapse_since is not None:
+            due.append(self.mass_lapse_since + self.max_list_hold_s)
         return min((at for at in due if at > now), default=None)
 
-    def _settles_at(self) -> float | None:
-        """Guards against a first list of the few servers that were quickest, where all start together: the module lays
-        out its tables by it. It is told once no new server has come for a while, and after the hold at the latest."""
-        if self.begun_at is None:
+    def _first_list_at(self) -> float | None:
+        """When the first list may be published; None before the first complete read. Guards against a first list of
+        only the few fastest servers where all start together: the module lays out its tables by that list. It is
+        published once no new server has appeared for a while, and after the hold at the latest."""
+        if self.first_read_at is None:
             return None
-        return min(max(self.begun_at, self.grown_at) + SETTLED * self.hold, self.begun_at + self.hold)
+        return min(
+            max(self.first_read_at, self.last_new_server_at) + FIRST_LIST_QUIET_SHARE * self.lapse_hold_s,
+            self.first_read_at + self.lapse_hold_s,
+        )
 
-    def _wanted(self, now: float) -> list[tuple[ListedServer | None, str]]:
-        """What should be listed of each server, and why."""
+    def _target_entries(self, now: float) -> list[tuple[ListedServer | None, str]]:
+        """For each server the entry that should be listed, None for no entry, and the reason."""
         ready = [i for i, listed in enumerate(self.listed) if listed is not None and self._is_ready(i)]
         lapsed = [i for i in ready if self.lapsed_at[i] < float("inf")]
-        fresh = sum(now - self.lapsed_at[i] <= self.hold for i in lapsed)
-        # Guards against a store, or a way to it, that is sick: emptying every table for it would be worse than holding
-        # the last list, in which the module still withdraws what does not answer.
-        # It is over when all of them are back or their time is: the last few to come back are no lapse of their own.
-        if self.mass_since is None and fresh >= max(MASS_LEAST, MASS_SHARE * len(ready)):
-            self.mass_since = now
+        recently_lapsed = sum(now - self.lapsed_at[i] <= self.lapse_hold_s for i in lapsed)
+        # Guards against a fault of the store or of the network to it: emptying every table would be worse than holding
+        # the last list, from which the module still withdraws servers that do not answer.
+        # A mass lapse ends when all its servers are back or have been delisted after `max_list_hold_s`: the last few to
+        # come back do not count as separate lapses.
+        if self.mass_lapse_since is None and recently_lapsed >= max(
+            MIN_MASS_LAPSE_SERVERS, MASS_LAPSE_SHARE * len(ready)
+        ):
+            self.mass_lapse_since = now
         elif not lapsed:
-            self.mass_since = None
-        holds = self.mass_since is not None and now - self.mass_since < self.hold_most
+            self.mass_lapse_since = None
+        mass_lapse_held = self.mass_lapse_since is not None and now - self.mass_lapse_since < self.max_list_hold_s
         rows: list[tuple[ListedServer | None, str]] = []
-        for i, node in enumerate(self.said):
+        for i, node in enumerate(self.announced):
             if node is None:
                 rows.append((None, ""))
             elif node.state == "gone":
-                rows.append((None, "it said that it is gone"))
+                rows.append((None, "its node has state gone"))
             elif self.lapsed_at[i] == float("inf"):
-                rows.append((self._entry(node), f"its node says {node.state}"))
+                rows.append((self._entry(node), f"its node has state {node.state}"))
             elif self.listed[i] is None:
-                rows.append((None, ""))  # what was taken out is not held: it has to say something again
+                rows.append((None, ""))  # a server off the list is not held: its node has to come back first
             elif node.state == "draining":
-                rows.append((None, "it drained, and its node vanished"))
-            elif holds:
-                rows.append((self._entry(node), "held: many nodes vanished at once"))
+                rows.append((None, "it was draining, and its node was removed"))
+            elif mass_lapse_held:
+                rows.append((self._entry(node), "held: many nodes were removed at once"))
             elif self.away_since is not None:
-                rows.append((self._entry(node), "held: the store is away"))
-            elif now - self.lapsed_at[i] < self.hold and self._answers(i, now):
-                rows.append((self._entry(node), "held: its node vanished, and it answers"))
+                rows.append((self._entry(node), "held: the store is unreachable"))
+            elif now - self.lapsed_at[i] < self.lapse_hold_s and self._is_answering(i, now):
+                rows.append((self._entry(node), "held: its node was removed, but it still answers"))
             else:
-                rows.append((None, "its node vanished"))
+                rows.append((None, "its node was removed"))
         return rows
 
     def _is_ready(self, i: int) -> bool:
-        return self.said[i] is not None and self.said[i].state == "ready"
+        return self.announced[i] is not None and self.announced[i].state == "ready"
 
-    def _answers(self, i: int, now: float) -> bool:
-        """Whether it was met answering since its node vanished, or shortly before."""
-        return self.answered_at[i] >= self.lapsed_at[i] - self.hold / 2 and now - self.answered_at[i] <= self.hold / 2
+    def _is_answering(self, i: int, now: float) -> bool:
+        """Whether the server answered recently, at the earliest half a hold before its node was removed."""
+        return (
+            self.answered_at[i] >= self.lapsed_at[i] - self.lapse_hold_s / 2
+            and now - self.answered_at[i] <= self.lapse_hold_s / 2
+        )
 
     @staticmethod
     def _entry(node: Announced) -> ListedServer:
         return ListedServer(node.server, node.zone, node.kind, node.state, node.started, node.cell, node.weight)
 
-    def turn(self, now: float) -> list[Change]:
-        """The difference between what should be listed and what was, and nothing while the first list is not there."""
-        settles_at = self._settles_at()
-        self.settled |= settles_at is not None and now >= settles_at
-        if not self.settled:
+    def evaluate(self, now: float) -> list[ListChange]:
+        """Updates the list and returns what changed; returns nothing until the first list is complete."""
+        first_list_at = self._first_list_at()
+        self.first_list_ready |= first_list_at is not None and now >= first_list_at
+        if not self.first_list_ready:
             return []
         changes = []
-        for i, (wanted, why) in enumerate(self._wanted(now)):
-            present = self.listed[i]
-            if wanted == present:
+        for i, (target, why) in enumerate(self._target_entries(now)):
+            current = self.listed[i]
+            if target == current:
                 continue
-            self.listed[i] = wanted
-            if wanted is not None:
-                changes.append(Change(wanted, why))
+            self.listed[i] = target
+            if target is not None:
+                changes.append(ListChange(target, why))
             else:
-                gone = ListedServer(present.server, present.zone, present.kind, "gone", None, present.cell)
-                changes.append(Change(gone, why))
-        self._forget(now)
+                gone = ListedServer(current.server, current.zone, current.kind, "gone", None, current.cell)
+                changes.append(ListChange(gone, why))
+        self._drop_unlisted(now)
         return changes
 
-    def _forget(self, now: float) -> None:
-        """Guards against arrays that grow with every address there ever was."""
-        dead = [i for i, each in enumerate(self.listed) if each is None and not self.paths[i]]
-        if len(dead) < 64 + len(self.servers) // 2:
+    def _drop_unlisted(self, now: float) -> None:
+        """Guards against lists that grow with every address ever seen."""
+        unlisted = [i for i, each in enumerate(self.listed) if each is None and not self.paths[i]]
+        if len(unlisted) < 64 + len(self.servers) // 2:
             return
-        kept = [i for i in range(len(self.servers)) if i not in set(dead)]
-        for column in (self.servers, self.said, self.paths, self.lapsed_at, self.answered_at, self.listed):
-            column[:] = [column[i] for i in kept]
-        self.place = {server: i for i, server in enumerate(self.servers)}
+        retained = [i for i in range(len(self.servers)) if i not in set(unlisted)]
+        for column in (self.servers, self.announced, self.paths, self.lapsed_at, self.answered_at, self.listed):
+            column[:] = [column[i] for i in retained]
+        self.index_of = {server: i for i, server in enumerate(self.servers)}
--- a/driftshed/roster/nodes.py
+++ b/driftshed/roster/nodes.py
@@ -1,5 +1,5 @@
-"""What a server's node holds, and where the nodes lie: ROOT/ADDRESS~EPOCH is one start of one server, ephemeral;
-ROOT-epochs/ADDRESS counts its starts and stays. Free of I/O."""
+"""The data of a server's node, and the paths of nodes: ROOT/ADDRESS~EPOCH is an ephemeral node for one start of one
+server; ROOT-epochs/ADDRESS is a permanent node whose version counts its starts. Free of I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from driftshed.core.messages import STATES, BadName, Name, Number, Share, server_id
 from driftshed.roster.membership import Announced
 
-MOST_BYTES = 4096  # of a node's data
+MAX_NODE_BYTES = 4096  # of a node's data
 
 
 class BadNode(ValueError):
-    """A node that says nothing that can be used; the text says why."""
+    """The name or the data of a node is invalid; the message gives the reason."""
 
 
 class Said(Struct, forbid_unknown_fields=True):
@@ -31,21 +31,29 @@
 
 
 def write_node(node: Announced) -> bytes:
-    said = Said(node.zone, node.kind, node.state, node.started, node.cell, node.weight, node.epoch)
-    return msgspec.json.encode(said)
+    """Encodes the data of a node; the server's address is in the node's name."""
+    fields = Said(node.zone, node.kind, node.state, node.started, node.cell, node.weight, node.epoch)
+    return msgspec.json.encode(fields)
 
 
 def read_node(name: str, data: bytes, zones: tuple[str, ...], kinds: tuple[str, ...]) -> Announced:
-    """The node of this name under the root; BadNode where it cannot be."""
+    """Parses a node under the root from its name and its data. Raises BadNode if it is malformed, if its zone, kind or
+    state is not among the known ones, or if the epoch in its name differs from the one in its data."""
     server, _, epoch = name.partition("~")
     try:
         server_id(server)
-        said = msgspec.json.decode(data[: MOST_BYTES + 1], type=Said)
+        fields = msgspec.json.decode(data[: MAX_NODE_BYTES + 1], type=Said)
     except (BadName, msgspec.DecodeError) as error:
         raise BadNode(f"{name}: {error}") from None
-    for what, value, known in (("zone", said.zone, zones), ("kind", said.kind, kinds), ("state", said.state, STATES)):
+    for what, value, known in (
+        ("zone", fields.zone, zones),
+        ("kind", fields.kind, kinds),
+        ("state", fields.state, STATES),
+    ):
         if value not in known:
             raise BadNode(f"{name}: {what} {value!r} is none of {', '.join(known)}")
-    if epoch != str(said.epoch):
-        raise BadNode(f"{name}: the node says epoch {said.epoch}")
-    return Announced(server, said.zone, said.kind, said.state, said.started, said.cell, said.weight, said.epoch)
+    if epoch != str(fields.epoch):
+        raise BadNode(f"{name}: the epoch in the data is {fields.epoch}")
+    return Announced(
+        server, fields.zone, fields.kind, fields.state, fields.started, fields.cell, fields.weight, fields.epoch
+    )
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -765,117 +765,118 @@
 
 def members(count: int = 10) -> Membership:
     membership = Membership(4.0, 60.0)
-    membership.whole({f"/s/{k}": node(k) for k in range(1, count + 1)}, -10.0)
-    assert len(membership.turn(0.0)) == count
+    membership.replace_nodes({f"/s/{k}": node(k) for k in range(1, count + 1)}, -10.0)
+    assert len(membership.evaluate(0.0)) == count
     return membership
 
 
-def told(membership: Membership, now: float) -> dict[str, str]:
-    return {change.listed.server: change.listed.state for change in membership.turn(now)}
+def changed_states(membership: Membership, now: float) -> dict[str, str]:
+    return {change.listed.server: change.listed.state for change in membership.evaluate(now)}
 
 
 def test_the_first_list_waits_for_servers_that_start_together_but_not_for_ever():
-    """A lab's finding: the module lays its tables out by the first list, which had the quickest few of 118."""
+    """Guards against a first list of only the fastest few of 118 servers, as found in the laboratory: the module lays
+    out its tables by that list."""
     membership = Membership(4.0, 60.0)
-    assert membership.turn(0.0) == [] and membership.next_at(0.0) is None  # nothing was read yet
-    membership.whole({"/s/1": node(1)}, 1.0)
+    assert membership.evaluate(0.0) == [] and membership.next_at(0.0) is None  # nothing has been read yet
+    membership.replace_nodes({"/s/1": node(1)}, 1.0)
     for k in range(2, 40):
         at = 1.0 + k / 10
-        membership.appeared(f"/s/{k}", node(k), at)
-        assert at < 5.0 or len(membership.turn(at)) >= 1
-        assert at >= 5.0 or (membership.turn(at) == [] and membership.next_at(at) == min(5.0, at + 0.5))
-    calm = Membership(4.0, 60.0)
-    calm.whole({"/s/1": node(1)}, 1.0)
-    calm.appeared("/s/2", node(2), 1.2)
-    assert calm.turn(1.6) == [] and len(calm.turn(1.7)) == 2
+        membership.node_updated(f"/s/{k}", node(k), at)
+        assert at < 5.0 or len(membership.evaluate(at)) >= 1
+        assert at >= 5.0 or (membership.evaluate(at) == [] and membership.next_at(at) == min(5.0, at + 0.5))
+    quiet = Membership(4.0, 60.0)
+    quiet.replace_nodes({"/s/1": node(1)}, 1.0)
+    quiet.node_updated("/s/2", node(2), 1.2)
+    assert quiet.evaluate(1.6) == [] and len(quiet.evaluate(1.7)) == 2
 
 
-def test_a_word_binds_at_once_and_a_lapse_of_a_silent_server_too():
+def test_announced_states_and_lapses_of_unresponsive_servers_apply_at_once():
     membership = members()
-    membership.appeared("/s/1", node(1, "draining"), 1.0)
-    assert told(membership, 1.0) == {"10.0.0.1:80": "draining"}
-    membership.vanished("/s/1", 2.0)
-    membership.vanished("/s/2", 2.0)
-    assert told(membership, 2.0) == {"10.0.0.1:80": "gone", "10.0.0.2:80": "gone"}
+    membership.node_updated("/s/1", node(1, "draining"), 1.0)
+    assert changed_states(membership, 1.0) == {"10.0.0.1:80": "draining"}
+    membership.node_removed("/s/1", 2.0)
+    membership.node_removed("/s/2", 2.0)
+    assert changed_states(membership, 2.0) == {"10.0.0.1:80": "gone", "10.0.0.2:80": "gone"}
 
 
-def test_a_server_that_still_answers_is_held_for_the_stated_time_only():
+def test_a_server_that_still_answers_is_held_for_the_configured_time_only():
     membership = members()
-    membership.vanished("/s/3", 1.0)
+    membership.node_removed("/s/3", 1.0)
     for k in range(16):
-        membership.answered("10.0.0.3:80", 1.0 + k / 4)
-        assert told(membership, 1.0 + k / 4) == {}
+        membership.record_answer("10.0.0.3:80", 1.0 + k / 4)
+        assert changed_states(membership, 1.0 + k / 4) == {}
     assert membership.next_at(4.9) == pytest.approx(5.0)
-    membership.answered("10.0.0.3:80", 5.0)
-    assert told(membership, 5.0) == {"10.0.0.3:80": "gone"}
+    membership.record_answer("10.0.0.3:80", 5.0)
+    assert changed_states(membership, 5.0) == {"10.0.0.3:80": "gone"}
     silent = members()
-    silent.answered("10.0.0.3:80", 0.9)
-    silent.vanished("/s/3", 1.0)
-    assert told(silent, 1.0) == {} and told(silent, 3.0) == {"10.0.0.3:80": "gone"}
+    silent.record_answer("10.0.0.3:80", 0.9)
+    silent.node_removed("/s/3", 1.0)
+    assert changed_states(silent, 1.0) == {} and changed_states(silent, 3.0) == {"10.0.0.3:80": "gone"}
 
 
 def test_a_flapping_session_changes_nothing_and_a_restart_is_a_restart():
     membership = members()
-    membership.answered("10.0.0.4:80", 1.0)
-    membership.vanished("/s/4", 1.0)
-    assert told(membership, 1.1) == {}
-    membership.appeared("/s/4b", node(4), 1.5)
-    assert told(membership, 1.5) == {}
-    membership.appeared("/s/4c", node(4, epoch=2, started=7.0), 2.0)
-    (change,) = membership.turn(2.0)
+    membership.record_answer("10.0.0.4:80", 1.0)
+    membership.node_removed("/s/4", 1.0)
+    assert changed_states(membership, 1.1) == {}
+    membership.node_updated("/s/4b", node(4), 1.5)
+    assert changed_states(membership, 1.5) == {}
+    membership.node_updated("/s/4c", node(4, epoch=2, started=7.0), 2.0)
+    (change,) = membership.evaluate(2.0)
     assert change.listed.started == 7.0
-    membership.vanished("/s/4b", 2.5)  # the older one's session lapses
-    membership.appeared("/s/4b", node(4), 3.0)  # and wakes from its pause
-    assert told(membership, 3.0) == {}
+    membership.node_removed("/s/4b", 2.5)  # the session of the older process lapses
+    membership.node_updated("/s/4b", node(4), 3.0)  # the older process resumes after a pause
+    assert changed_states(membership, 3.0) == {}
 
 
-def test_a_mass_lapse_is_held_but_words_bind_and_its_time_is_bounded():
+def test_a_mass_lapse_is_held_for_a_bounded_time_but_announced_states_apply():
     membership = members()
     for k in range(1, 11):
-        membership.vanished(f"/s/{k}", 1.0 + k / 20)
-    assert told(membership, 2.0) == {}
-    membership.appeared("/s/1", node(1), 3.0)
-    membership.appeared("/s/2", node(2, "draining"), 3.0)
-    assert told(membership, 3.0) == {"10.0.0.2:80": "draining"}  # rule 3, mass or not
-    assert told(membership, 50.0) == {}
+        membership.node_removed(f"/s/{k}", 1.0 + k / 20)
+    assert changed_states(membership, 2.0) == {}
+    membership.node_updated("/s/1", node(1), 3.0)
+    membership.node_updated("/s/2", node(2, "draining"), 3.0)
+    assert changed_states(membership, 3.0) == {"10.0.0.2:80": "draining"}  # rule 3 holds during a mass lapse too
+    assert changed_states(membership, 50.0) == {}
     assert membership.next_at(50.0) == pytest.approx(62.0)
-    gone = told(membership, 62.1)
+    gone = changed_states(membership, 62.1)
     assert len(gone) == 8 and set(gone.values()) == {"gone"}
 
 
 def test_the_last_to_come_back_from_a_mass_lapse_are_held_too():
     membership = members()
     for k in range(1, 11):
-        membership.vanished(f"/s/{k}", 1.0)
-    assert told(membership, 1.0) == {}
+        membership.node_removed(f"/s/{k}", 1.0)
+    assert changed_states(membership, 1.0) == {}
     for k in range(1, 10):
-        membership.appeared(f"/s/{k}", node(k), 2.0 + k)
-        assert told(membership, 2.0 + k) == {}
-    membership.appeared("/s/10", node(10), 30.0)
-    assert told(membership, 30.0) == {}
-    membership.vanished("/s/10", 31.0)  # the mass is over: this is one of its own
-    assert told(membership, 31.0) == {"10.0.0.10:80": "gone"}
+        membership.node_updated(f"/s/{k}", node(k), 2.0 + k)
+        assert changed_states(membership, 2.0 + k) == {}
+    membership.node_updated("/s/10", node(10), 30.0)
+    assert changed_states(membership, 30.0) == {}
+    membership.node_removed("/s/10", 31.0)  # the mass lapse is over: this is a separate lapse
+    assert changed_states(membership, 31.0) == {"10.0.0.10:80": "gone"}
 
 
-def test_two_of_ten_are_no_mass_and_a_store_that_is_away_holds_all():
+def test_two_lapses_of_ten_are_no_mass_lapse_and_an_unreachable_store_holds_all():
     membership = members()
-    membership.vanished("/s/1", 1.0)
-    membership.vanished("/s/2", 1.0)
-    assert len(told(membership, 1.0)) == 2
-    membership.away(2.0)
-    assert told(membership, 500.0) == {}
-    membership.whole({f"/s/{k}": node(k) for k in range(3, 6)}, 500.0)  # shorter by five of eight
-    assert told(membership, 500.0) == {}
+    membership.node_removed("/s/1", 1.0)
+    membership.node_removed("/s/2", 1.0)
+    assert len(changed_states(membership, 1.0)) == 2
+    membership.store_unreachable(2.0)
+    assert changed_states(membership, 500.0) == {}
+    membership.replace_nodes({f"/s/{k}": node(k) for k in range(3, 6)}, 500.0)  # five of eight nodes are missing
+    assert changed_states(membership, 500.0) == {}
 
 
 def test_addresses_that_came_and_went_are_forgotten():
     membership = members(4)
     for k in range(2000):
         each = Announced(f"10.1.{k // 250}.{k % 250}:80", "east", "standard", "ready", None, 0, 1.0, 1)
-        membership.appeared(f"/n/{k}", each, 10.0 * k)
-        membership.turn(10.0 * k)
-        membership.vanished(f"/n/{k}", 10.0 * k + 5)
-        membership.turn(10.0 * k + 5)
+        membership.node_updated(f"/n/{k}", each, 10.0 * k)
+        membership.evaluate(10.0 * k)
+        membership.node_removed(f"/n/{k}", 10.0 * k + 5)
+        membership.evaluate(10.0 * k + 5)
     assert len(membership.servers) < 300 and sum(each is not None for each in membership.listed) == 4
 
 
@@ -964,7 +965,7 @@
         assert "127.0.0.1:1" in fleet.list
     fleet.listed(2)
     whys = [fields["why"] for event, fields in fleet.logs if event == "listed" and fields["state"] == "gone"]
-    assert whys == ["its node vanished"]
+    assert whys == ["its node was removed"]
 
 
 def test_all_sessions_lapsing_at_once_empty_no_list_and_all_come_back(fleet):
