--- a/driftshed/roster/announce.py
+++ b/driftshed/roster/announce.py
@@ -1,8 +1,8 @@
-"""Announcing a server: joins, drains, leaves and comes back, fenced by epochs.
+"""Registers a server in the store: joins, drains, leaves and re-registers after a lost session, fenced by epochs.
 
-Each start takes the next epoch of its address by a set that names the version it has read: two that start at once
-cannot both have it. A process that wakes from a pause finds its session expired; it announces itself again only if no
-other start has taken an epoch since, else it is fenced and stays silent."""
+Each start acquires the next epoch of its address with a conditional write on the version that it read, so two
+concurrent starts cannot get the same epoch. A process that resumes after a pause finds its session expired; it
+registers again only if no other start has acquired an epoch since, else it is fenced and registers nothing more."""
 
 from __future__ import annotations
 
@@ -31,18 +31,20 @@
 from driftshed.roster.nodes import write_node
 from driftshed.roster.session import State
 
-AGAIN = 0.5  # seconds after an answer that leaves open what happened
+RETRY_DELAY_S = 0.5  # after a request that failed or whose outcome is unknown
 
 
 class Standing(Enum):
+    """Registration state of an announcer."""
+
     JOINING = "joining"
     LISTED = "listed"
-    FENCED = "fenced"  # another start holds the address: this one announces nothing more
+    FENCED = "fenced"  # another start owns the address: this one registers nothing more
     LEFT = "left"
 
 
 class Announcer:
-    """`node` says who; its epoch is set here. `on_standing(standing)` tells what became of it."""
+    """Keeps a session with the store, and in it the ephemeral node of one start of a server."""
 
     def __init__(
         self,
@@ -55,186 +57,189 @@
         on_standing: Callable[[Standing], object] = lambda standing: None,
         dial: Callable[..., Stream] = dial,
     ) -> None:
+        """`node`: the data to announce; its epoch is set here. `on_standing(standing)` is called with each new
+        registration state. `timeout`: of the session, in seconds."""
         self.loop, self.hosts, self.root, self.node, self.timeout = loop, hosts, root, node, timeout
         self.random, self.on_standing, self.dial = Random(f"announce {seed}"), on_standing, dial
         self.standing = Standing.JOINING
-        self.epoch = 0  # none taken yet
-        self.unsaid: Callable[[], object] | None = None  # whom to tell once the store has the last word
-        self.counter = f"{root}-epochs/{self.name}"
+        self.epoch = 0  # none acquired yet
+        self.on_written: Callable[[], object] | None = None  # called once the store has the latest state
+        self.counter_path = f"{root}-epochs/{self.name}"
         self._begin()
 
     @property
     def name(self) -> str:
-        """What is announced: one node of this name for each epoch."""
+        """The name that is registered, with one node for each epoch."""
         return self.node.server
 
     def data(self) -> bytes:
-        """What its node holds."""
+        """The data of the node."""
         return write_node(self.node._replace(epoch=self.epoch))
 
     def _begin(self) -> None:
         self.client = RosterClient(
             self.loop, self.hosts, self.timeout, self.random, self._state, self._event, self.dial
         )
-        self._take_epoch()
+        self._acquire_epoch()
 
     def _event(self, event: Event) -> None:
-        """It watches nothing."""
+        """Does nothing: an announcer sets no watches."""
 
     def _state(self, state: State) -> None:
         if state is State.EXPIRED and self.standing not in (Standing.FENCED, Standing.LEFT):
-            self._stand(Standing.JOINING)
+            self._set_standing(Standing.JOINING)
             self.loop.soon(self._begin)
 
-    def _stand(self, standing: Standing) -> None:
+    def _set_standing(self, standing: Standing) -> None:
         if standing is not self.standing:
             self.standing = standing
             self.on_standing(standing)
             if standing is Standing.LISTED:
-                self._say()
+                self._write_state()
 
-    def _ask(self, request: object, then: Callable[[int, object], object]) -> None:
+    def _request(self, request: object, then: Callable[[int, object], object]) -> None:
         client = self.client
 
-        def done(error: int, result: object) -> None:
+        def on_result(error: int, result: object) -> None:
             if client is self.client and self.standing not in (Standing.FENCED, Standing.LEFT) and error != EXPIRED:
                 then(error, result)
 
-        client.ask(request, done)
+        client.ask(request, on_result)
 
-    def _later(self, call: Callable[[], object]) -> None:
+    def _retry_later(self, call: Callable[[], object]) -> None:
         client = self.client
-        self.loop.after(AGAIN, lambda: call() if client is self.client else None)
+        self.loop.after(RETRY_DELAY_S, lambda: call() if client is self.client else None)
 
     # ---- joining ----------------------------------------------------------------------------------------------
 
-    def _take_epoch(self) -> None:
-        """Reads the count of starts, then raises it from just that."""
+    def _acquire_epoch(self) -> None:
+        """Reads the number of starts, then increments it on condition that it has not changed."""
 
-        def read(error: int, result: object) -> None:
+        def on_read(error: int, result: object) -> None:
             if error == NO_NODE:
-                self._make_counter()
+                self._create_counter()
             elif error != OK:
-                self._later(self._take_epoch)
+                self._retry_later(self._acquire_epoch)
             elif self.epoch and result[1].version != self.epoch:
                 self.fence()
             elif self.epoch:
-                self._join()  # nobody has started since
+                self._create_node()  # no other start since
             else:
-                self._ask(SetData(self.counter, b"", result[1].version), took)
+                self._request(SetData(self.counter_path, b"", result[1].version), on_incremented)
 
-        def took(error: int, result: object) -> None:
+        def on_incremented(error: int, result: object) -> None:
             if error == OK:
                 self.epoch = result.version
-                self._join()
+                self._create_node()
             elif error == BAD_VERSION:
-                self._take_epoch()  # another one was quicker
+                self._acquire_epoch()  # another start was faster
             else:
-                # Guards against an epoch taken unseen: whether or not it was ours, a higher one is free.
-                self._later(self._take_epoch)
+                # Guards against an epoch that was acquired although the answer was lost: a higher one is always free.
+                self._retry_later(self._acquire_epoch)
 
-        self._ask(GetData(self.counter), read)
+        self._request(GetData(self.counter_path), on_read)
 
-    def _make_counter(self) -> None:
-        """Makes the folders and the counter; that another one made them meanwhile is as good. The counter comes last:
-        with it there and no folder, after a connection lost in between, nobody would make the folder any more."""
+    def _create_counter(self) -> None:
+        """Creates the parent nodes and the counter, where another start has not created them already. The counter comes
+        last: were it there without the root, after a connection lost in between, no start would create the root."""
         paths = []
-        for path in (self.root, self.counter):
+        for path in (self.root, self.counter_path):
             parts = path.split("/")[1:]
             paths += ["/" + "/".join(parts[: k + 1]) for k in range(len(parts))]
 
-        def make(k: int) -> None:
-            def made(error: int, result: object) -> None:
+        def create(k: int) -> None:
+            def on_created(error: int, result: object) -> None:
                 if error not in (OK, NODE_EXISTS):
-                    self._later(self._take_epoch)
+                    self._retry_later(self._acquire_epoch)
                 elif k + 1 < len(paths):
-                    make(k + 1)
+                    create(k + 1)
                 else:
-                    self._take_epoch()
+                    self._acquire_epoch()
 
-            self._ask(Create(paths[k], b""), made)
+            self._request(Create(paths[k], b""), on_created)
 
-        make(0)
+        create(0)
 
     @property
     def path(self) -> str:
+        """Path of the node of the present epoch."""
         return f"{self.root}/{self.name}~{self.epoch}"
 
-    def _join(self) -> None:
-        def made(error: int, result: object) -> None:
+    def _create_node(self) -> None:
+        def on_created(error: int, result: object) -> None:
             if error == OK:
-                self._stand(Standing.LISTED)
+                self._set_standing(Standing.LISTED)
             elif error == NODE_EXISTS:
-                self._mine()
+                self._check_existing_node()
             elif error == CONNECTION_LOSS:
-                self._later(self._join)
+                self._retry_later(self._create_node)
             else:
-                self._later(self._take_epoch)
+                self._retry_later(self._acquire_epoch)
 
-        self._ask(Create(self.path, self.data(), EPHEMERAL), made)
+        self._request(Create(self.path, self.data(), EPHEMERAL), on_created)
 
-    def _mine(self) -> None:
-        """A node of our epoch is there: made by us before an answer got lost, or by our last session."""
+    def _check_existing_node(self) -> None:
+        """A node of the own epoch exists: created by this session if an answer was lost, or by the previous session."""
 
-        def read(error: int, result: object) -> None:
+        def on_read(error: int, result: object) -> None:
             if error == OK and result[1].ephemeral_owner == self.client.session.session:
-                self._stand(Standing.LISTED)
+                self._set_standing(Standing.LISTED)
             else:
-                self._later(self._join)
+                self._retry_later(self._create_node)
 
-        self._ask(GetData(self.path), read)
+        self._request(GetData(self.path), on_read)
 
-    # ---- going ------------------------------------------------------------------------------------------------
+    # ---- leaving -----------------------------------------------------------------------------------------------
 
     def fence(self) -> None:
-        """Another start holds the name: nothing more is announced or asked, and the session ends if it can."""
-        self._stand(Standing.FENCED)
+        """Another start owns the name: sends no more requests but the one that closes the session."""
+        self._set_standing(Standing.FENCED)
         self.client.ask(Close(), lambda error, result: None)
         self.client.stop()
 
     def say(self, state: str, then: Callable[[], object] = lambda: None) -> None:
-        """Says "draining", "gone" or "ready"; `then()` once the store has it. A word binds at once."""
-        self.node, self.unsaid = self.node._replace(state=state), then
-        self._say()
+        """Sets the state "draining", "gone" or "ready", effective at once; calls `then()` once it is stored."""
+        self.node, self.on_written = self.node._replace(state=state), then
+        self._write_state()
 
-    def _say(self) -> None:
-        """Writes the last word, if the store is not known to have it.
+    def _write_state(self) -> None:
+        """Writes the latest state, if the store is not known to have it.
 
-        Guards against a word that ends with its session: whoever said it would wait for ever. It is said again once
-        this start is listed anew."""
-        then = self.unsaid
+        Guards against a state that is lost with its session, for whose `then` the caller would wait forever: it is
+        written again once this start is listed again."""
+        then = self.on_written
         if then is None or self.standing is not Standing.LISTED:
             return
 
-        def said(error: int, result: object) -> None:
-            if self.unsaid is not then:
-                return  # a later word is under way
+        def on_stored(error: int, result: object) -> None:
+            if self.on_written is not then:
+                return  # a later state is being written
             if error == OK:
-                self.unsaid = None
+                self.on_written = None
                 then()
-            elif error == NO_NODE:  # somebody took it away
-                self._stand(Standing.JOINING)
-                self._join()
+            elif error == NO_NODE:  # the node was deleted by another client
+                self._set_standing(Standing.JOINING)
+                self._create_node()
             else:
-                self._later(self._say)
+                self._retry_later(self._write_state)
 
-        self._ask(SetData(self.path, self.data()), said)
+        self._request(SetData(self.path, self.data()), on_stored)
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
-        """Says that it is gone, and ends the session."""
+        """Sets the state "gone", then ends the session."""
         self.say("gone", lambda: self.close(then))
 
     def close(self, then: Callable[[], object] = lambda: None) -> None:
-        """Ends the session: its node goes with it."""
+        """Ends the session, and its node with it; calls `then()` once the request is answered or has failed."""
 
-        def closed(error: int, result: object) -> None:
+        def on_closed(error: int, result: object) -> None:
             self.client.stop()
             then()
 
-        self._stand(Standing.LEFT)
-        self.client.ask(Close(), closed)
+        self._set_standing(Standing.LEFT)
+        self.client.ask(Close(), on_closed)
 
     def stop(self) -> None:
-        """Falls silent, as a process that dies: the session lapses."""
+        """Ends the connection without closing the session, as a dying process does: the session lapses."""
         self.standing = Standing.LEFT
         self.client.stop()
--- a/driftshed/roster/follow.py
+++ b/driftshed/roster/follow.py
@@ -1,5 +1,5 @@
-"""Following the nodes of a store: what they say becomes the list that the supervisor's instance hears. Only what
-changed is read again; what a change means is `membership.py`'s to decide."""
+"""Follows the servers' nodes in a store and publishes them as roster updates to the supervisor's instance. Only changed
+nodes are read again; `membership.py` decides what a change means for the list."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from driftshed.roster.nodes import BadNode, read_node
 from driftshed.roster.session import State
 
-TOGETHER = 0.02  # seconds: what comes within it is told together
-MOST_READS = 512  # nodes that are read at a time
+BATCH_DELAY_S = 0.02  # changes within this time are published together
+MAX_PENDING_READS = 512  # nodes that are read at a time
 
 
 class RosterFollower:
-    """`hear(news)` gets whole lists and their changes. `log(event, **fields)` as the supervisor's."""
+    """Keeps a session with the store and watches the nodes under `root`. Opens a new session when one expires."""
 
     def __init__(
         self,
@@ -41,184 +41,187 @@
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         membership: Membership,
-        hear: Callable[[RosterNews], object],
+        on_update: Callable[[RosterNews], object],
         log: Callable[..., object],
         seed: int,
         timeout: float = 6.0,
         dial: Callable[..., Stream] = dial,
     ) -> None:
+        """`on_update(update)` receives the first full list and then the changes to it. `log(event, **fields)` is the
+        supervisor's log. `timeout`: of the session, in seconds."""
         self.loop, self.hosts, self.root, self.zones, self.kinds = loop, hosts, root, zones, kinds
-        self.membership, self.hear, self.log, self.timeout = membership, hear, log, timeout
+        self.membership, self.on_update, self.log, self.timeout = membership, on_update, log, timeout
         self.random, self.dial = Random(f"roster {seed}"), dial
-        self.names: set[str] = set()  # whose data is known, asked for, or next to be
-        self.unread: dict[str, None] = {}  # of these, whose turn has not come
-        self.reading = 0  # answers that the first list still waits for
-        self.version, self.told_whole, self.stopped = 0, False, False
-        self.nodes: dict = {}  # read of a list that is not yet whole
-        self.whole_due = True
+        self.known_names: set[str] = set()  # names of nodes whose data is known, requested or queued to be read
+        self.unread: dict[str, None] = {}  # those of them that are queued
+        self.pending_reads = 0  # reads without an answer yet
+        self.version, self.full_list_sent, self.stopped = 0, False, False
+        self.nodes: dict = {}  # by name: the data read in this session
+        self.full_read_due = True
         self.timer: Timer | None = None
-        self.turn_due = False
+        self.publish_due = False
         self.reads = 0
-        self._begin()
+        self._open_session()
 
-    def _begin(self) -> None:
-        """A new session: nothing is watched, and all is read anew."""
-        self.names, self.nodes, self.whole_due, self.reading = set(), {}, True, 0
+    def _open_session(self) -> None:
+        """Starts a new session: no watch is set yet, and all nodes are read again."""
+        self.known_names, self.nodes, self.full_read_due, self.pending_reads = set(), {}, True, 0
         self.unread.clear()
         self.client = RosterClient(
-            self.loop, self.hosts, self.timeout, self.random, self._state, self._event, self.dial
+            self.loop, self.hosts, self.timeout, self.random, self._on_session_state, self._on_event, self.dial
         )
 
-    def _state(self, state: State) -> None:
+    def _on_session_state(self, state: State) -> None:
         now = self.loop.clock()
         if state is State.ON:
             self.log("roster_session", state="on", session=f"{self.client.session.session:x}")
-            # Also where the session went on: children that came or went while away are told by their watch, but until
-            # the list has been read it is not known whether it is whole.
-            self.loop.soon(self._list)
+            # Also where the session was resumed: its watch reports children that were created or deleted while it was
+            # disconnected, but only a new read of the list shows that no node is missing.
+            self.loop.soon(self._read_list)
         elif state in (State.AWAY, State.EXPIRED):
             self.membership.store_unreachable(now)
             self.log("roster_session", level="warning", state=state.value)
             if state is State.EXPIRED and not self.stopped:
-                self.loop.soon(self._begin)
-        self._soon()
+                self.loop.soon(self._open_session)
+        self._schedule_publish()
 
-    def _event(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         if event.path == self.root:
             if event.kind in (CHILDREN, CREATED, DELETED):
-                self._list()
+                self._read_list()
             return
         name = event.path.rpartition("/")[2]
         if event.kind == CHANGED:
-            self._read(name)
+            self._queue_read(name)
         elif event.kind == DELETED:
-            self._gone(name)
+            self._remove_node(name)
 
     # ---- reading ----------------------------------------------------------------------------------------------
 
-    def _list(self) -> None:
+    def _read_list(self) -> None:
         client = self.client
 
-        def got(error: int, result: object) -> None:
+        def on_result(error: int, result: object) -> None:
             if client is not self.client:
                 return
             if error == NO_NODE:
-                client.ask(Exists(self.root, True), lambda error, _: self._list() if error == OK else None)
-                self._names([])
+                client.ask(Exists(self.root, True), lambda error, _: self._read_list() if error == OK else None)
+                self._update_names([])
             elif error == OK:
-                self._names(result[0])
+                self._update_names(result[0])
 
-        client.ask(GetChildren(self.root, True), got)
+        client.ask(GetChildren(self.root, True), on_result)
 
-    def _names(self, names: list[str]) -> None:
-        there = set(names)
-        for name in sorted(self.names - there):
-            self._gone(name)
-        for name in sorted(there - self.names):
-            self._read(name)
-        self._whole()
+    def _update_names(self, names: list[str]) -> None:
+        present = set(names)
+        for name in sorted(self.known_names - present):
+            self._remove_node(name)
+        for name in sorted(present - self.known_names):
+            self._queue_read(name)
+        self._finish_read()
 
-    def _gone(self, name: str) -> None:
-        self.names.discard(name)
+    def _remove_node(self, name: str) -> None:
+        self.known_names.discard(name)
         self.unread.pop(name, None)
         self.nodes.pop(name, None)
-        if not self.whole_due:
+        if not self.full_read_due:
             self.membership.node_removed(name, self.loop.clock())
-            self._soon()
+            self._schedule_publish()
 
-    def _read(self, name: str) -> None:
-        """Guards against a list of more nodes than a session takes requests: the rest was turned away, and the list was
-        told as whole without it."""
-        self.names.add(name)
+    def _queue_read(self, name: str) -> None:
+        """Queues a node to be read. Guards against a list of more nodes than a session accepts requests: the excess
+        requests were refused, and the list was published as complete without those nodes."""
+        self.known_names.add(name)
         self.unread[name] = None
-        self._read_on()
+        self._start_reads()
 
-    def _read_on(self) -> None:
-        while self.unread and self.reading < MOST_READS:
+    def _start_reads(self) -> None:
+        while self.unread and self.pending_reads < MAX_PENDING_READS:
             name = next(iter(self.unread))
             del self.unread[name]
-            self._ask_for(name)
+            self._read_node(name)
 
-    def _ask_for(self, name: str) -> None:
-        self.reading += 1
+    def _read_node(self, name: str) -> None:
+        self.pending_reads += 1
         self.reads += 1
         client = self.client
 
-        def got(error: int, result: object) -> None:
+        def on_result(error: int, result: object) -> None:
             if client is not self.client:
                 return
-            self.reading -= 1
+            self.pending_reads -= 1
             if error == NO_NODE:
-                self._gone(name)
+                self._remove_node(name)
             elif error == OK:
-                self._said(name, result[0])
+                self._apply_node(name, result[0])
             else:
-                self.names -= {name, *self.unread}  # the connection was lost: they are read with the next list
+                self.known_names -= {name, *self.unread}  # connection lost: read again with the next list
                 self.unread.clear()
-            self._read_on()
-            self._whole()
+            self._start_reads()
+            self._finish_read()
 
-        client.ask(GetData(f"{self.root}/{name}", True), got)
+        client.ask(GetData(f"{self.root}/{name}", True), on_result)
 
-    def _said(self, name: str, data: bytes) -> None:
+    def _apply_node(self, name: str, data: bytes) -> None:
         try:
             node = read_node(name, data, self.zones, self.kinds)
         except BadNode as error:
-            # Guards against one bad node taking others with it: it is told, and what was known of it stays.
+            # Guards against one invalid node affecting others: it is logged, and its last valid data stays.
             self.log("bad_node", level="warning", why=str(error))
             return
         self.nodes[name] = node
-        if not self.whole_due:
+        if not self.full_read_due:
             self.membership.node_updated(name, node, self.loop.clock())
-            self._soon()
+            self._schedule_publish()
 
-    def _whole(self) -> None:
-        """A list has been read to its end."""
-        if self.reading or self.unread or self.client.session.state is not State.ON:
+    def _finish_read(self) -> None:
+        """Passes the nodes on once all of them have been read."""
+        if self.pending_reads or self.unread or self.client.session.state is not State.ON:
             return
-        if self.whole_due or self.membership.away_since is not None:
-            self.whole_due = False
+        if self.full_read_due or self.membership.away_since is not None:
+            self.full_read_due = False
             self.membership.replace_nodes(dict(self.nodes), self.loop.clock())
-            self._soon()
+            self._schedule_publish()
 
-    # ---- telling ----------------------------------------------------------------------------------------------
+    # ---- publishing --------------------------------------------------------------------------------------------
 
     def answered(self, server: str) -> None:
-        """Reports have met this server giving good answers."""
+        """Reports show that this server gave good answers."""
         self.membership.record_answer(server, self.loop.clock())
 
-    def _soon(self) -> None:
-        if not self.turn_due:
-            self.turn_due = True
-            self.loop.after(TOGETHER, self._turn)
+    def _schedule_publish(self) -> None:
+        if not self.publish_due:
+            self.publish_due = True
+            self.loop.after(BATCH_DELAY_S, self._publish)
 
-    def _turn(self) -> None:
-        self.turn_due = False
-        if self.whole_due and not self.told_whole:
-            return  # no list has been read yet
+    def _publish(self) -> None:
+        self.publish_due = False
+        if self.full_read_due and not self.full_list_sent:
+            return  # no complete read yet
         now = self.loop.clock()
         changes = self.membership.evaluate(now)
         if not self.membership.first_list_ready:
             due = self.membership.next_at(now)
             if due is not None:
-                self.loop.at(due, self._soon)
+                self.loop.at(due, self._schedule_publish)
             return
         for change in changes:
             self.log("listed", server=change.listed.server, state=change.listed.state, why=change.why)
         listed = [change.listed for change in changes]
-        if listed or not self.told_whole:
+        if listed or not self.full_list_sent:
             self.version += 1
-            if not self.told_whole:
+            if not self.full_list_sent:
                 listed = [each for each in listed if each.state != "gone"]
-            self.hear(RosterNews(self.version, not self.told_whole, listed))
-            self.told_whole = True
+            self.on_update(RosterNews(self.version, not self.full_list_sent, listed))
+            self.full_list_sent = True
         if self.timer:
             self.timer.cancel()
             self.timer = None
         due = self.membership.next_at(now)
         if due is not None:
-            self.timer = self.loop.at(due, self._turn)
+            self.timer = self.loop.at(due, self._publish)
 
     def stop(self) -> None:
+        """Ends the connection; the session expires at the store."""
         self.stopped = True
         self.client.stop()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -886,12 +886,12 @@
 
 
 class Fleet(Served):
-    """A store, a follower, and announcers."""
+    """A store, a follower and announcers; `listed_states` is the list as built from the updates."""
 
     def __init__(self, folder) -> None:
         super().__init__(folder)
-        self.heard, self.logs, self.announcers = [], [], []
-        self.list: dict[str, str] = {}
+        self.updates, self.logs, self.announcers = [], [], []
+        self.listed_states: dict[str, str] = {}
         self.follower = RosterFollower(
             self.loop,
             [self.server.address],
@@ -899,20 +899,20 @@
             ("east", "west"),
             ("standard",),
             Membership(0.6, 6.0),
-            self.hear,
+            self.apply_update,
             lambda event, **fields: self.logs.append((event, fields)),
             1,
             1.0,
         )
 
-    def hear(self, news) -> None:
-        assert news.version == len(self.heard) + 1 and news.whole == (not self.heard)
-        self.heard.append(news)
-        for each in news.servers:
+    def apply_update(self, update) -> None:
+        assert update.version == len(self.updates) + 1 and update.whole == (not self.updates)
+        self.updates.append(update)
+        for each in update.servers:
             if each.state == "gone":
-                self.list.pop(each.server, None)
+                self.listed_states.pop(each.server, None)
             else:
-                self.list[each.server] = each.state
+                self.listed_states[each.server] = each.state
 
     def announce(self, number: int, timeout: float = 1.0) -> Announcer:
         who = Announced(f"127.0.0.1:{number}", "east", "standard", "ready", 1.0, 0, 1.0, 0)
@@ -920,9 +920,9 @@
         self.announcers.append(announcer)
         return announcer
 
-    def listed(self, *numbers: int) -> None:
+    def wait_for_ready(self, *numbers: int) -> None:
         names = {f"127.0.0.1:{number}" for number in numbers}
-        self.until(lambda: {name for name, state in self.list.items() if state == "ready"} == names)
+        self.until(lambda: {name for name, state in self.listed_states.items() if state == "ready"} == names)
 
     def close(self) -> None:
         for announcer in self.announcers:
@@ -940,84 +940,84 @@
 
 def test_servers_join_drain_leave_and_lapse(fleet):
     one, two, three = (fleet.announce(k) for k in (1, 2, 3))
-    fleet.listed(1, 2, 3)
+    fleet.wait_for_ready(1, 2, 3)
     reads = fleet.follower.reads
     one.say("draining")
-    fleet.until(lambda: fleet.list["127.0.0.1:1"] == "draining")
-    assert fleet.follower.reads == reads + 1  # of the changed one alone
+    fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
+    assert fleet.follower.reads == reads + 1  # only the changed node
     one.leave()
-    fleet.until(lambda: "127.0.0.1:1" not in fleet.list)
-    two.stop()  # dies; nothing met it answering
-    fleet.listed(3)
+    fleet.until(lambda: "127.0.0.1:1" not in fleet.listed_states)
+    two.stop()  # as if it died; no report shows an answer of it
+    fleet.wait_for_ready(3)
     assert three.standing is Standing.LISTED
 
 
 def test_a_lapsed_server_that_answers_is_held_and_then_goes(fleet):
     one, _ = fleet.announce(1), fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     fleet.follower.answered("127.0.0.1:1")
     lapsed = fleet.loop.clock()
-    one.standing = Standing.LEFT  # it does not come back
+    one.standing = Standing.LEFT  # it does not register again
     fleet.server.expire(one.client.session.session)
     while fleet.loop.clock() < lapsed + 0.45:
         fleet.follower.answered("127.0.0.1:1")
         fleet.loop.turn(fleet.loop.clock() + 0.02)
-        assert "127.0.0.1:1" in fleet.list
-    fleet.listed(2)
+        assert "127.0.0.1:1" in fleet.listed_states
+    fleet.wait_for_ready(2)
     whys = [fields["why"] for event, fields in fleet.logs if event == "listed" and fields["state"] == "gone"]
     assert whys == ["its node was removed"]
 
 
 def test_all_sessions_lapsing_at_once_empty_no_list_and_all_come_back(fleet):
     announcers = [fleet.announce(k) for k in range(1, 9)]
-    fleet.listed(*range(1, 9))
+    fleet.wait_for_ready(*range(1, 9))
     sizes = []
     for announcer in announcers:
         fleet.server.expire(announcer.client.session.session)
 
     def all_back():
-        sizes.append(len(fleet.list))
+        sizes.append(len(fleet.listed_states))
         there = fleet.server.store.tree.sessions
         return all(a.standing is Standing.LISTED and a.client.session.session in there for a in announcers)
 
     fleet.until(all_back)
-    fleet.listed(*range(1, 9))
+    fleet.wait_for_ready(*range(1, 9))
     assert min(sizes) == 8
 
 
 def test_a_store_that_restarts_or_is_unreachable_changes_nothing(fleet):
     for k in range(1, 6):
         fleet.announce(k, timeout=5.0)
-    fleet.listed(*range(1, 6))
-    heard = len(fleet.heard)
+    fleet.wait_for_ready(*range(1, 6))
+    update_count = len(fleet.updates)
     fleet.server.close()
     fleet.until(lambda: fleet.follower.membership.away_since is not None)
-    assert len(fleet.heard) == heard
+    assert len(fleet.updates) == update_count
     fleet.server = StoreServer(fleet.loop, fleet.server.address, Log(fleet.folder), 1)
     fleet.until(lambda: fleet.follower.membership.away_since is None)
-    assert len(fleet.heard) == heard
+    assert len(fleet.updates) == update_count
     fleet.announce(6)
-    fleet.listed(*range(1, 7))
+    fleet.wait_for_ready(*range(1, 7))
 
 
-def test_the_followers_own_session_lapsing_changes_nothing_but_is_followed_anew(fleet):
+def test_a_lapse_of_the_followers_own_session_changes_nothing_and_it_follows_on_in_a_new_one(fleet):
     fleet.announce(1)
     two = fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     first = fleet.follower.client
     fleet.server.expire(first.session.session)
     fleet.until(lambda: fleet.follower.client is not first and fleet.follower.membership.away_since is None)
-    assert set(fleet.list) == {"127.0.0.1:1", "127.0.0.1:2"}
+    assert set(fleet.listed_states) == {"127.0.0.1:1", "127.0.0.1:2"}
     two.leave()
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
 
 
 def test_a_watch_whose_connection_breaks_just_then_misses_nothing(fleet):
     one = fleet.announce(1, timeout=5.0)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     fleet.server.store.breaks_events = 1
     one.say("draining")
-    fleet.until(lambda: fleet.list["127.0.0.1:1"] == "draining")
+    fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
     assert fleet.server.store.breaks_events == 0
     states = [fields.get("state") for event, fields in fleet.logs if event == "roster_session"]
     assert states[-2:] == ["no connection", "on"]
@@ -1027,7 +1027,7 @@
 def test_a_server_drains_and_leaves_though_its_session_or_node_is_lost_meanwhile(fleet, lost):
     one, gone = fleet.announce(1), []
     fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     if lost == "session":
         one.client.stream.pause(True)
         fleet.server.expire(one.client.session.session)
@@ -1038,42 +1038,42 @@
     if lost == "session":
         one.client.stream.pause(False)
     fleet.until(lambda: gone)
-    fleet.listed(2)
+    fleet.wait_for_ready(2)
     assert one.standing is Standing.LEFT
 
 
 def test_answers_that_are_late_or_held_back_change_nothing(fleet):
     for k in range(1, 4):
         fleet.announce(k, timeout=5.0)
-    fleet.listed(1, 2, 3)
+    fleet.wait_for_ready(1, 2, 3)
     fleet.server.late = 0.2
     fleet.announce(4, timeout=5.0)
-    fleet.listed(1, 2, 3, 4)
+    fleet.wait_for_ready(1, 2, 3, 4)
     fleet.server.late = 0.0
     fleet.server.held = {fleet.follower.client.session.session}
     fleet.until(lambda: ("roster_session", "no connection") in [(e, f.get("state")) for e, f in fleet.logs])
     fleet.server.held = set()
     fleet.until(lambda: fleet.follower.membership.away_since is None)
-    assert set(fleet.list) == {f"127.0.0.1:{k}" for k in range(1, 5)}
+    assert set(fleet.listed_states) == {f"127.0.0.1:{k}" for k in range(1, 5)}
 
 
-def test_an_older_process_that_wakes_is_fenced_by_its_successor(fleet):
+def test_an_older_process_that_resumes_is_fenced_by_its_successor(fleet):
     old = fleet.announce(1)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     asleep = old.client
     fleet.server.expire(asleep.session.session)
-    asleep.stream.pause(True)  # it hears nothing of it
+    asleep.stream.pause(True)  # it receives no message of the expiry
     new = fleet.announce(1)
     fleet.until(lambda: new.standing is Standing.LISTED and new.epoch == 2)
     asleep.stream.pause(False)
     fleet.until(lambda: old.standing is Standing.FENCED)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     assert [name for name in fleet.server.store.tree.nodes if name.startswith(ROOT + "/")] == [f"{ROOT}/127.0.0.1:1~2"]
 
 
-def test_bad_nodes_are_told_and_disturb_no_other(fleet):
+def test_invalid_nodes_are_logged_and_affect_no_other(fleet):
     fleet.announce(1)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     client = fleet.client()
     for name, data in (
         ("127.0.0.1:9~1", b"{"),
@@ -1083,12 +1083,12 @@
     ):
         assert fleet.ask(client, Create(f"{ROOT}/{name}", data))[0] == OK
     fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     assert sum(event == "bad_node" for event, _ in fleet.logs) == 4
 
 
 def test_supervise_follows_a_store_and_announce_joins_and_drains(tmp_path):
-    """Real processes of all three."""
+    """Runs the store, the supervisor and the announcer as processes."""
     run = lambda *command: subprocess.Popen(  # noqa: E731
         [sys.executable, "-m", "driftshed.cli", *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
     )
@@ -1242,11 +1242,11 @@
         assert len(session.frames.kept) <= jute.MOST_FRAME + 4
 
 
-# ---- lists longer than a session takes requests -------------------------------------------------------------------
+# ---- lists longer than a session's request limit -------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("broken", [0, 3], ids=["untroubled", "its connection reset while it reads"])
-def test_a_list_of_more_nodes_than_requests_may_wait_is_told_whole(broken):
+@pytest.mark.parametrize("broken", [0, 3], ids=["undisturbed", "its connection reset while it reads"])
+def test_a_list_of_more_nodes_than_pending_requests_is_published_complete(broken):
     from driftshed.lab.virtual import Seat
     from driftshed.roster.session import MOST_WAITING
     from tests.fleets import STORE
@@ -1280,4 +1280,4 @@
         agents.store.break_all()
     agents.until(lambda: told, 60)
     assert told[0].whole and len({each.server for each in told[0].servers}) == count
-    assert follower.reading == 0 and not follower.unread
+    assert follower.pending_reads == 0 and not follower.unread
