--- a/driftshed/roster/client.py
+++ b/driftshed/roster/client.py
@@ -1,4 +1,4 @@
-"""A session on the loop: connects to one host of the connect string after the other, and keeps the session going."""
+"""Runs a session on the event loop: connects to the hosts of the connect string in turn and keeps the session alive."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.jute import Event, Malformed, Request
-from driftshed.roster.session import ClientSession, Done, State
+from driftshed.roster.session import ClientSession, OnResult, State
 
-AGAIN, AGAIN_MOST = 0.1, 2.0  # seconds before the next host is dialled: doubling, each drawn up to double
-OPEN_WITHIN = 2.0  # seconds for a connection to stand
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 2.0  # before the next host: doubled each time, times a random 1 to 2
+CONNECT_TIMEOUT_S = 2.0  # to establish a connection
 
 
 class RosterClient:
-    """`on_state(state)` and `on_event(event)` as the session's. After EXPIRED it does nothing more: make a new one."""
+    """A client of the store. After its session has expired it does nothing more: create a new one."""
 
     def __init__(
         self,
@@ -27,44 +27,46 @@
         on_event: Callable[[Event], object],
         dial: Callable[..., Stream] = dial,
     ) -> None:
+        """`timeout`: of the session, in seconds. `on_state(state)` and `on_event(event)` as those of the session."""
         self.loop, self.hosts, self.random, self.on_state, self.dial = loop, hosts, random, on_state, dial
         self.session = ClientSession(timeout)
-        self.session.on_state, self.session.on_event = self._state, on_event
-        self.at, self.failed, self.stopped = random.randrange(len(hosts)), 0, False
+        self.session.on_state, self.session.on_event = self._on_state, on_event
+        self.host_index, self.failures, self.stopped = random.randrange(len(hosts)), 0, False
         self.stream: Stream | None = None
         self.timer: Timer | None = None
         self._connect()
 
-    def ask(self, request: Request, done: Done) -> None:
-        """`done(error, result)`, once: CONNECTION_LOSS leaves open whether it was done."""
-        self.session.ask(request, done, self.loop.clock())
+    def ask(self, request: Request, on_result: OnResult) -> None:
+        """Sends a request; calls `on_result(error, result)` once. After CONNECTION_LOSS the request may or may not have
+        been executed."""
+        self.session.ask(request, on_result, self.loop.clock())
         self._flush()
 
-    def _state(self, state: State) -> None:
+    def _on_state(self, state: State) -> None:
         if state is State.ON:
-            self.failed = 0
+            self.failures = 0
         self.on_state(state)
 
     def _connect(self) -> None:
         if self.stopped or self.session.state in (State.EXPIRED, State.CLOSED):
             return
         try:
-            stream = self.dial(self.loop, self.hosts[self.at])
+            stream = self.dial(self.loop, self.hosts[self.host_index])
         except OSError:
-            self._again()
+            self._reconnect_later()
             return
         self.stream = stream
-        self._time(self.loop.clock() + OPEN_WITHIN, lambda: stream.abort("late"))
-        stream.on_open = self._opened
-        stream.on_data, stream.on_end = self._data, lambda reason: self._ended(stream)
+        self._set_timer(self.loop.clock() + CONNECT_TIMEOUT_S, lambda: stream.abort("late"))
+        stream.on_open = self._on_open
+        stream.on_data, stream.on_end = self._on_data, lambda reason: self._on_end(stream)
 
-    def _opened(self) -> None:
+    def _on_open(self) -> None:
         self.session.connected(self.loop.clock())
         self._flush()
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         try:
-            self.session.take(data, self.loop.clock())
+            self.session.receive(data, self.loop.clock())
         except Malformed as error:
             self.stream.abort(f"malformed: {error}")
             return
@@ -74,49 +76,49 @@
             return
         self._flush()
 
-    def _ended(self, stream: Stream) -> None:
+    def _on_end(self, stream: Stream) -> None:
         if self.stream is not stream:
             return
         self.stream = None
         if self.timer:
             self.timer.cancel()
-        self.session.lost()
+        self.session.disconnected()
         if self.session.state not in (State.EXPIRED, State.CLOSED):
-            self._again()
+            self._reconnect_later()
 
-    def _again(self) -> None:
-        """The next host, after a while."""
-        self.at = (self.at + 1) % len(self.hosts)
-        wait = min(AGAIN_MOST, AGAIN * 2**self.failed) * self.random.uniform(1, 2)
-        self.failed += 1
+    def _reconnect_later(self) -> None:
+        """Connects to the next host after a delay."""
+        self.host_index = (self.host_index + 1) % len(self.hosts)
+        delay = min(MAX_RECONNECT_DELAY_S, RECONNECT_DELAY_S * 2**self.failures) * self.random.uniform(1, 2)
+        self.failures += 1
         if not self.stopped:
-            self.loop.after(wait, self._connect)
+            self.loop.after(delay, self._connect)
 
     def _flush(self) -> None:
         if self.stream is None:
             return
-        out = self.session.taken_out()
-        if out:
-            self.stream.write(out)
+        output = self.session.take_output()
+        if output:
+            self.stream.write(output)
         due = self.session.next_at()
         if due is not None:
-            self._time(due, self._turn)
+            self._set_timer(due, self._on_timer)
 
-    def _turn(self) -> None:
+    def _on_timer(self) -> None:
         if self.stream is None:
             return
-        if self.session.turn(self.loop.clock()):
+        if self.session.tick(self.loop.clock()):
             self._flush()
         else:
             self.stream.abort("silent")
 
-    def _time(self, at: float, call: Callable[[], object]) -> None:
+    def _set_timer(self, at: float, call: Callable[[], object]) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.at(at, call)
 
     def stop(self) -> None:
-        """Ends the connection and leaves the session to lapse; ask for `Close()` first to end that too."""
+        """Ends the connection and leaves the session to lapse; send `Close()` first to end the session too."""
         self.stopped = True
         if self.stream is not None:
             self.stream.abort("stopped")
--- a/driftshed/roster/session.py
+++ b/driftshed/roster/session.py
@@ -1,8 +1,8 @@
-"""A client's session with a store, sans I/O: bytes and times go in, bytes and calls come out.
+"""A client's session with a store, free of I/O: bytes and times go in, bytes and callbacks come out.
 
-What must never be mixed: a *lost connection* says nothing about the session, which may live on, nor about requests that
-were under way, which may have been done; an *expired session* is only what the store itself says, and then its nodes
-are gone and every watch with them."""
+A lost connection and an expired session are different things. After a *lost connection* the session may still exist,
+and requests that were in flight may have been executed or not. An *expired session* is only ever reported by the store
+itself; its ephemeral nodes and its watches are then gone."""
 
 from __future__ import annotations
 
@@ -33,13 +33,15 @@
     SetWatches,
 )
 
-MOST_WAITING = 4096  # requests, sent or not
-PINGS = 3  # in a time-out
-SILENT = 2 / 3  # of the time-out without a byte: the connection is given up
-FULL = -7  # operation time-out: too many requests wait
+MAX_PENDING_REQUESTS = 4096  # queued or in flight
+PINGS_PER_TIMEOUT = 3
+SILENCE_LIMIT_SHARE = 2 / 3  # of the time-out without a received byte, after which the connection is dropped
+TOO_MANY_REQUESTS = -7  # the protocol's code for an operation time-out
 
 
 class State(Enum):
+    """State of a session, as the client knows it."""
+
     AWAY = "no connection"
     OPENING = "connected, not yet let in"
     ON = "on"
@@ -47,107 +49,113 @@
     CLOSED = "closed"
 
 
-Done = Callable[[int, object], object]  # error, result
+OnResult = Callable[[int, object], object]  # receives the error code and the result
 
 
-class Asked:
-    """One request: sent when `xid` is above 0."""
+class PendingRequest:
+    """A request without an answer yet."""
 
-    __slots__ = ("request", "done", "xid", "at")
+    __slots__ = ("request", "on_result", "xid", "sent_at")
 
-    def __init__(self, request: Request, done: Done) -> None:
-        self.request, self.done, self.xid, self.at = request, done, 0, 0.0
+    def __init__(self, request: Request, on_result: OnResult) -> None:
+        """`xid` is 0 until the request is sent; `sent_at` is when it was sent."""
+        self.request, self.on_result, self.xid, self.sent_at = request, on_result, 0, 0.0
 
 
 class ClientSession:
-    """`timeout`: seconds that are asked for. `on_state(state)` and `on_event(event)` tell; requests are answered in
-    their order, each once."""
+    """Calls `on_state(state)` for each new state and `on_event(event)` for each watch event. Requests are answered in
+    order, each exactly once. Times are seconds on the caller's clock."""
 
     def __init__(self, timeout: float) -> None:
-        self.wanted, self.timeout = timeout, timeout
+        """`timeout`: the time-out to request, in seconds; the attribute holds the one that the store granted."""
+        self.requested_timeout, self.timeout = timeout, timeout
         self.state, self.session, self.password, self.zxid, self.xid = State.AWAY, 0, bytes(16), 0, 0
-        self.waiting: deque[Asked] = deque()  # not sent
-        self.sent: deque[Asked] = deque()
+        self.queued: deque[PendingRequest] = deque()  # not sent yet
+        self.in_flight: deque[PendingRequest] = deque()
         self.watched: dict[str, dict[str, None]] = {"data": {}, "exist": {}, "children": {}}
-        self.heard_at = self.said_at = self.opened_at = 0.0
-        # When what was last answered had been sent, in seconds on the caller's clock: the store held the session to be
-        # alive at some moment after it, and for a whole time-out from then.
+        self.last_received_at = self.last_sent_at = self.connected_at = 0.0
+        # When the last answered request was sent: the store considered the session alive at some moment after that, and
+        # keeps it for a full time-out from that moment.
         self.proved_at = float("-inf")
-        self.pinged: deque[float] = deque()
+        self.ping_times: deque[float] = deque()
         self.on_state: Callable[[State], object] = lambda state: None
         self.on_event: Callable[[Event], object] = lambda event: None
-        self.out = bytearray()
+        self.output = bytearray()
         self.frames = Frames()
 
-    # ---- the connection ---------------------------------------------------------------------------------------
+    # ---- connection --------------------------------------------------------------------------------------------
 
     def connected(self, now: float) -> None:
-        """A connection stands: asks for the session to go on, or for a new one."""
-        self.frames, self.out = Frames(), bytearray()
-        self.heard_at = self.said_at = self.opened_at = now
-        self.pinged.clear()
-        self._go(State.OPENING)
-        self.out += jute.write_connect(Connect(self.zxid, round(self.wanted * 1000), self.session, self.password))
-
-    def lost(self) -> None:
-        """The connection has ended. Requests under way may or may not have been done."""
+        """A connection is established: requests to resume the session, or a new one."""
+        self.frames, self.output = Frames(), bytearray()
+        self.last_received_at = self.last_sent_at = self.connected_at = now
+        self.ping_times.clear()
+        self._set_state(State.OPENING)
+        self.output += jute.write_connect(
+            Connect(self.zxid, round(self.requested_timeout * 1000), self.session, self.password)
+        )
+
+    def disconnected(self) -> None:
+        """The connection has ended. Requests in flight may or may not have been executed: they get CONNECTION_LOSS."""
         if self.state in (State.EXPIRED, State.CLOSED, State.AWAY):
             return
-        self._go(State.AWAY)
-        sent, self.sent = self.sent, deque()
-        for asked in sent:
-            asked.done(CONNECTION_LOSS, None)
-
-    def take(self, data: bytes, now: float) -> None:
-        """Bytes have come. Malformed where they are not the protocol: end the connection."""
-        self.heard_at = now
+        self._set_state(State.AWAY)
+        in_flight, self.in_flight = self.in_flight, deque()
+        for pending in in_flight:
+            pending.on_result(CONNECTION_LOSS, None)
+
+    def receive(self, data: bytes, now: float) -> None:
+        """Handles received bytes. Raises Malformed for invalid ones; the caller then ends the connection."""
+        self.last_received_at = now
         for payload in self.frames.feed(data):
             if self.state is State.OPENING:
-                self._opened(jute.read_connected(payload), now)
+                self._on_connect_response(jute.read_connect_response(payload), now)
             elif self.state is State.ON:
-                self._heard(payload)
+                self._on_message(payload)
 
-    def _opened(self, told: jute.Connected, now: float) -> None:
-        if told.timeout <= 0:
+    def _on_connect_response(self, response: jute.ConnectResponse, now: float) -> None:
+        if response.timeout <= 0:
             self._expire()
             return
-        self.timeout, self.session, self.password = told.timeout / 1000, told.session, told.password
-        self.proved_at = self.opened_at
-        self._go(State.ON)
+        self.timeout, self.session, self.password = response.timeout / 1000, response.session, response.password
+        self.proved_at = self.connected_at
+        self._set_state(State.ON)
         if any(self.watched.values()):
-            # Guards against changes missed while away: the store tells what happened since the last zxid seen.
+            # Guards against changes missed while disconnected: the store sends events for all changes since this zxid.
             paths = [tuple(self.watched[kind]) for kind in ("data", "exist", "children")]
-            self.out += jute.write_request(XID_SET_WATCHES, SetWatches(self.zxid, *paths))
-        while self.waiting and self.state is State.ON:
-            self._send(self.waiting.popleft(), now)
+            self.output += jute.write_request(XID_SET_WATCHES, SetWatches(self.zxid, *paths))
+        while self.queued and self.state is State.ON:
+            self._send(self.queued.popleft(), now)
 
-    def _heard(self, payload: bytes) -> None:
+    def _on_message(self, payload: bytes) -> None:
         reply, reader = jute.read_reply(payload)
         if reply.xid == XID_EVENT:
-            self._event(jute.read_event(reader))
+            self._on_event(jute.read_event(reader))
             return
         if reply.zxid > 0:
             self.zxid = max(self.zxid, reply.zxid)
         if reply.xid in (XID_PING, XID_SET_WATCHES):
-            if reply.xid == XID_PING and self.pinged:
-                self.proved_at = max(self.proved_at, self.pinged.popleft())
+            if reply.xid == XID_PING and self.ping_times:
+                self.proved_at = max(self.proved_at, self.ping_times.popleft())
             return
-        if not self.sent or self.sent[0].xid != reply.xid:
-            raise Malformed(f"an answer to {reply.xid}, and {self.sent[0].xid if self.sent else 'none'} is next")
-        asked = self.sent.popleft()
-        if isinstance(asked.request, Close):
-            self._go(State.CLOSED)
+        if not self.in_flight or self.in_flight[0].xid != reply.xid:
+            raise Malformed(
+                f"answer to request {reply.xid}, expected {self.in_flight[0].xid if self.in_flight else 'none'}"
+            )
+        pending = self.in_flight.popleft()
+        if isinstance(pending.request, Close):
+            self._set_state(State.CLOSED)
         if reply.error == EXPIRED:
-            self.sent.appendleft(asked)
+            self.in_flight.appendleft(pending)
             self._expire()
             return
-        self.proved_at = max(self.proved_at, asked.at)
-        whole = reply.error == OK or (isinstance(asked.request, jute.Multi) and reader.left)
-        result = jute.read_result(asked.request, reader) if whole else None
-        self._note_watch(asked.request, reply.error)
-        asked.done(reply.error, result)
+        self.proved_at = max(self.proved_at, pending.sent_at)
+        has_result = reply.error == OK or (isinstance(pending.request, jute.Multi) and reader.remaining)
+        result = jute.read_result(pending.request, reader) if has_result else None
+        self._record_watch(pending.request, reply.error)
+        pending.on_result(reply.error, result)
 
-    def _note_watch(self, request: Request, error: int) -> None:
+    def _record_watch(self, request: Request, error: int) -> None:
         if not getattr(request, "watch", False):
             return
         if isinstance(request, Exists):
@@ -156,8 +164,8 @@
             kind = {GetData: "data", GetChildren: "children"}[type(request)]
             self.watched[kind][request.path] = None
 
-    def _event(self, event: Event) -> None:
-        """A watch has fired and is no more."""
+    def _on_event(self, event: Event) -> None:
+        """A watch has triggered, which also removes it."""
         if event.kind in (CHILDREN, DELETED):
             self.watched["children"].pop(event.path, None)
         if event.kind != CHILDREN:
@@ -166,63 +174,69 @@
         self.on_event(event)
 
     def _expire(self) -> None:
-        self._go(State.EXPIRED)
+        self._set_state(State.EXPIRED)
         self.proved_at = float("-inf")
         for paths in self.watched.values():
             paths.clear()
-        waiting = [*self.sent, *self.waiting]
-        self.sent, self.waiting = deque(), deque()
-        for asked in waiting:
-            asked.done(EXPIRED, None)
+        unanswered = [*self.in_flight, *self.queued]
+        self.in_flight, self.queued = deque(), deque()
+        for pending in unanswered:
+            pending.on_result(EXPIRED, None)
 
-    def _go(self, state: State) -> None:
+    def _set_state(self, state: State) -> None:
         if state is not self.state:
             self.state = state
             self.on_state(state)
 
     # ---- requests ---------------------------------------------------------------------------------------------
 
-    def ask(self, request: Request, done: Done, now: float) -> None:
-        """`done(error, result)` once. While away requests wait, bounded."""
+    def ask(self, request: Request, on_result: OnResult, now: float) -> None:
+        """Sends a request; calls `on_result(error, result)` once. While disconnected, queues requests up to a limit."""
         if self.state in (State.EXPIRED, State.CLOSED):
-            done(EXPIRED, None)
-        elif len(self.waiting) + len(self.sent) >= MOST_WAITING:
-            done(FULL, None)
+            on_result(EXPIRED, None)
+        elif len(self.queued) + len(self.in_flight) >= MAX_PENDING_REQUESTS:
+            on_result(TOO_MANY_REQUESTS, None)
         elif self.state is State.ON:
-            self._send(Asked(request, done), now)
+            self._send(PendingRequest(request, on_result), now)
         else:
-            self.waiting.append(Asked(request, done))
+            self.queued.append(PendingRequest(request, on_result))
 
-    def _send(self, asked: Asked, now: float) -> None:
+    def _send(self, pending: PendingRequest, now: float) -> None:
         self.xid = self.xid % 0x7FFFFFFF + 1
-        asked.xid, asked.at = self.xid, now
-        self.sent.append(asked)
-        self.said_at = now
-        self.out += jute.write_request(asked.xid, asked.request)
+        pending.xid, pending.sent_at = self.xid, now
+        self.in_flight.append(pending)
+        self.last_sent_at = now
+        self.output += jute.write_request(pending.xid, pending.request)
 
-    def taken_out(self) -> bytes:
-        """What is to be written now."""
-        out, self.out = bytes(self.out), bytearray()
-        return out
+    def take_output(self) -> bytes:
+        """Returns and clears the bytes to be written to the connection."""
+        output, self.output = bytes(self.output), bytearray()
+        return output
 
-    # ---- time -------------------------------------------------------------------------------------------------
+    # ---- timers ------------------------------------------------------------------------------------------------
 
     def next_at(self) -> float | None:
-        """When `turn` is due though nothing comes; None while away."""
+        """When `tick` is due even if nothing is received; None while disconnected."""
         if self.state not in (State.OPENING, State.ON):
             return None
-        silent = self.heard_at + self.timeout * SILENT
-        # Guards against spinning: one that is not let in yet has no ping due, however long ago it said something.
-        return silent if self.state is State.OPENING else min(self.said_at + self.timeout / PINGS, silent)
-
-    def turn(self, now: float) -> bool:
-        """Pings where it is time. False: the store has been silent for too long, and the connection is to be ended."""
+        silent_at = self.last_received_at + self.timeout * SILENCE_LIMIT_SHARE
+        # Guards against a busy loop: until the store has accepted the session no ping is due, however long ago the last
+        # byte was sent.
+        return (
+            silent_at
+            if self.state is State.OPENING
+            else min(self.last_sent_at + self.timeout / PINGS_PER_TIMEOUT, silent_at)
+        )
+
+    def tick(self, now: float) -> bool:
+        """Sends a ping if one is due. Returns False if the store has been silent for too long: the caller then ends the
+        connection."""
         if self.state not in (State.OPENING, State.ON):
             return True
-        if now >= self.heard_at + self.timeout * SILENT:
+        if now >= self.last_received_at + self.timeout * SILENCE_LIMIT_SHARE:
             return False
-        if self.state is State.ON and now >= self.said_at + self.timeout / PINGS:
-            self.said_at = now
-            self.pinged.append(now)
-            self.out += jute.write_request(XID_PING, Ping())
+        if self.state is State.ON and now >= self.last_sent_at + self.timeout / PINGS_PER_TIMEOUT:
+            self.last_sent_at = now
+            self.ping_times.append(now)
+            self.output += jute.write_request(XID_PING, Ping())
         return True
--- a/driftshed/roster/store.py
+++ b/driftshed/roster/store.py
@@ -16,7 +16,7 @@
     UNIMPLEMENTED,
     XID_PING,
     Close,
-    Connected,
+    ConnectResponse,
     Event,
     Frames,
     Malformed,
@@ -82,7 +82,7 @@
             line.over = f"it has seen change {asked.last_zxid}, the newest here is {self.tree.zxid}"
             return
         if number and (held is None or held.password != asked.password):
-            line.out += jute.write_connected(Connected(0, 0, bytes(16)))
+            line.out += jute.write_connect_response(ConnectResponse(0, 0, bytes(16)))
             line.over = "its session has expired"
             return
         if not number:
@@ -102,7 +102,7 @@
         line.session = number
         self.lines[number] = line
         self.due[number] = now + held.timeout / 1000
-        line.out += jute.write_connected(Connected(held.timeout, number, held.password))
+        line.out += jute.write_connect_response(ConnectResponse(held.timeout, number, held.password))
 
     def _ask(self, line: Line, payload: bytes, now: float) -> None:
         number = line.session
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Membership by sessions: the wire's records, and the tree that a store keeps."""
+"""Membership by sessions: wire format, store, client sessions, membership, follower and announcer."""
 
 import signal
 import socket
@@ -40,7 +40,7 @@
     Check,
     Close,
     Connect,
-    Connected,
+    ConnectResponse,
     Create,
     Delete,
     Event,
@@ -66,9 +66,9 @@
 from driftshed.roster.store import Line, Store
 from driftshed.roster.tree import Tree
 
-# ---- the wire --------------------------------------------------------------------------------------------------
+# ---- wire format --------------------------------------------------------------------------------------------------
 
-# Written out by hand from the public description of the records.
+# Written by hand from the published description of the records.
 VECTORS = [
     (
         jute.write_connect(Connect(0x1122, 10000, 0, b"")),
@@ -79,7 +79,7 @@
         "0000002d 00000000 0000000000000001 00000fa0 000000000000010a 00000010 00000000000000000000000000000000 00",
     ),
     (
-        jute.write_connected(Connected(4000, 0x10A, b"\1\2")),
+        jute.write_connect_response(ConnectResponse(4000, 0x10A, b"\1\2")),
         "00000017 00000000 00000fa0 000000000000010a 00000002 0102 00",
     ),
     (
@@ -107,9 +107,9 @@
 ]
 
 
-@pytest.mark.parametrize(("written", "said"), VECTORS)
-def test_bytes_are_as_the_description_has_them(written, said):
-    assert written.hex() == said.replace(" ", "")
+@pytest.mark.parametrize(("written", "expected"), VECTORS)
+def test_encoded_bytes_match_the_published_description(written, expected):
+    assert written.hex() == expected.replace(" ", "")
 
 
 PATHS = st.sampled_from(["/", "/a", "/a/b", "/a/c", "/servers/x", "/é"])
@@ -135,16 +135,16 @@
 
 
 @given(REQUESTS, st.integers(-(2**31), 2**31 - 1), st.integers(1, 7))
-def test_requests_read_back_however_they_are_cut(request, xid, cut):
+def test_requests_decode_from_frames_split_at_any_byte(request, xid, cut):
     written = jute.write_request(xid, request)
     frames = Frames()
     payloads = [p for k in range(0, len(written), cut) for p in frames.feed(written[k : k + cut])]
-    assert [jute.read_request(p) for p in payloads] == [(xid, request)] and not frames.kept
+    assert [jute.read_request(p) for p in payloads] == [(xid, request)] and not frames.buffered
 
 
 @given(REQUESTS, st.data())
 @settings(max_examples=300)
-def test_cut_or_damaged_requests_are_told_and_nothing_else(request, data):
+def test_truncated_or_corrupt_requests_raise_only_malformed(request, data):
     payload = bytearray(jute.write_request(1, request)[4:])
     if payload and data.draw(st.booleans()):
         payload[data.draw(st.integers(0, len(payload) - 1))] = data.draw(st.integers(0, 255))
@@ -157,7 +157,7 @@
     assert read is None or jute.read_request(jute.write_request(1, read)[4:])[1] == read
 
 
-def test_large_frames_and_lengths_are_refused_before_they_come():
+def test_too_large_frames_and_lengths_are_refused_before_their_data_arrives():
     with pytest.raises(Malformed):
         list(Frames(100).feed(b"\x00\x00\x01\x00"))
     with pytest.raises(Malformed):
@@ -170,12 +170,12 @@
 
 
 @given(st.integers(0, 2**62), st.integers(0, 10**6), st.integers(0, 2**62), st.binary(max_size=16))
-def test_sessions_read_back(zxid, timeout, session, password):
+def test_session_handshakes_decode_as_encoded(zxid, timeout, session, password):
     opened = Connect(zxid, timeout, session, password)
     assert jute.read_connect(jute.write_connect(opened)[4:]) == opened
-    assert jute.read_connect(jute.write_connect(opened)[4:-1]) == opened  # as older clients write it
-    told = Connected(timeout, session, password)
-    assert jute.read_connected(jute.write_connected(told)[4:]) == told
+    assert jute.read_connect(jute.write_connect(opened)[4:-1]) == opened  # as older clients encode it
+    response = ConnectResponse(timeout, session, password)
+    assert jute.read_connect_response(jute.write_connect_response(response)[4:]) == response
 
 
 # ---- the tree --------------------------------------------------------------------------------------------------
@@ -382,7 +382,7 @@
     assert all(sorted(n.children) == plain.children(path) for path, n in tree.nodes.items())
 
 
-def test_stats_read_back():
+def test_stats_decode_as_encoded():
     value = Stat(*range(11))
     assert Reader(jute.stat(value)).stat() == value
 
@@ -520,7 +520,7 @@
         if client.line is not None:
             self.store.lost(client.line)
             client.line = None
-            client.session.lost()
+            client.session.disconnected()
 
     def restart(self) -> None:
         for client in self.clients:
@@ -543,10 +543,10 @@
         if client.line is None:
             client.line, client.sent = Line(), b""
             session.connected(self.now)
-        if not session.turn(self.now):
+        if not session.tick(self.now):
             self.cut(client)
             return
-        client.sent += session.taken_out()
+        client.sent += session.take_output()
         part = self.chance.choice([len(client.sent), self.chance.randrange(len(client.sent) + 1)])
         data, client.sent = client.sent[:part], client.sent[part:]
         line = client.line
@@ -555,7 +555,7 @@
         back = bytes(line.out)
         part = len(back) if line.over else self.chance.choice([len(back), self.chance.randrange(len(back) + 1)])
         del line.out[:part]
-        session.take(back[:part], self.now)
+        session.receive(back[:part], self.now)
         if line.over and client.line is line:
             self.cut(client)
 
@@ -615,36 +615,36 @@
 
 
 def test_loss_of_connection_is_not_expiry():
-    session, told = ClientSession(3.0), []
-    session.on_state = told.append
+    session, states = ClientSession(3.0), []
+    session.on_state = states.append
     session.connected(0.0)
-    session.take(jute.write_connected(Connected(3000, 7, b"p" * 16)), 0.1)
-    got = []
-    session.ask(Create("/a", b""), lambda error, result: got.append(error), 0.2)
-    session.lost()
-    assert told == [State.OPENING, State.ON, State.AWAY] and got == [CONNECTION_LOSS]
-    session.ask(GetData("/a"), lambda error, result: got.append(error), 0.3)  # waits
+    session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"p" * 16)), 0.1)
+    errors = []
+    session.ask(Create("/a", b""), lambda error, result: errors.append(error), 0.2)
+    session.disconnected()
+    assert states == [State.OPENING, State.ON, State.AWAY] and errors == [CONNECTION_LOSS]
+    session.ask(GetData("/a"), lambda error, result: errors.append(error), 0.3)  # queued
     session.connected(1.0)
-    assert jute.read_connect(session.taken_out()[4:]).session == 7
-    session.take(jute.write_connected(Connected(0, 0, bytes(16))), 1.1)
-    assert told[-1] is State.EXPIRED and got == [CONNECTION_LOSS, EXPIRED]
+    assert jute.read_connect(session.take_output()[4:]).session == 7
+    session.receive(jute.write_connect_response(ConnectResponse(0, 0, bytes(16))), 1.1)
+    assert states[-1] is State.EXPIRED and errors == [CONNECTION_LOSS, EXPIRED]
 
 
-def test_pings_go_at_a_third_and_silence_ends_the_connection():
+def test_pings_are_sent_after_a_third_of_the_timeout_and_silence_ends_the_connection():
     session = ClientSession(3.0)
     session.connected(0.0)
-    session.take(jute.write_connected(Connected(3000, 7, b"")), 0.0)
-    session.taken_out()
-    assert session.next_at() == pytest.approx(1.0) and session.turn(1.0)
-    assert jute.read_request(session.taken_out()[4:]) == (-2, Ping())
-    assert session.turn(1.9) and not session.turn(2.01)
+    session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"")), 0.0)
+    session.take_output()
+    assert session.next_at() == pytest.approx(1.0) and session.tick(1.0)
+    assert jute.read_request(session.take_output()[4:]) == (-2, Ping())
+    assert session.tick(1.9) and not session.tick(2.01)
 
 
-def test_a_client_that_is_not_let_in_waits_and_does_not_spin():
+def test_a_client_without_a_connect_response_waits_without_a_busy_loop():
     session = ClientSession(3.0)
     session.connected(0.0)
-    assert session.next_at() == pytest.approx(2.0) and session.turn(1.5) and session.next_at() > 1.5
-    assert not session.turn(2.0)
+    assert session.next_at() == pytest.approx(2.0) and session.tick(1.5) and session.next_at() > 1.5
+    assert not session.tick(2.0)
 
 
 def test_one_malformed_connection_disturbs_no_other(tmp_path):
@@ -1221,12 +1221,12 @@
         load_script(str(path))
 
 
-def test_damaged_answers_are_told_by_the_client_and_nothing_else():
+def test_corrupt_answers_raise_only_malformed_in_the_client():
     chance = Random(6)
     for _ in range(3000):
         session = ClientSession(3.0)
         session.connected(0.0)
-        session.take(jute.write_connected(Connected(3000, 7, b"")), 0.0)
+        session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"")), 0.0)
         session.ask(GetData("/a", True), lambda error, result: None, 0.0)
         session.ask(GetChildren("/", True, True), lambda error, result: None, 0.0)
         good = jute.write_reply(Reply(1, 5, OK), jute.buffer(b"x") + jute.stat(Stat(*range(11))))
@@ -1236,10 +1236,10 @@
         for _ in range(chance.randrange(1, 4)):
             data[chance.randrange(len(data))] = chance.randrange(256)
         try:
-            session.take(bytes(data), 0.1)
+            session.receive(bytes(data), 0.1)
         except Malformed:
             pass
-        assert len(session.frames.kept) <= jute.MOST_FRAME + 4
+        assert len(session.frames.buffered) <= jute.MAX_FRAME_BYTES + 4
 
 
 # ---- lists longer than a session's request limit -------------------------------------------------------------------
@@ -1248,11 +1248,11 @@
 @pytest.mark.parametrize("broken", [0, 3], ids=["undisturbed", "its connection reset while it reads"])
 def test_a_list_of_more_nodes_than_pending_requests_is_published_complete(broken):
     from driftshed.lab.virtual import Seat
-    from driftshed.roster.session import MOST_WAITING
+    from driftshed.roster.session import MAX_PENDING_REQUESTS
     from tests.fleets import STORE
     from tests.fleets import Fleet as Agents
 
-    agents, count, told = Agents(("a",)), MOST_WAITING + 500, []
+    agents, count, told = Agents(("a",)), MAX_PENDING_REQUESTS + 500, []
     tree = agents.store.store.tree
     tree.open(7, 60000, bytes(16))
     tree.do(7, jute.Create("/driftshed", b""), 0)
