--- a/driftshed/roster/command.py
+++ b/driftshed/roster/command.py
@@ -14,18 +14,18 @@
 from driftshed.core.messages import BadName, server_id
 from driftshed.net.loop import Loop
 from driftshed.roster.announce import Announcer, Standing
-from driftshed.roster.log import Damaged, Log
+from driftshed.roster.log import CorruptLog, Log
 from driftshed.roster.membership import Announced
 from driftshed.roster.serve import StoreServer
 
 
 def hosts_of(text: str, flag: str) -> list[tuple[str, int]]:
-    """A connect string, HOST:PORT with commas between; click.BadParameter names the flag."""
+    """Parses a connect string, comma-separated HOST:PORT. Raises click.BadParameter, which names the flag."""
     hosts = []
     for part in filter(None, (each.strip() for each in text.split(","))):
         host, _, port = part.rpartition(":")
         if not host.startswith("127.") or not port.isdigit() or not 0 < int(port) < 65536:
-            what = f"{part!r}: loopback address and port, such as 127.0.0.1:2181, several with commas between"
+            what = f"{part!r}: write loopback address and port, such as 127.0.0.1:2181; separate several with commas"
             raise click.BadParameter(what, param_hint=f"--{flag}")
         hosts.append((host, int(port)))
     if not hosts:
@@ -34,8 +34,9 @@
 
 
 def check_root(root: str) -> str:
+    """Returns an absolute path other than "/" unchanged. Raises click.BadParameter for anything else."""
     if not root.startswith("/") or root.endswith("/") or "//" in root or root == "/":
-        text = f"{root!r}: a path such as /driftshed/servers is wanted"
+        text = f"{root!r}: expected a path such as /driftshed/servers"
         raise click.BadParameter(text, param_hint="--roster-root")
     return root
 
@@ -47,34 +48,41 @@
 
 @roster.command()
 @option("listen", type=click.STRING, default="127.0.0.1:2181", help="address:port; port 0 takes a free one")
-@option("folder", type=click.Path(file_okay=False, path_type=Path), required=True, help="of its log and snapshots")
-@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="of session numbers and passwords")
+@option(
+    "folder", type=click.Path(file_okay=False, path_type=Path), required=True, help="folder of its log and snapshots"
+)
+@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="seed of session numbers and passwords")
 @option("snapshot-every", type=click.IntRange(10, 10**9), default=10000, help="changes from one snapshot to the next")
-@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
+@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="lowest level that is logged")
 def serve(listen: str, folder: Path, seed: int, snapshot_every: int, log_level: str) -> None:
-    """Runs the stand-in store, one node, until SIGTERM. An ensemble of ZooKeeper can stand in its place."""
+    """Runs the stand-in store, one node, until SIGTERM. An ensemble of ZooKeeper can replace it."""
     host, _, port = listen.rpartition(":")
     if not host.startswith("127.") or not port.isdigit() or int(port) > 65535:
         raise click.BadParameter(f"{listen!r}: write 127.0.0.1:PORT", param_hint="--listen")
     log, loop = make_log("json", log_level), Loop()
     try:
-        files = Log(folder, snapshot_every)
-    except (Damaged, OSError) as error:
+        transaction_log = Log(folder, snapshot_every)
+    except (CorruptLog, OSError) as error:
         text = f"{error}; restore the folder from a copy, or name an empty one"
         raise click.BadParameter(text, param_hint="--folder") from None
     try:
-        server = StoreServer(loop, (host, int(port)), files, seed)
+        server = StoreServer(loop, (host, int(port)), transaction_log, seed)
     except OSError as error:
         raise click.BadParameter(f"{listen}: {error.strerror}; take a free port", param_hint="--listen") from None
-    if files.cut_off:
-        log("log_cut_off", level="warning", bytes=files.cut_off)
+    if transaction_log.truncated_bytes:
+        log("log_cut_off", level="warning", bytes=transaction_log.truncated_bytes)
     loop.on_signals((signal.SIGTERM, signal.SIGINT), lambda number: loop.stop())
-    log("listening", zxid=files.tree.zxid, sessions=len(files.tree.sessions), nodes=len(files.tree.nodes))
+    log(
+        "listening",
+        zxid=transaction_log.tree.zxid,
+        sessions=len(transaction_log.tree.sessions),
+        nodes=len(transaction_log.tree.nodes),
+    )
     print(f"listening {server.address[0]}:{server.address[1]}", flush=True)
     loop.run()
     server.close()
     loop.close()
-    log("stopped", zxid=files.tree.zxid)
+    log("stopped", zxid=transaction_log.tree.zxid)
     sys.stderr.flush()
 
 
@@ -88,7 +96,7 @@
 @option("weight", type=click.FloatRange(0, 1e12), default=1.0, help="its listed weight")
 @option("session-timeout", type=click.FloatRange(0.1, 60), default=6.0, help="seconds of silence that lapse a session")
 @option("drain-for", type=click.FloatRange(0, 3600), default=5.0, help="seconds between draining and leaving")
-@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
+@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="lowest level that is logged")
 def announce(
     connect: str,
     root: str,
@@ -101,8 +109,8 @@
     drain_for: float,
     log_level: str,
 ) -> None:
-    """Announces a server until SIGTERM, then drains it and leaves. Exit code: 0, 3 when another start of the server has
-    taken its address."""
+    """Announces a server until SIGTERM, then drains it and leaves. Exit code: 0, or 3 when another start of the server
+    has acquired its address."""
     try:
         server_id(server)
     except BadName as error:
@@ -110,7 +118,7 @@
     log, loop, code = make_log("json", log_level), Loop(), 0
     node = Announced(server, zone, kind, "ready", time.time(), cell, weight, 0)
 
-    def stood(standing: Standing) -> None:
+    def on_standing(standing: Standing) -> None:
         nonlocal code
         log("standing", state=standing.value, epoch=announcer.epoch)
         if standing is Standing.LISTED:
@@ -121,10 +129,10 @@
 
     seed = time.time_ns()
     announcer = Announcer(
-        loop, hosts_of(connect, "roster-connect"), check_root(root), node, session_timeout, seed, stood
+        loop, hosts_of(connect, "roster-connect"), check_root(root), node, session_timeout, seed, on_standing
     )
 
-    def go(number: int) -> None:
+    def on_signal(number: int) -> None:
         if announcer.standing is not Standing.LISTED:
             announcer.stop()
             loop.stop()
@@ -132,7 +140,7 @@
         log("draining", seconds=drain_for)
         announcer.say("draining", lambda: loop.after(drain_for, lambda: announcer.leave(loop.stop)))
 
-    loop.on_signals((signal.SIGTERM, signal.SIGINT), go)
+    loop.on_signals((signal.SIGTERM, signal.SIGINT), on_signal)
     loop.run()
     loop.close()
     sys.stderr.flush()
--- a/driftshed/roster/jute.py
+++ b/driftshed/roster/jute.py
@@ -459,7 +459,7 @@
 
 
 def write_result(request: Request, result: Result) -> bytes:
-    """Encodes the body of an answer: `result` is what `Tree.do` returned for the request."""
+    """Encodes the body of an answer: `result` is what `Tree.execute` returned for the request."""
     if isinstance(request, Create):
         return string(result[0]) + stat(result[1]) if request.stat else string(result[0])
     if isinstance(request, Exists | SetData):
--- a/driftshed/roster/log.py
+++ b/driftshed/roster/log.py
@@ -1,7 +1,7 @@
-"""What a store has acknowledged, on disk: a log of transactions and snapshots of the whole, each with checksums.
+"""Durable storage of a store: a log of transactions and full snapshots of the tree, both with checksums.
 
-A record is its length, its CRC-32 and its bytes. A torn or damaged end of the newest log is cut off; damage anywhere
-else is `Damaged`, since something acknowledged would be missing."""
+A record is its length, its CRC-32 and its bytes. A truncated or corrupt end of the newest log is cut off; corruption
+anywhere else raises `CorruptLog`, since acknowledged changes would be missing."""
 
 from __future__ import annotations
 
@@ -15,60 +15,64 @@
 from driftshed.roster import jute
 from driftshed.roster.tree import Node, Session, Tree
 
-HEAD = struct.Struct(">II")
-MOST_RECORD = 4 << 20  # bytes
-KEPT_SNAPSHOTS = 2
+RECORD_HEADER = struct.Struct(">II")
+MAX_RECORD_BYTES = 4 << 20
+RETAINED_SNAPSHOTS = 2
 
 
-class Damaged(Exception):
-    """A file that does not hold what was written to it."""
+class CorruptLog(Exception):
+    """A file is corrupt: its content is not what was written to it."""
 
 
-def record(kind: str, session: int, time: int, body: bytes) -> bytes:
+def encode_record(kind: str, session: int, time: int, body: bytes) -> bytes:
+    """Encodes a record. `kind` and `body`: "open" with time-out and password, "end" with nothing, "do" with a request's
+    payload, or "snapshot" with a tree. `time` in milliseconds."""
     data = msgspec.msgpack.encode((kind, session, time, body))
-    return HEAD.pack(len(data), zlib.crc32(data)) + data
+    return RECORD_HEADER.pack(len(data), zlib.crc32(data)) + data
 
 
 def read_records(data: bytes) -> tuple[list[tuple[str, int, int, bytes]], int]:
-    """The whole records of a log, and how many of its bytes they are."""
+    """Decodes the intact records up to the first bad one; returns them and their size in bytes."""
     rows, at = [], 0
-    while at + HEAD.size <= len(data):
-        size, check = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + size]
-        if size > MOST_RECORD or len(body) < size or zlib.crc32(body) != check:
+    while at + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, at)
+        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+        if size > MAX_RECORD_BYTES or len(body) < size or zlib.crc32(body) != checksum:
             break
         rows.append(tuple(msgspec.msgpack.decode(body)))
-        at += HEAD.size + size
+        at += RECORD_HEADER.size + size
     return rows, at
 
 
 def replay(tree: Tree, kind: str, session: int, time: int, body: bytes) -> None:
-    """One record done again on a tree that stands where it stood."""
+    """Applies a record to a tree in the state that it had when the record was written."""
     if kind == "open":
         timeout, password = msgspec.msgpack.decode(body)
-        tree.open(session, timeout, password)
+        tree.open_session(session, timeout, password)
     elif kind == "end":
-        tree.end(session)
+        tree.end_session(session)
     else:
         _, request = jute.read_request(body)
-        tree.do(session, request, time)
+        tree.execute(session, request, time)
 
 
-def dump(tree: Tree) -> bytes:
+def encode_tree(tree: Tree) -> bytes:
+    """Encodes a tree, without watches, which belong to connections."""
     nodes = [
         (path, n.data, n.czxid, n.mzxid, n.ctime, n.mtime, n.version, n.cversion, n.owner, n.pzxid)
         for path, n in tree.nodes.items()
     ]
-    sessions = [(number, held.timeout, held.password) for number, held in tree.sessions.items()]
+    sessions = [(session_id, session.timeout, session.password) for session_id, session in tree.sessions.items()]
     return msgspec.msgpack.encode((tree.zxid, nodes, sessions))
 
 
-def restore(data: bytes) -> Tree:
+def decode_tree(data: bytes) -> Tree:
+    """Decodes what `encode_tree` has encoded."""
     zxid, nodes, sessions = msgspec.msgpack.decode(data)
     tree = Tree()
     tree.zxid = zxid
-    for number, timeout, password in sessions:
-        tree.sessions[number] = Session(timeout, password)
+    for session_id, timeout, password in sessions:
+        tree.sessions[session_id] = Session(timeout, password)
     for path, data_, czxid, mzxid, ctime, mtime, version, cversion, owner, pzxid in nodes:
         node = tree.nodes[path] = Node(data_, czxid, ctime, owner)
         node.mzxid, node.mtime, node.version, node.cversion, node.pzxid = mzxid, mtime, version, cversion, pzxid
@@ -82,98 +86,100 @@
 
 
 class Log:
-    """The files in a folder: `snapshot-N` holds all up to zxid N, `log-N` what came after it. `every`: records from one
-    snapshot to the next."""
+    """The files in a folder: `snapshot-N` holds the tree at zxid N, `log-N` the transactions after it."""
 
-    def __init__(self, folder: Path, every: int = 10000) -> None:
-        self.folder, self.every = folder, every
+    def __init__(self, folder: Path, snapshot_interval: int = 10000) -> None:
+        """Loads the tree. `snapshot_interval`: records from one snapshot to the next. Raises CorruptLog."""
+        self.folder, self.snapshot_interval = folder, snapshot_interval
         folder.mkdir(parents=True, exist_ok=True)
-        self.tree, self.cut_off = self._load()
-        self.count, self.unsynced = 0, bytearray()
-        self._begin()
+        self.tree, self.truncated_bytes = self._load()
+        self.records_since_snapshot, self.unsynced = 0, bytearray()
+        self._open_log()
 
-    def _numbered(self, name: str) -> list[tuple[int, Path]]:
+    def _numbered_files(self, name: str) -> list[tuple[int, Path]]:
         found = []
         for path in self.folder.glob(f"{name}-*"):
-            number = path.name.rpartition("-")[2]
-            if number.isdigit():
-                found.append((int(number), path))
+            zxid = path.name.rpartition("-")[2]
+            if zxid.isdigit():
+                found.append((int(zxid), path))
         return sorted(found)
 
     def _load(self) -> tuple[Tree, int]:
-        """The tree as it was acknowledged, and the bytes of an unfinished record that were cut off."""
-        tree, since = Tree(), 0
-        for number, path in reversed(self._numbered("snapshot")):
+        """Returns the tree with all acknowledged changes, and how many bytes of an incomplete record were cut off."""
+        tree, snapshot_zxid = Tree(), 0
+        for zxid, path in reversed(self._numbered_files("snapshot")):
             rows, size = read_records(path.read_bytes())
             if rows and size == path.stat().st_size:
-                tree, since = restore(rows[0][3]), number
+                tree, snapshot_zxid = decode_tree(rows[0][3]), zxid
                 break
-            # One that was cut short by a crash was never needed: its logs are kept until it is whole.
-        cut_off = 0
-        logs = [(number, path) for number, path in self._numbered("log") if number >= since]
-        for k, (number, path) in enumerate(logs):
-            if number != tree.zxid:
-                raise Damaged(f"{path}: begins behind {number}, and the tree is at {tree.zxid}")
+            # A snapshot cut short by a crash is not needed: the logs before it are kept until it is complete.
+        truncated_bytes = 0
+        logs = [(zxid, path) for zxid, path in self._numbered_files("log") if zxid >= snapshot_zxid]
+        for k, (zxid, path) in enumerate(logs):
+            if zxid != tree.zxid:
+                raise CorruptLog(f"{path}: begins after zxid {zxid}, but the tree is at {tree.zxid}")
             data = path.read_bytes()
             rows, size = read_records(data)
             if size < len(data):
                 if k < len(logs) - 1:
-                    raise Damaged(f"{path}: damaged at byte {size}, and newer logs follow on it")
-                cut_off = len(data) - size
+                    raise CorruptLog(f"{path}: corrupt at byte {size}, and newer logs depend on it")
+                truncated_bytes = len(data) - size
                 with path.open("r+b") as file:
                     file.truncate(size)
             for row in rows:
                 replay(tree, *row)
-        return tree, cut_off
+        return tree, truncated_bytes
 
-    def _begin(self) -> None:
+    def _open_log(self) -> None:
         self.file = (self.folder / f"log-{self.tree.zxid}").open("ab", buffering=0)
-        self.count = 0
+        self.records_since_snapshot = 0
 
     def add(self, kind: str, session: int, time: int, body: bytes) -> None:
-        """Writes a record; it is safe once `sync()` has returned."""
-        self.unsynced += record(kind, session, time, body)
-        self.count += 1
+        """Buffers a record; it is durable once `sync()` has returned."""
+        self.unsynced += encode_record(kind, session, time, body)
+        self.records_since_snapshot += 1
 
     def sync(self) -> None:
+        """Writes the buffered records to disk, and takes a snapshot if one is due."""
         if not self.unsynced:
             return
         data, self.unsynced = self.unsynced, bytearray()
         while data:
             del data[: self.file.write(data)]
         os.fsync(self.file.fileno())
-        if self.count >= self.every:
+        if self.records_since_snapshot >= self.snapshot_interval:
             self.snapshot()
 
     def snapshot(self) -> None:
-        """Writes the whole beside, then puts it in its place; older files go once two newer ones hold all."""
-        number = self.tree.zxid
-        if self.folder / f"log-{number}" == Path(self.file.name):
+        """Writes the tree to a temporary file and renames it. Files older than the last two snapshots are deleted."""
+        zxid = self.tree.zxid
+        if self.folder / f"log-{zxid}" == Path(self.file.name):
             return
-        data = record("snapshot", 0, 0, dump(self.tree))
-        beside = self.folder / f"new-{number}"
-        with beside.open("wb") as file:
+        data = encode_record("snapshot", 0, 0, encode_tree(self.tree))
+        temporary = self.folder / f"new-{zxid}"
+        with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        beside.rename(self.folder / f"snapshot-{number}")
+        temporary.rename(self.folder / f"snapshot-{zxid}")
         self.file.close()
-        self._begin()
+        self._open_log()
         self._sync_folder()
-        kept = self._numbered("snapshot")[-KEPT_SNAPSHOTS:]
-        if len(kept) == KEPT_SNAPSHOTS:
+        retained = self._numbered_files("snapshot")[-RETAINED_SNAPSHOTS:]
+        if len(retained) == RETAINED_SNAPSHOTS:
             for name in ("snapshot", "log"):
-                for number, path in self._numbered(name):
-                    if number < kept[0][0]:
+                for zxid, path in self._numbered_files(name):
+                    if zxid < retained[0][0]:
                         path.unlink()
 
     def _sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+        descriptor = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def close(self) -> None:
+        """Writes the buffered records and closes the file."""
         self.sync()
         self.file.close()
--- a/driftshed/roster/serve.py
+++ b/driftshed/roster/serve.py
@@ -1,4 +1,4 @@
-"""The stand-in store as a server on the loop, with switches to make it fail."""
+"""The stand-in store as a server on the event loop, with fault injection for tests."""
 
 from __future__ import annotations
 
@@ -7,94 +7,96 @@
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Listener, Stream
 from driftshed.roster.log import Log
-from driftshed.roster.store import MOST_OUT, Line, Store
+from driftshed.roster.store import MAX_OUTPUT_BYTES, Line, Store
 
-MOST_CONNECTIONS = 12000
+MAX_CONNECTIONS = 12000
 
 
 class StoreServer:
-    """Serves a store at an address. What came in one round of the loop is synced once, then answered. The switches:
-    `late` seconds before answers leave, `held` sessions that get none, `deaf`: nothing is read or answered; and the
-    store's own `breaks_events`."""
+    """Serves a store at an address. Changes received in one round of the loop are written to disk together, then
+    answered. Fault injection: `answer_delay`, in seconds; `muted_sessions`, which get no answers; `unresponsive`:
+    received bytes are dropped and nothing is answered; and the store's `events_to_drop`."""
 
     def __init__(
         self, loop: Timers, address: tuple[str, int], log: Log, seed: int, listen: Callable[..., Listener] = Listener
     ) -> None:
+        """`address`: host and port, 0 for a free port; the attribute holds the actual one. `log`: closed by `close`."""
         self.loop, self.store = loop, Store(log, seed, loop.clock())
         self.streams: dict[Stream, Line] = {}
-        self.late, self.deaf = 0.0, False
-        self.held: set[int] = set()
-        self.due = False
-        self.turned_away = 0
+        self.answer_delay, self.unresponsive = 0.0, False
+        self.muted_sessions: set[int] = set()
+        self.commit_due = False
+        self.rejected_connections = 0
         self.timer: Timer | None = None
-        self.listener = listen(loop, address, self._accept, MOST_OUT)
+        self.listener = listen(loop, address, self._accept, MAX_OUTPUT_BYTES)
         self.address = self.listener.address
-        self._schedule()
+        self._schedule_expiry()
 
     def _accept(self, stream: Stream) -> None:
-        if len(self.streams) >= MOST_CONNECTIONS:
-            self.turned_away += 1
+        if len(self.streams) >= MAX_CONNECTIONS:
+            self.rejected_connections += 1
             stream.abort("too many connections")
             return
         line = self.streams[stream] = Line()
-        stream.on_data = lambda data: self._data(line, data)
-        stream.on_end = lambda reason: self._ended(stream)
+        stream.on_data = lambda data: self._on_data(line, data)
+        stream.on_end = lambda reason: self._on_end(stream)
 
-    def _data(self, line: Line, data: bytes) -> None:
-        if self.deaf:
+    def _on_data(self, line: Line, data: bytes) -> None:
+        if self.unresponsive:
             return
         self.store.take(line, data, self.loop.clock())
-        self._soon()
+        self._schedule_commit()
 
-    def _ended(self, stream: Stream) -> None:
-        self.store.lost(self.streams.pop(stream))
+    def _on_end(self, stream: Stream) -> None:
+        self.store.connection_lost(self.streams.pop(stream))
 
-    def _soon(self) -> None:
-        if not self.due:
-            self.due = True
+    def _schedule_commit(self) -> None:
+        if not self.commit_due:
+            self.commit_due = True
             self.loop.soon(self._commit)
 
     def _commit(self) -> None:
-        self.due = False
+        self.commit_due = False
         self.store.commit()
-        if self.late:
-            self.loop.after(self.late, self._write)
+        if self.answer_delay:
+            self.loop.after(self.answer_delay, self._write_output)
         else:
-            self._write()
-        self._schedule()
+            self._write_output()
+        self._schedule_expiry()
 
-    def _write(self) -> None:
+    def _write_output(self) -> None:
         for stream, line in list(self.streams.items()):
-            if line.out and line.session not in self.held:
+            if line.out and line.session not in self.muted_sessions:
                 data, line.out = bytes(line.out), bytearray()
                 stream.write(data)
-            if line.over:
+            if line.close_reason:
                 stream.finish()
 
-    def _schedule(self) -> None:
+    def _schedule_expiry(self) -> None:
         due = self.store.next_at()
         if self.timer:
             self.timer.cancel()
             self.timer = None
         if due is not None:
-            self.timer = self.loop.at(due, self._lapse)
+            self.timer = self.loop.at(due, self._expire_sessions)
 
-    def _lapse(self) -> None:
-        if not self.deaf:
-            self.store.turn(self.loop.clock())
-        self._soon()
+    def _expire_sessions(self) -> None:
+        if not self.unresponsive:
+            self.store.expire_sessions(self.loop.clock())
+        self._schedule_commit()
 
     def expire(self, session: int) -> None:
-        """Ends a session on purpose."""
+        """Expires a session on purpose."""
         self.store.expire(session)
-        self._soon()
+        self._schedule_commit()
 
-    def break_all(self) -> None:
+    def reset_connections(self) -> None:
         """Resets every connection."""
         for stream in list(self.streams):
             stream.abort("reset", hard=True)
 
     def close(self) -> None:
+        """Stops listening, ends all connections and closes the log."""
         self.listener.close()
         for stream in list(self.streams):
             stream.abort("closed")
--- a/driftshed/roster/store.py
+++ b/driftshed/roster/store.py
@@ -1,7 +1,8 @@
-"""The store's side of sessions, sans I/O: connections bring bytes, the tree decides, answers go back in order.
+"""The store's side of sessions, free of I/O: handles bytes received on connections, executes requests on the tree and
+queues answers in order.
 
-An answer to a change is held until `commit()` has made the change safe on disk: what was acknowledged is never lost.
-Whatever is seen of a change, by its asker or by a watch, is seen after that."""
+An answer to a change is sent only after `commit()` has written the change to disk, so acknowledged changes are never
+lost. No client sees a change before that, neither in an answer nor in a watch event."""
 
 from __future__ import annotations
 
@@ -26,154 +27,159 @@
 )
 from driftshed.roster.log import Log
 
-MOST_SESSIONS = 10000
-MOST_OUT = 8 << 20  # bytes that one connection does not read
-LEAST, MOST = 0.1, 60.0  # seconds of a time-out
+MAX_SESSIONS = 10000
+MAX_OUTPUT_BYTES = 8 << 20  # not yet read by one client
+MIN_SESSION_TIMEOUT_S, MAX_SESSION_TIMEOUT_S = 0.1, 60.0
 
 
 class Line:
-    """One connection as the store sees it. `over`: why it is to be ended, once `out` is written."""
+    """One client connection. `close_reason`: why to close it once `out` has been written; empty while it stays open."""
 
-    __slots__ = ("frames", "session", "out", "over")
+    __slots__ = ("frames", "session", "out", "close_reason")
 
     def __init__(self) -> None:
-        self.frames, self.session, self.out, self.over = Frames(), 0, bytearray(), ""
+        """`session` is 0 until the client has opened or resumed one."""
+        self.frames, self.session, self.out, self.close_reason = Frames(), 0, bytearray(), ""
 
 
 class Store:
-    """`seed` for session numbers and passwords; times are seconds on the caller's clock."""
+    """Sessions and their connections on one tree. Times are seconds on the caller's clock."""
 
     def __init__(self, log: Log, seed: int, now: float) -> None:
-        # Guards against two sessions under one number: a store started anew with the same seed would draw those again
-        # that it gave out before.
+        """`seed`: of session numbers and passwords."""
+        # Guards against two sessions with one number: a store restarted with the same seed would otherwise draw the
+        # numbers again that it assigned before.
         self.log, self.tree, self.random = log, log.tree, Random(f"store {seed} {log.tree.zxid}")
-        self.lines: dict[int, Line] = {}  # by session
-        # After a restart every session has its whole time-out to come back in.
-        self.due = {number: now + held.timeout / 1000 for number, held in self.tree.sessions.items()}
-        self.expired = 0
-        self.breaks_events = 0  # for tests: so many events are lost, each with the connection that it was to go on
+        self.connections: dict[int, Line] = {}  # by session
+        # After a restart every client has a full time-out to resume its session.
+        self.expires_at = {
+            session_id: now + session.timeout / 1000 for session_id, session in self.tree.sessions.items()
+        }
+        self.expired_count = 0
+        self.events_to_drop = 0  # for tests: number of events to drop; each drop also ends the connection
 
     # ---- connections ------------------------------------------------------------------------------------------
 
     def take(self, line: Line, data: bytes, now: float) -> None:
-        """Bytes of a connection. What is not the protocol ends this connection, and no other."""
+        """Handles bytes received on a connection. Malformed bytes end this connection and affect no other."""
         try:
             for payload in line.frames.feed(data):
-                if line.over:
+                if line.close_reason:
                     return
                 if not line.session:
-                    self._open(line, jute.read_connect(payload), now)
+                    self._open_session(line, jute.read_connect(payload), now)
                 else:
-                    self._ask(line, payload, now)
+                    self._handle_request(line, payload, now)
         except Malformed as error:
-            line.over = f"malformed: {error}"
+            line.close_reason = f"malformed: {error}"
 
-    def lost(self, line: Line) -> None:
-        """A connection has ended; its session has its time-out left."""
-        if line.session and self.lines.get(line.session) is line:
-            del self.lines[line.session]
+    def connection_lost(self, line: Line) -> None:
+        """A connection has ended; its session lives on until it is resumed or times out."""
+        if line.session and self.connections.get(line.session) is line:
+            del self.connections[line.session]
             self.tree.forget_watches(line.session)
 
-    def _open(self, line: Line, asked: jute.Connect, now: float) -> None:
-        timeout = round(1000 * min(MOST, max(LEAST, asked.timeout / 1000)))
-        number, held = asked.session, self.tree.sessions.get(asked.session)
-        # Guards against a client that has seen what this store has not: it would take older news for newer.
-        if asked.last_zxid > self.tree.zxid:
-            line.over = f"it has seen change {asked.last_zxid}, the newest here is {self.tree.zxid}"
+    def _open_session(self, line: Line, request: jute.Connect, now: float) -> None:
+        timeout = round(1000 * min(MAX_SESSION_TIMEOUT_S, max(MIN_SESSION_TIMEOUT_S, request.timeout / 1000)))
+        session_id, session = request.session, self.tree.sessions.get(request.session)
+        # Guards against a client that has seen changes which this store lacks: it would accept older data as newer.
+        if request.last_zxid > self.tree.zxid:
+            line.close_reason = f"the client has seen change {request.last_zxid}, the newest here is {self.tree.zxid}"
             return
-        if number and (held is None or held.password != asked.password):
+        if session_id and (session is None or session.password != request.password):
             line.out += jute.write_connect_response(ConnectResponse(0, 0, bytes(16)))
-            line.over = "its session has expired"
+            line.close_reason = "its session has expired"
             return
-        if not number:
-            if len(self.tree.sessions) >= MOST_SESSIONS:
-                line.over = f"{MOST_SESSIONS} sessions are open"
+        if not session_id:
+            if len(self.tree.sessions) >= MAX_SESSIONS:
+                line.close_reason = f"{MAX_SESSIONS} sessions are open"
                 return
-            while not number or number in self.tree.sessions:
-                number = self.random.getrandbits(62)
+            while not session_id or session_id in self.tree.sessions:
+                session_id = self.random.getrandbits(62)
             password = self.random.randbytes(16)
-            self.tree.open(number, timeout, password)
-            self.log.add("open", number, 0, msgspec.msgpack.encode((timeout, password)))
-            held = self.tree.sessions[number]
-        older = self.lines.get(number)
-        if older is not None:
-            older.over = "its session goes on elsewhere"
-            self.lost(older)
-        line.session = number
-        self.lines[number] = line
-        self.due[number] = now + held.timeout / 1000
-        line.out += jute.write_connect_response(ConnectResponse(held.timeout, number, held.password))
-
-    def _ask(self, line: Line, payload: bytes, now: float) -> None:
-        number = line.session
-        if number not in self.tree.sessions:  # expired under a connection that stands
-            line.over = "its session has expired"
+            self.tree.open_session(session_id, timeout, password)
+            self.log.add("open", session_id, 0, msgspec.msgpack.encode((timeout, password)))
+            session = self.tree.sessions[session_id]
+        previous = self.connections.get(session_id)
+        if previous is not None:
+            previous.close_reason = "its session was resumed on another connection"
+            self.connection_lost(previous)
+        line.session = session_id
+        self.connections[session_id] = line
+        self.expires_at[session_id] = now + session.timeout / 1000
+        line.out += jute.write_connect_response(ConnectResponse(session.timeout, session_id, session.password))
+
+    def _handle_request(self, line: Line, payload: bytes, now: float) -> None:
+        session_id = line.session
+        if session_id not in self.tree.sessions:  # expired while the connection is open
+            line.close_reason = "its session has expired"
             return
-        self.due[number] = now + self.tree.sessions[number].timeout / 1000
+        self.expires_at[session_id] = now + self.tree.sessions[session_id].timeout / 1000
         xid, request = jute.read_request(payload)
         if request is None:
             self._reply(line, Reply(xid, self.tree.zxid, UNIMPLEMENTED))
         elif isinstance(request, Ping):
             self._reply(line, Reply(XID_PING, self.tree.zxid, OK))
         elif isinstance(request, Close):
-            self._end(number)
+            self._end_session(session_id)
             self._reply(line, Reply(xid, self.tree.zxid, OK))
-            line.over = "closed"
+            line.close_reason = "closed"
         else:
-            milliseconds = round(now * 1000)
-            done = self.tree.do(number, request, milliseconds)
-            if done.wrote:
-                self.log.add("do", number, milliseconds, payload)
-            self._tell(done.events)  # a change is told before whoever asks can see it
+            time_ms = round(now * 1000)
+            outcome = self.tree.execute(session_id, request, time_ms)
+            if outcome.is_transaction:
+                self.log.add("do", session_id, time_ms, payload)
+            self._send_events(outcome.events)  # watch events precede the answer that shows the change
             body = b""
-            if done.result is not None and (done.error == OK or isinstance(request, jute.Multi)):
-                body = jute.write_result(request, done.result)
-            if not isinstance(request, SetWatches) or done.error == OK:
-                self._reply(line, Reply(xid, self.tree.zxid, done.error), body)
+            if outcome.result is not None and (outcome.error == OK or isinstance(request, jute.Multi)):
+                body = jute.write_result(request, outcome.result)
+            if not isinstance(request, SetWatches) or outcome.error == OK:
+                self._reply(line, Reply(xid, self.tree.zxid, outcome.error), body)
 
     def _reply(self, line: Line, reply: Reply, body: bytes = b"") -> None:
         line.out += jute.write_reply(reply, body)
-        if len(line.out) > MOST_OUT:
-            line.over = "it does not read"
-
-    def _tell(self, events: list[tuple[int, Event]]) -> None:
-        for number, event in events:
-            line = self.lines.get(number)
-            if line is not None and self.breaks_events:
-                self.breaks_events -= 1
-                line.over = "broken on purpose"
+        if len(line.out) > MAX_OUTPUT_BYTES:
+            line.close_reason = "the client does not read"
+
+    def _send_events(self, events: list[tuple[int, Event]]) -> None:
+        for session_id, event in events:
+            line = self.connections.get(session_id)
+            if line is not None and self.events_to_drop:
+                self.events_to_drop -= 1
+                line.close_reason = "broken on purpose"
             elif line is not None:
                 line.out += jute.write_event(event._replace(state=CONNECTED))
-                if len(line.out) > MOST_OUT:
-                    line.over = "it does not read"
+                if len(line.out) > MAX_OUTPUT_BYTES:
+                    line.close_reason = "the client does not read"
 
     # ---- sessions ---------------------------------------------------------------------------------------------
 
-    def _end(self, number: int) -> None:
-        self.log.add("end", number, 0, b"")
-        self.due.pop(number, None)
-        events = self.tree.end(number)
-        self.lines.pop(number, None)
-        self._tell(events)
+    def _end_session(self, session_id: int) -> None:
+        self.log.add("end", session_id, 0, b"")
+        self.expires_at.pop(session_id, None)
+        events = self.tree.end_session(session_id)
+        self.connections.pop(session_id, None)
+        self._send_events(events)
 
-    def expire(self, number: int) -> None:
-        """A session has lapsed, by time or on purpose: its nodes go, and its connection, if it has one."""
-        if number not in self.tree.sessions:
+    def expire(self, session_id: int) -> None:
+        """Expires a session, after its time-out or on purpose: deletes its nodes and ends its connection, if any."""
+        if session_id not in self.tree.sessions:
             return
-        self.expired += 1
-        line = self.lines.get(number)
-        self._end(number)
+        self.expired_count += 1
+        line = self.connections.get(session_id)
+        self._end_session(session_id)
         if line is not None:
-            line.over = "its session has expired"
+            line.close_reason = "its session has expired"
 
-    def turn(self, now: float) -> None:
-        """Ends what has lapsed."""
-        for number in [number for number, due in self.due.items() if due <= now]:
-            self.expire(number)
+    def expire_sessions(self, now: float) -> None:
+        """Expires the sessions whose time-out has passed."""
+        for session_id in [session_id for session_id, expiry in self.expires_at.items() if expiry <= now]:
+            self.expire(session_id)
 
     def next_at(self) -> float | None:
-        return min(self.due.values(), default=None)
+        """When the next session expires unless its client sends something; None without sessions."""
+        return min(self.expires_at.values(), default=None)
 
     def commit(self) -> None:
-        """Makes all that was answered safe; write what the lines hold only after it."""
+        """Writes all changes to disk; the output of connections may be sent only after it."""
         self.log.sync()
--- a/driftshed/roster/tree.py
+++ b/driftshed/roster/tree.py
@@ -1,6 +1,5 @@
-"""The tree of nodes that a store keeps: versions, ephemeral and sequential nodes, sessions, one-shot watches. Free of
-I/O and of clocks: every change is one transaction with a zxid of its own, and the same transactions bring the same
-tree."""
+"""The store's tree of nodes: versions, ephemeral and sequential nodes, sessions, one-shot watches. Free of I/O and of
+clocks: each change is one transaction with its own zxid, and replaying the same transactions builds the same tree."""
 
 from __future__ import annotations
 
@@ -38,25 +37,27 @@
     Sync,
 )
 
-MOST_DATA = 1 << 19  # bytes of one node
-MOST_NODES = 1_000_000
-MOST_WATCHES = 100_000  # of one session
+MAX_NODE_BYTES = 1 << 19
+MAX_NODES = 1_000_000
+MAX_WATCHES = 100_000  # of one session
 
 
-class Refusal(Exception):
-    """A request that cannot be done; `code` is the protocol's."""
+class RequestError(Exception):
+    """A request cannot be executed; `code` is the protocol's error code."""
 
     def __init__(self, code: int) -> None:
+        """`code`: one of the error codes in `jute.py`."""
         super().__init__(code)
         self.code = code
 
 
 class Node:
-    """One node; `owner`: the session that it ends with, 0 for none."""
+    """One node. `owner`: the session that an ephemeral node is deleted with, 0 for a permanent node."""
 
     __slots__ = ("data", "czxid", "mzxid", "ctime", "mtime", "version", "cversion", "owner", "children", "pzxid")
 
     def __init__(self, data: bytes, zxid: int, time: int, owner: int) -> None:
+        """`zxid`, `time`: of the creating transaction; `time` in milliseconds."""
         self.data, self.czxid, self.mzxid, self.pzxid = data, zxid, zxid, zxid
         self.ctime = self.mtime = time
         self.version = self.cversion = 0
@@ -65,6 +66,7 @@
 
     @property
     def stat(self) -> Stat:
+        """The metadata as sent to clients."""
         return Stat(
             self.czxid,
             self.mzxid,
@@ -81,134 +83,140 @@
 
 
 class Session:
-    """One session: its time-out in milliseconds, its nodes, and what its connection watches."""
+    """One session: its time-out in milliseconds, its ephemeral nodes, and the paths that its connection watches."""
 
     __slots__ = ("timeout", "password", "nodes", "data", "children")
 
     def __init__(self, timeout: int, password: bytes) -> None:
+        """`password`: a client must send it to resume the session."""
         self.timeout, self.password = timeout, password
         self.nodes: dict[str, None] = {}
-        self.data: set[str] = set()  # paths whose node, or its coming, is watched
+        self.data: set[str] = set()  # paths watched for creation, change and deletion
         self.children: set[str] = set()
 
 
-class Done(NamedTuple):
-    """What came of a request. `wrote`: it was a transaction, and belongs in the log."""
+class Outcome(NamedTuple):
+    """Outcome of a request. `is_transaction`: it changed the tree and has to be logged."""
 
     error: int
     result: object
-    events: list[tuple[int, Event]]  # to which session
-    wrote: bool
+    events: list[tuple[int, Event]]  # by receiving session
+    is_transaction: bool
 
 
 def parent_of(path: str) -> str:
+    """The path of the parent; the root is its own parent."""
     return path.rpartition("/")[0] or "/"
 
 
 def check_path(path: str) -> None:
-    """Refusal where a path is none: absolute, no empty, "." or ".." part, no NUL."""
+    """Raises RequestError unless the path is absolute, without empty, "." or ".." parts and without NUL."""
     if path == "/":
         return
     parts = path.split("/")
     if parts[0] or len(parts) < 2 or any(part in ("", ".", "..") for part in parts[1:]) or "\0" in path:
-        raise Refusal(BAD_ARGUMENTS)
+        raise RequestError(BAD_ARGUMENTS)
 
 
 class Tree:
+    """Nodes by path and sessions by number. Watch events are returned to the caller, which delivers them."""
+
     def __init__(self) -> None:
+        """Starts with only the root node."""
         self.zxid = 0
         self.nodes: dict[str, Node] = {"/": Node(b"", 0, 0, 0)}
         self.sessions: dict[int, Session] = {}
-        self.watching: dict[tuple[str, str], dict[int, None]] = {}  # by ("data" or "children", path): sessions
+        self.watches: dict[tuple[str, str], dict[int, None]] = {}  # by ("data" or "children", path): sessions
 
     # ---- sessions ---------------------------------------------------------------------------------------------
 
-    def open(self, session: int, timeout: int, password: bytes) -> None:
+    def open_session(self, session: int, timeout: int, password: bytes) -> None:
+        """Opens a session, as a transaction of its own. `timeout` in milliseconds."""
         self.zxid += 1
         self.sessions[session] = Session(timeout, password)
 
-    def end(self, session: int) -> list[tuple[int, Event]]:
-        """A session is closed or has expired: its nodes go with it, in one transaction."""
-        ended = self.sessions.get(session)
-        if ended is None:
+    def end_session(self, session: int) -> list[tuple[int, Event]]:
+        """Ends a closed or expired session and deletes its ephemeral nodes, in one transaction."""
+        session_state = self.sessions.get(session)
+        if session_state is None:
             return []
         self.zxid += 1
         self.forget_watches(session)
         del self.sessions[session]
         events: list[tuple[int, Event]] = []
-        for path in list(ended.nodes):
-            events += self._remove(path)
+        for path in list(session_state.nodes):
+            events += self._delete_node(path)
         return events
 
     def forget_watches(self, session: int) -> None:
-        """Its connection is lost: watches are of a connection."""
-        held = self.sessions.get(session)
-        if held is None:
+        """Removes the watches of a session whose connection is lost: watches belong to the connection."""
+        session_state = self.sessions.get(session)
+        if session_state is None:
             return
-        for kind, paths in (("data", held.data), ("children", held.children)):
+        for kind, paths in (("data", session_state.data), ("children", session_state.children)):
             for path in paths:
                 self._unwatch(kind, path, session)
             paths.clear()
 
     def _unwatch(self, kind: str, path: str, session: int) -> None:
-        watchers = self.watching.get((kind, path))
+        watchers = self.watches.get((kind, path))
         if watchers is not None:
             watchers.pop(session, None)
             if not watchers:
-                del self.watching[kind, path]
+                del self.watches[kind, path]
 
     def _watch(self, kind: str, path: str, session: int) -> None:
-        held = self.sessions[session]
-        paths = held.data if kind == "data" else held.children
-        if path not in paths and len(held.data) + len(held.children) >= MOST_WATCHES:
-            raise Refusal(BAD_ARGUMENTS)
+        session_state = self.sessions[session]
+        paths = session_state.data if kind == "data" else session_state.children
+        if path not in paths and len(session_state.data) + len(session_state.children) >= MAX_WATCHES:
+            raise RequestError(BAD_ARGUMENTS)
         paths.add(path)
-        self.watching.setdefault((kind, path), {})[session] = None
+        self.watches.setdefault((kind, path), {})[session] = None
 
-    def _fire(self, event: Event, *kinds: str) -> list[tuple[int, Event]]:
-        """Who watches for it is told once, whichever of its watches it was, and watches no more."""
-        told: dict[int, None] = {}
+    def _trigger(self, event: Event, *kinds: str) -> list[tuple[int, Event]]:
+        """Triggers and removes the watches on the event's path. Each session gets one event, whichever matched."""
+        notified: dict[int, None] = {}
         for kind in kinds:
-            for session in self.watching.pop((kind, event.path), ()):
-                held = self.sessions[session]
-                (held.data if kind == "data" else held.children).discard(event.path)
-                told[session] = None
-        return [(session, event) for session in told]
+            for session in self.watches.pop((kind, event.path), ()):
+                session_state = self.sessions[session]
+                (session_state.data if kind == "data" else session_state.children).discard(event.path)
+                notified[session] = None
+        return [(session, event) for session in notified]
 
     # ---- requests ---------------------------------------------------------------------------------------------
 
-    def do(self, session: int, request: Request, time: int) -> Done:
-        """One request of a session, at a time in milliseconds. A refused one changes nothing."""
+    def execute(self, session: int, request: Request, time: int) -> Outcome:
+        """Executes a request of a session; `time` in milliseconds. A refused request changes nothing."""
         try:
             if isinstance(request, Multi):
-                return self._multi(session, request, time)
+                return self._execute_multi(session, request, time)
             if isinstance(request, Create | Delete | SetData):
-                self._may(request)
+                self._check_write(request)
                 self.zxid += 1
-                result, events = self._write(session, request, time)
-                return Done(OK, result, events, True)
+                result, events = self._execute_write(session, request, time)
+                return Outcome(OK, result, events, True)
             if isinstance(request, SetWatches):
-                return Done(OK, None, self._set_watches(session, request), False)
-            return Done(OK, self._read(session, request), [], False)
-        except Refusal as refusal:
-            return Done(refusal.code, None, [], False)
+                return Outcome(OK, None, self._set_watches(session, request), False)
+            return Outcome(OK, self._execute_read(session, request), [], False)
+        except RequestError as error:
+            return Outcome(error.code, None, [], False)
 
-    def _node(self, path: str) -> Node:
+    def _get_node(self, path: str) -> Node:
         node = self.nodes.get(path)
         if node is None:
-            raise Refusal(NO_NODE)
+            raise RequestError(NO_NODE)
         return node
 
-    def _read(self, session: int, request: Request) -> object:
+    def _execute_read(self, session: int, request: Request) -> object:
         check_path(request.path)
         if isinstance(request, Sync):
             return request.path
         if isinstance(request, Check):
-            self._may(request)
+            self._check_write(request)
             return None
         if isinstance(request, Exists) and request.watch:
-            self._watch("data", request.path, session)  # for its coming, too
-        node = self._node(request.path)
+            self._watch("data", request.path, session)  # also for its creation
+        node = self._get_node(request.path)
         if isinstance(request, Exists):
             return node.stat
         if isinstance(request, GetData):
@@ -219,131 +227,132 @@
             if request.watch:
                 self._watch("children", request.path, session)
             return sorted(node.children), node.stat if request.stat else None
-        raise Refusal(BAD_ARGUMENTS)
+        raise RequestError(BAD_ARGUMENTS)
 
-    def _name(self, request: Create) -> str:
-        """The path that a create makes: a sequential one has the count of its parent's changes behind it."""
+    def _created_path(self, request: Create) -> str:
+        """The path that a create makes: for a sequential node the parent's `cversion` is appended."""
         if not request.flags & SEQUENTIAL:
             return request.path
-        parent = self._node(parent_of(request.path))
+        parent = self._get_node(parent_of(request.path))
         return f"{request.path}{parent.cversion:010d}"
 
-    def _may(self, request: Request) -> None:
-        """Refusal where a write cannot be done as things stand."""
+    def _check_write(self, request: Request) -> None:
+        """Raises RequestError if a write cannot be executed on the present tree."""
         if isinstance(request, Create) and request.flags & SEQUENTIAL and request.path.endswith("/"):
             check_path(request.path + "0")
         else:
             check_path(request.path)
         if isinstance(request, Create):
-            if len(request.data) > MOST_DATA or request.flags & ~(EPHEMERAL | SEQUENTIAL):
-                raise Refusal(BAD_ARGUMENTS)
-            if len(self.nodes) >= MOST_NODES:
-                raise Refusal(BAD_ARGUMENTS)
-            parent = self._node(parent_of(request.path))
-            if self._name(request) in self.nodes:
-                raise Refusal(NODE_EXISTS)
+            if len(request.data) > MAX_NODE_BYTES or request.flags & ~(EPHEMERAL | SEQUENTIAL):
+                raise RequestError(BAD_ARGUMENTS)
+            if len(self.nodes) >= MAX_NODES:
+                raise RequestError(BAD_ARGUMENTS)
+            parent = self._get_node(parent_of(request.path))
+            if self._created_path(request) in self.nodes:
+                raise RequestError(NODE_EXISTS)
             if parent.owner:
-                raise Refusal(EPHEMERAL_PARENT)
+                raise RequestError(EPHEMERAL_PARENT)
             return
-        node = self._node(request.path)
+        node = self._get_node(request.path)
         if request.version not in (ANY_VERSION, node.version):
-            raise Refusal(BAD_VERSION)
+            raise RequestError(BAD_VERSION)
         if isinstance(request, Delete):
             if request.path == "/":
-                raise Refusal(BAD_ARGUMENTS)
+                raise RequestError(BAD_ARGUMENTS)
             if node.children:
-                raise Refusal(NOT_EMPTY)
-        if isinstance(request, SetData) and len(request.data) > MOST_DATA:
-            raise Refusal(BAD_ARGUMENTS)
+                raise RequestError(NOT_EMPTY)
+        if isinstance(request, SetData) and len(request.data) > MAX_NODE_BYTES:
+            raise RequestError(BAD_ARGUMENTS)
 
-    def _write(self, session: int, request: Request, time: int) -> tuple[object, list[tuple[int, Event]]]:
-        """Does what `_may` has allowed, under the present zxid."""
+    def _execute_write(self, session: int, request: Request, time: int) -> tuple[object, list[tuple[int, Event]]]:
+        """Executes a write that `_check_write` has accepted, under the present zxid."""
         if isinstance(request, Check):
             return None, []
         if isinstance(request, Delete):
-            return None, self._remove(request.path)
+            return None, self._delete_node(request.path)
         if isinstance(request, SetData):
             node = self.nodes[request.path]
             node.data, node.mzxid, node.mtime = request.data, self.zxid, time
             node.version += 1
-            return node.stat, self._fire(Event(CHANGED, CONNECTED, request.path), "data")
-        path = self._name(request)
+            return node.stat, self._trigger(Event(CHANGED, CONNECTED, request.path), "data")
+        path = self._created_path(request)
         owner = session if request.flags & EPHEMERAL else 0
         node = self.nodes[path] = Node(request.data, self.zxid, time, owner)
         if owner:
             self.sessions[session].nodes[path] = None
-        self._changed(path, True)
-        events = self._fire(Event(CREATED, CONNECTED, path), "data")
-        return (path, node.stat), events + self._fire(Event(CHILDREN, CONNECTED, parent_of(path)), "children")
+        self._update_parent(path, True)
+        events = self._trigger(Event(CREATED, CONNECTED, path), "data")
+        return (path, node.stat), events + self._trigger(Event(CHILDREN, CONNECTED, parent_of(path)), "children")
 
-    def _changed(self, path: str, there: bool) -> None:
+    def _update_parent(self, path: str, exists: bool) -> None:
         parent = self.nodes[parent_of(path)]
         name = path.rpartition("/")[2]
-        if there:
+        if exists:
             parent.children[name] = None
         else:
             del parent.children[name]
         parent.cversion += 1
         parent.pzxid = self.zxid
 
-    def _remove(self, path: str) -> list[tuple[int, Event]]:
+    def _delete_node(self, path: str) -> list[tuple[int, Event]]:
         node = self.nodes.pop(path)
         if node.owner in self.sessions:
             del self.sessions[node.owner].nodes[path]
-        self._changed(path, False)
-        events = self._fire(Event(DELETED, CONNECTED, path), "data", "children")
-        return events + self._fire(Event(CHILDREN, CONNECTED, parent_of(path)), "children")
-
-    def _multi(self, session: int, request: Multi, time: int) -> Done:
-        """All parts or none. What went before in the same transaction counts for what follows: they are done one by
-        one on what can be taken back."""
-        undo = _Undo(self)
+        self._update_parent(path, False)
+        events = self._trigger(Event(DELETED, CONNECTED, path), "data", "children")
+        return events + self._trigger(Event(CHILDREN, CONNECTED, parent_of(path)), "children")
+
+    def _execute_multi(self, session: int, request: Multi, time: int) -> Outcome:
+        """Executes all parts or none. Each part sees the effects of the parts before it: they are executed one by one
+        and rolled back if one is refused."""
+        rollback = _Rollback(self)
         self.zxid += 1
         results, events = [], []
         for k, part in enumerate(request.parts):
             try:
-                self._may(part)
-                undo.keep(part, self)
-                result, told = self._write(session, part, time)
+                self._check_write(part)
+                rollback.save(part, self)
+                result, part_events = self._execute_write(session, part, time)
                 results.append(result)
-                events.append(told)
-            except Refusal as refusal:
-                undo.back(self)
-                errors = [OK] * k + [refusal.code] + [RUNTIME_INCONSISTENCY] * (len(request.parts) - k - 1)
-                return Done(refusal.code, errors, [], False)
-        return Done(OK, results, [each for told in events for each in told], True)
+                events.append(part_events)
+            except RequestError as error:
+                rollback.restore(self)
+                errors = [OK] * k + [error.code] + [RUNTIME_INCONSISTENCY] * (len(request.parts) - k - 1)
+                return Outcome(error.code, errors, [], False)
+        return Outcome(OK, results, [each for part_events in events for each in part_events], True)
 
     def _set_watches(self, session: int, request: SetWatches) -> list[tuple[int, Event]]:
-        """What changed since the newest change that the client has seen is told at once, the rest is watched."""
+        """Sets watches again after a reconnect. For a path that changed since the newest change that the client has
+        seen it returns the event instead."""
         events = []
         for paths, kind in ((request.data, "data"), (request.exist, "exist"), (request.children, "children")):
             for path in paths:
                 node = self.nodes.get(path)
                 if kind == "exist":
-                    happened = CREATED if node is not None else 0
+                    event_type = CREATED if node is not None else 0
                 elif node is None:
-                    happened = DELETED
+                    event_type = DELETED
                 elif kind == "data":
-                    happened = CHANGED if node.mzxid > request.zxid else 0
+                    event_type = CHANGED if node.mzxid > request.zxid else 0
                 else:
-                    happened = CHILDREN if node.pzxid > request.zxid else 0
-                if happened:
-                    events.append((session, Event(happened, CONNECTED, path)))
+                    event_type = CHILDREN if node.pzxid > request.zxid else 0
+                if event_type:
+                    events.append((session, Event(event_type, CONNECTED, path)))
                 else:
                     self._watch("children" if kind == "children" else "data", path, session)
         return events
 
 
-class _Undo:
-    """What a multi needs to be taken back: the nodes that it touched and the watches that it fired, as they were."""
+class _Rollback:
+    """Rollback of a multi: the previous state of the nodes that it touches and of the watches that it triggers."""
 
     def __init__(self, tree: Tree) -> None:
         self.zxid = tree.zxid
         self.nodes: dict[str, tuple | None] = {}
-        self.watching: dict[tuple[str, str], dict[int, None]] = {}
+        self.watches: dict[tuple[str, str], dict[int, None]] = {}
 
-    def keep(self, part: Request, tree: Tree) -> None:
-        path = tree._name(part) if isinstance(part, Create) else part.path
+    def save(self, part: Request, tree: Tree) -> None:
+        path = tree._created_path(part) if isinstance(part, Create) else part.path
         for touched in (path, parent_of(path)):
             if touched not in self.nodes:
                 node = tree.nodes.get(touched)
@@ -352,15 +361,15 @@
                     state = node, {name: getattr(node, name) for name in Node.__slots__}, dict(node.children)
                 self.nodes[touched] = state
             for kind in ("data", "children"):
-                if (kind, touched) not in self.watching:
-                    self.watching[kind, touched] = dict(tree.watching.get((kind, touched), {}))
+                if (kind, touched) not in self.watches:
+                    self.watches[kind, touched] = dict(tree.watches.get((kind, touched), {}))
 
-    def back(self, tree: Tree) -> None:
+    def restore(self, tree: Tree) -> None:
         tree.zxid = self.zxid
         for path, state in self.nodes.items():
-            now = tree.nodes.pop(path, None)
-            if now is not None and now.owner in tree.sessions:
-                tree.sessions[now.owner].nodes.pop(path, None)
+            current = tree.nodes.pop(path, None)
+            if current is not None and current.owner in tree.sessions:
+                tree.sessions[current.owner].nodes.pop(path, None)
             if state is None:
                 continue
             node, fields, children = state
@@ -370,9 +379,9 @@
             tree.nodes[path] = node
             if node.owner in tree.sessions:
                 tree.sessions[node.owner].nodes[path] = None
-        for (kind, path), sessions in self.watching.items():
+        for (kind, path), sessions in self.watches.items():
             if sessions:
-                tree.watching[kind, path] = sessions
+                tree.watches[kind, path] = sessions
             for session in sessions:
-                held = tree.sessions[session]
-                (held.data if kind == "data" else held.children).add(path)
+                session_state = tree.sessions[session]
+                (session_state.data if kind == "data" else session_state.children).add(path)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -58,7 +58,7 @@
     Stat,
     Sync,
 )
-from driftshed.roster.log import Damaged, Log, dump, record
+from driftshed.roster.log import CorruptLog, Log, encode_record, encode_tree
 from driftshed.roster.membership import Announced, Membership
 from driftshed.roster.nodes import write_node
 from driftshed.roster.serve import StoreServer
@@ -178,100 +178,104 @@
     assert jute.read_connect_response(jute.write_connect_response(response)[4:]) == response
 
 
-# ---- the tree --------------------------------------------------------------------------------------------------
+# ---- tree --------------------------------------------------------------------------------------------------
 
 
 def tree_with(*sessions: int) -> Tree:
     tree = Tree()
     for session in sessions or (1,):
-        tree.open(session, 4000, b"p")
+        tree.open_session(session, 4000, b"p")
     return tree
 
 
 def test_creates_deletes_and_versions():
     tree = tree_with()
-    assert tree.do(1, Create("/a", b"x"), 5).result[0] == "/a"
-    assert tree.do(1, Create("/a", b"x"), 5).error == NODE_EXISTS
-    assert tree.do(1, Create("/b/c", b"x"), 5).error == NO_NODE
-    assert tree.do(1, Create("/a/c", b""), 6).error == OK
-    assert tree.do(1, Delete("/a"), 6).error == NOT_EMPTY
-    assert tree.do(1, SetData("/a", b"yz", 1), 7).error == BAD_VERSION
-    assert tree.do(1, SetData("/a", b"yz", 0), 7).result.version == 1
-    data, stat = tree.do(1, GetData("/a"), 8).result
+    assert tree.execute(1, Create("/a", b"x"), 5).result[0] == "/a"
+    assert tree.execute(1, Create("/a", b"x"), 5).error == NODE_EXISTS
+    assert tree.execute(1, Create("/b/c", b"x"), 5).error == NO_NODE
+    assert tree.execute(1, Create("/a/c", b""), 6).error == OK
+    assert tree.execute(1, Delete("/a"), 6).error == NOT_EMPTY
+    assert tree.execute(1, SetData("/a", b"yz", 1), 7).error == BAD_VERSION
+    assert tree.execute(1, SetData("/a", b"yz", 0), 7).result.version == 1
+    data, stat = tree.execute(1, GetData("/a"), 8).result
     assert data == b"yz"
     assert (stat.ctime, stat.mtime, stat.version, stat.cversion, stat.data_length, stat.children) == (5, 7, 1, 1, 2, 1)
-    assert tree.do(1, Delete("/a/c", 0), 8).error == OK and tree.do(1, Delete("/a", 1), 8).error == OK
-    assert tree.do(1, GetData("/a"), 8).error == NO_NODE
+    assert tree.execute(1, Delete("/a/c", 0), 8).error == OK and tree.execute(1, Delete("/a", 1), 8).error == OK
+    assert tree.execute(1, GetData("/a"), 8).error == NO_NODE
     for path in ("", "a", "//", "/a/", "/./a", "/a/../b", "/a\0"):
-        assert tree.do(1, Create(path, b""), 9).error == BAD_ARGUMENTS, path
-    assert tree.do(1, Delete("/"), 9).error == BAD_ARGUMENTS
+        assert tree.execute(1, Create(path, b""), 9).error == BAD_ARGUMENTS, path
+    assert tree.execute(1, Delete("/"), 9).error == BAD_ARGUMENTS
 
 
-def test_sequential_names_never_come_twice():
+def test_sequential_names_are_never_repeated():
     tree, names = tree_with(), []
-    tree.do(1, Create("/q", b""), 0)
+    tree.execute(1, Create("/q", b""), 0)
     for k in range(5):
-        names.append(tree.do(1, Create("/q/n-", b"", SEQUENTIAL), 0).result[0])
+        names.append(tree.execute(1, Create("/q/n-", b"", SEQUENTIAL), 0).result[0])
         if k % 2:
-            tree.do(1, Delete(names[-1]), 0)
+            tree.execute(1, Delete(names[-1]), 0)
     assert names[0] == "/q/n-0000000000" and len(set(names)) == 5 and names == sorted(names)
 
 
 def test_ephemeral_nodes_end_with_their_session_and_have_no_children():
     tree = tree_with(1, 2)
-    tree.do(1, Create("/s", b""), 0)
-    tree.do(2, Create("/s/x", b"", EPHEMERAL), 0)
-    assert tree.do(1, Create("/s/x/y", b""), 0).error == EPHEMERAL_PARENT
-    tree.do(1, GetChildren("/s", True), 0)
-    tree.do(1, Exists("/s/x", True), 0)
+    tree.execute(1, Create("/s", b""), 0)
+    tree.execute(2, Create("/s/x", b"", EPHEMERAL), 0)
+    assert tree.execute(1, Create("/s/x/y", b""), 0).error == EPHEMERAL_PARENT
+    tree.execute(1, GetChildren("/s", True), 0)
+    tree.execute(1, Exists("/s/x", True), 0)
     before = tree.zxid
-    events = tree.end(2)
+    events = tree.end_session(2)
     assert tree.zxid == before + 1 and "/s/x" not in tree.nodes
     assert events == [(1, Event(DELETED, CONNECTED, "/s/x")), (1, Event(CHILDREN, CONNECTED, "/s"))]
-    assert tree.end(2) == []
+    assert tree.end_session(2) == []
 
 
-def test_watches_tell_once_and_a_coming_node_is_watched_for():
+def test_watches_trigger_once_and_cover_the_creation_of_a_node():
     tree = tree_with(1, 2)
-    assert tree.do(1, Exists("/a", True), 0).error == NO_NODE
-    assert tree.do(1, GetData("/a", True), 0).error == NO_NODE  # sets none
-    assert tree.do(2, Create("/a", b""), 0).events == [(1, Event(CREATED, CONNECTED, "/a"))]
-    assert tree.do(2, SetData("/a", b"1"), 0).events == []
-    tree.do(1, GetData("/a", True), 0)
-    tree.do(1, GetChildren("/a", True), 0)
-    assert tree.do(2, SetData("/a", b"2"), 0).events == [(1, Event(CHANGED, CONNECTED, "/a"))]
-    tree.do(1, GetData("/a", True), 0)
-    assert tree.do(2, Delete("/a"), 0).events == [(1, Event(DELETED, CONNECTED, "/a"))]  # one word for both
-    assert not tree.watching
-
-
-def test_watches_set_again_tell_what_was_missed():
+    assert tree.execute(1, Exists("/a", True), 0).error == NO_NODE
+    assert tree.execute(1, GetData("/a", True), 0).error == NO_NODE  # sets no watch
+    assert tree.execute(2, Create("/a", b""), 0).events == [(1, Event(CREATED, CONNECTED, "/a"))]
+    assert tree.execute(2, SetData("/a", b"1"), 0).events == []
+    tree.execute(1, GetData("/a", True), 0)
+    tree.execute(1, GetChildren("/a", True), 0)
+    assert tree.execute(2, SetData("/a", b"2"), 0).events == [(1, Event(CHANGED, CONNECTED, "/a"))]
+    tree.execute(1, GetData("/a", True), 0)
+    assert tree.execute(2, Delete("/a"), 0).events == [
+        (1, Event(DELETED, CONNECTED, "/a"))
+    ]  # one event for both watches
+    assert not tree.watches
+
+
+def test_watches_set_again_report_missed_changes():
     tree = tree_with(1, 2)
     for path in ("/a", "/b", "/c"):
-        tree.do(2, Create(path, b""), 0)
+        tree.execute(2, Create(path, b""), 0)
     seen = tree.zxid
-    tree.do(2, SetData("/a", b"1"), 0)
-    tree.do(2, Create("/b/x", b""), 0)
-    tree.do(2, Delete("/c"), 0)
-    tree.do(2, Create("/d", b""), 0)
+    tree.execute(2, SetData("/a", b"1"), 0)
+    tree.execute(2, Create("/b/x", b""), 0)
+    tree.execute(2, Delete("/c"), 0)
+    tree.execute(2, Create("/d", b""), 0)
     again = SetWatches(seen, ("/a", "/b", "/c"), ("/d", "/e"), ("/a", "/b", "/c"))
-    told = [(event.kind, event.path) for _, event in tree.do(1, again, 0).events]
-    assert told == [(CHANGED, "/a"), (DELETED, "/c"), (CREATED, "/d"), (CHILDREN, "/b"), (DELETED, "/c")]
-    assert set(tree.watching) == {("data", "/b"), ("data", "/e"), ("children", "/a")}
+    events = [(event.kind, event.path) for _, event in tree.execute(1, again, 0).events]
+    assert events == [(CHANGED, "/a"), (DELETED, "/c"), (CREATED, "/d"), (CHILDREN, "/b"), (DELETED, "/c")]
+    assert set(tree.watches) == {("data", "/b"), ("data", "/e"), ("children", "/a")}
     tree.forget_watches(1)
-    assert not tree.watching
+    assert not tree.watches
 
 
-def test_a_multi_takes_effect_whole_or_not_at_all():
+def test_a_multi_is_applied_completely_or_not_at_all():
     tree = tree_with(1, 2)
-    tree.do(1, Create("/a", b"0"), 0)
-    tree.do(2, GetData("/a", True), 0)
+    tree.execute(1, Create("/a", b"0"), 0)
+    tree.execute(2, GetData("/a", True), 0)
     before, stat = tree.zxid, tree.nodes["/a"].stat
-    done = tree.do(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Check("/a", 9), Delete("/a/x"))), 0)
-    assert done.result == [OK, OK, BAD_VERSION, RUNTIME_INCONSISTENCY] and not done.events and not done.wrote
+    done = tree.execute(
+        1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Check("/a", 9), Delete("/a/x"))), 0
+    )
+    assert done.result == [OK, OK, BAD_VERSION, RUNTIME_INCONSISTENCY] and not done.events and not done.is_transaction
     assert (tree.zxid, tree.nodes["/a"].stat, tree.sessions[1].nodes) == (before, stat, {})
-    assert tree.sessions[2].data == {"/a"} and tree.watching == {("data", "/a"): {2: None}}
-    done = tree.do(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Delete("/a/x"))), 0)
+    assert tree.sessions[2].data == {"/a"} and tree.watches == {("data", "/a"): {2: None}}
+    done = tree.execute(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Delete("/a/x"))), 0)
     assert done.error == OK and tree.zxid == before + 1 and done.events == [(2, Event(CHANGED, CONNECTED, "/a"))]
     assert jute.read_result(
         Multi((Create("/a/x", b""), Check("/a", 1))),
@@ -279,8 +283,8 @@
     ) == [("/a/x", None), None]
 
 
-class Plain:
-    """The tree as plainly as can be: one dict of path to (data, version, owner)."""
+class ReferenceTree:
+    """Reference model of the tree: one dict of path to (data, version, owner)."""
 
     def __init__(self) -> None:
         self.nodes = {"/": (b"", 0, 0)}
@@ -317,69 +321,69 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_histories_go_as_the_plain_model_has_them_and_no_watch_is_missed(seed):
-    chance, tree, plain = Random(seed), tree_with(1, 2, 3), Plain()
+def test_random_histories_match_the_reference_model_and_no_watch_is_missed(seed):
+    random, tree, reference = Random(seed), tree_with(1, 2, 3), ReferenceTree()
     paths = [f"/{a}{b}" for a in "ab" for b in ("", "/x", "/y", "/x/z")]
-    watched: dict[tuple, object] = {}  # by (session, kind, path): what was seen
+    watched: dict[tuple, object] = {}  # by (session, kind, path): the state last read
 
     def state(kind, path):
-        return plain.nodes.get(path) if kind == "data" else (path in plain.nodes, plain.children(path))
+        return reference.nodes.get(path) if kind == "data" else (path in reference.nodes, reference.children(path))
 
-    def told(events):
+    def remove_triggered(events):
         for session, event in events:
             for kind in ("data", "children"):
                 if event.kind == DELETED or (event.kind == CHILDREN) == (kind == "children"):
                     watched.pop((session, kind, event.path), None)
 
-    def none_missed():
-        """Whoever still watches has seen what is there."""
+    def check_none_missed():
+        """A watch that has not triggered means that the state is as last read."""
         for (session, kind, path), seen in watched.items():
             if session in tree.sessions:
                 assert state(kind, path) == seen, (session, kind, path)
 
     for step in range(400):
-        session, path, luck = chance.choice([1, 2, 3]), chance.choice(paths), chance.random()
+        session, path, draw = random.choice([1, 2, 3]), random.choice(paths), random.random()
         if session not in tree.sessions:
-            tree.open(session, 4000, b"p")
-        if luck < 0.3:
-            request = Create(path, b"%d" % step, EPHEMERAL if chance.random() < 0.4 else 0)
-        elif luck < 0.5:
-            request = Delete(path, chance.choice([ANY_VERSION, 0, 1]))
-        elif luck < 0.65:
-            request = SetData(path, b"%d" % step, chance.choice([ANY_VERSION, 0, 1]))
-        elif luck < 0.75:
-            parts = [Create(path, b"m"), SetData(chance.choice(paths), b"n"), Delete(chance.choice(paths))]
-            chance.shuffle(parts)
-            copy = Plain()
-            copy.nodes = dict(plain.nodes)
+            tree.open_session(session, 4000, b"p")
+        if draw < 0.3:
+            request = Create(path, b"%d" % step, EPHEMERAL if random.random() < 0.4 else 0)
+        elif draw < 0.5:
+            request = Delete(path, random.choice([ANY_VERSION, 0, 1]))
+        elif draw < 0.65:
+            request = SetData(path, b"%d" % step, random.choice([ANY_VERSION, 0, 1]))
+        elif draw < 0.75:
+            parts = [Create(path, b"m"), SetData(random.choice(paths), b"n"), Delete(random.choice(paths))]
+            random.shuffle(parts)
+            copy = ReferenceTree()
+            copy.nodes = dict(reference.nodes)
             codes = [copy.do(session, part) for part in parts]
             first = next((code for code in codes if code), OK)
-            done = tree.do(session, Multi(tuple(parts)), step)
+            done = tree.execute(session, Multi(tuple(parts)), step)
             assert done.error == first
             if not first:
-                plain.nodes = copy.nodes
-            told(done.events)
-            none_missed()
+                reference.nodes = copy.nodes
+            remove_triggered(done.events)
+            check_none_missed()
             continue
-        elif luck < 0.95:
-            kind = chance.choice(["data", "children"])
-            done = tree.do(session, (Exists if kind == "data" else GetChildren)(path, True), step)
-            assert (done.error == OK) == (path in plain.nodes)
+        elif draw < 0.95:
+            kind = random.choice(["data", "children"])
+            done = tree.execute(session, (Exists if kind == "data" else GetChildren)(path, True), step)
+            assert (done.error == OK) == (path in reference.nodes)
             if kind == "data" or done.error == OK:
                 watched[session, kind, path] = state(kind, path)
             continue
         else:
-            told(tree.end(session))
-            plain.nodes = {p: node for p, node in plain.nodes.items() if node[2] != session}
+            remove_triggered(tree.end_session(session))
+            reference.nodes = {p: node for p, node in reference.nodes.items() if node[2] != session}
             watched = {key: seen for key, seen in watched.items() if key[0] != session}
-            none_missed()
+            check_none_missed()
             continue
-        done = tree.do(session, request, step)
-        assert done.error == plain.do(session, request)
-        told(done.events)
-        none_missed()
-    assert {path: (n.data, n.version, n.owner) for path, n in tree.nodes.items()} == plain.nodes
-    assert all(sorted(n.children) == plain.children(path) for path, n in tree.nodes.items())
+        done = tree.execute(session, request, step)
+        assert done.error == reference.do(session, request)
+        remove_triggered(done.events)
+        check_none_missed()
+    assert {path: (n.data, n.version, n.owner) for path, n in tree.nodes.items()} == reference.nodes
+    assert all(sorted(n.children) == reference.children(path) for path, n in tree.nodes.items())
 
 
 def test_stats_decode_as_encoded():
@@ -387,231 +391,238 @@
     assert Reader(jute.stat(value)).stat() == value
 
 
-# ---- the log ---------------------------------------------------------------------------------------------------
+# ---- log ---------------------------------------------------------------------------------------------------
 
 
-def played(folder, chance: Random, steps: int, every: int = 40) -> Log:
-    """A log with a random history in it, all of it synced."""
+def log_with_history(folder, random: Random, steps: int, every: int = 40) -> Log:
+    """A log with a random history, all of it synced."""
     log = Log(folder, every)
     tree = log.tree
     for step in range(steps):
-        session, luck = chance.choice([1, 2, 3]), chance.random()
+        session, draw = random.choice([1, 2, 3]), random.random()
         if session not in tree.sessions:
             log.add("open", session, step, msgspec.msgpack.encode((4000, b"p")))
-            tree.open(session, 4000, b"p")
-        elif luck < 0.05:
+            tree.open_session(session, 4000, b"p")
+        elif draw < 0.05:
             log.add("end", session, step, b"")
-            tree.end(session)
+            tree.end_session(session)
         else:
-            path = f"/{chance.choice('abc')}" + chance.choice(["", "/x", "/y"])
-            request = chance.choice(
+            path = f"/{random.choice('abc')}" + random.choice(["", "/x", "/y"])
+            request = random.choice(
                 [
-                    Create(path, b"%d" % step, chance.choice([0, 1, 2])),
+                    Create(path, b"%d" % step, random.choice([0, 1, 2])),
                     SetData(path, b"s"),
                     Delete(path),
                     Multi((Create(path, b""), Delete(path))),
                 ]
             )
-            if tree.do(session, request, step).wrote:
+            if tree.execute(session, request, step).is_transaction:
                 log.add("do", session, step, jute.write_request(1, request)[4:])
         log.sync()
     return log
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_what_was_synced_is_there_after_a_crash_at_any_byte(tmp_path, seed):
-    chance = Random(seed)
-    log = played(tmp_path, chance, 150)
-    before = dump(log.tree)  # the file is not closed: as after SIGKILL
-    assert dump(Log(tmp_path, 40).tree) == before
+def test_synced_records_survive_a_crash_at_any_byte(tmp_path, seed):
+    random = Random(seed)
+    log = log_with_history(tmp_path, random, 150)
+    before = encode_tree(log.tree)  # the file is not closed: as after SIGKILL
+    assert encode_tree(Log(tmp_path, 40).tree) == before
     newest = max(tmp_path.glob("log-*"), key=lambda path: int(path.name[4:]))
     whole = newest.read_bytes()
-    torn = record("do", 1, 0, jute.write_request(1, Create("/torn", b""))[4:])
-    newest.write_bytes(whole + torn[: chance.randrange(1, 30)])
+    torn = encode_record("do", 1, 0, jute.write_request(1, Create("/torn", b""))[4:])
+    newest.write_bytes(whole + torn[: random.randrange(1, 30)])
     again = Log(tmp_path, 40)
-    assert dump(again.tree) == before and again.cut_off > 0
-    assert dump(Log(tmp_path, 40).tree) == before
+    assert encode_tree(again.tree) == before and again.truncated_bytes > 0
+    assert encode_tree(Log(tmp_path, 40).tree) == before
     (tmp_path / "snapshot-999999").write_bytes(b"half of a snapsh")
-    assert dump(Log(tmp_path, 40).tree) == before
+    assert encode_tree(Log(tmp_path, 40).tree) == before
 
 
-def test_damage_under_newer_logs_is_told(tmp_path):
-    played(tmp_path, Random(1), 60, every=10**6).close()
+def test_corruption_below_newer_logs_raises_an_error(tmp_path):
+    log_with_history(tmp_path, Random(1), 60, every=10**6).close()
     log = Log(tmp_path, 10**6)
-    log.tree.open(9, 4000, b"")
+    log.tree.open_session(9, 4000, b"")
     log.file.close()
     (old,) = tmp_path.glob("log-0")
     (tmp_path / f"log-{log.tree.zxid - 1}").touch()
     data = bytearray(old.read_bytes())
     data[len(data) // 2] ^= 1
     old.write_bytes(data)
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptLog):
         Log(tmp_path)
 
 
-def test_old_files_go_once_two_snapshots_hold_all(tmp_path):
-    log = played(tmp_path, Random(3), 400, every=20)
+def test_old_files_are_deleted_once_two_snapshots_cover_them(tmp_path):
+    log = log_with_history(tmp_path, Random(3), 400, every=20)
     assert len(list(tmp_path.glob("snapshot-*"))) == 2 and len(list(tmp_path.iterdir())) <= 6
-    assert dump(Log(tmp_path).tree) == dump(log.tree)
+    assert encode_tree(Log(tmp_path).tree) == encode_tree(log.tree)
 
 
-# ---- sessions, both sides --------------------------------------------------------------------------------------
+# ---- sessions, client and store --------------------------------------------------------------------------------------
 
 
 class Client:
-    """A client that follows one node and its children, and holds an ephemeral node of its own."""
+    """A client that watches one node and its children, and creates ephemeral nodes."""
 
     def __init__(self, number: int) -> None:
-        self.number, self.acked, self.seen, self.names, self.expiries = number, {}, None, None, 0
-        self.begin()
+        self.number, self.acknowledged, self.seen, self.names, self.expiries = number, {}, None, None, 0
+        self.start_session()
 
-    def begin(self) -> None:
-        self.session, self.line, self.sent = ClientSession(2.0), None, b""
-        self.session.on_event = self.event
+    def start_session(self) -> None:
+        self.session, self.line, self.unsent = ClientSession(2.0), None, b""
+        self.session.on_event = self.on_event
         self.mine, self.asks = False, 0
 
-    def event(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         if event.kind == CHILDREN:
-            self.look_children()
+            self.read_children()
         else:
-            self.look()
+            self.read_data()
 
     def ask(self, request, done):
-        self.session.ask(request, done, self.world.now)
+        self.session.ask(request, done, self.simulation.now)
 
-    def look(self) -> None:
-        def got(error, result):
+    def read_data(self) -> None:
+        def on_result(error, result):
             if error == OK:
                 self.seen = result[0]
             elif error == CONNECTION_LOSS:
-                self.look()
+                self.read_data()
 
-        self.ask(GetData("/s", True), got)
+        self.ask(GetData("/s", True), on_result)
 
-    def look_children(self) -> None:
-        def got(error, result):
+    def read_children(self) -> None:
+        def on_result(error, result):
             if error == OK:
                 self.names = result[0]
             elif error == CONNECTION_LOSS:
-                self.look_children()
+                self.read_children()
 
-        self.ask(GetChildren("/s", True), got)
+        self.ask(GetChildren("/s", True), on_result)
 
 
-class Between:
-    """Clients and a store, with cuts and restarts at any byte."""
+class Simulation:
+    """Clients and a store, with lost connections and restarts at any byte."""
 
     def __init__(self, folder, seed: int, clients: int = 3) -> None:
-        self.folder, self.chance, self.now, self.seed = folder, Random(seed), 100.0, seed
+        self.folder, self.random, self.now, self.seed = folder, Random(seed), 100.0, seed
         self.store = Store(Log(folder, 25), seed, self.now)
-        self.store.tree.open(1, 60000, b"")
+        self.store.tree.open_session(1, 60000, b"")
         self.store.log.add("open", 1, 0, msgspec.msgpack.encode((60000, b"")))
         request = Create("/s", b"0")
-        self.store.tree.do(1, request, 0)
+        self.store.tree.execute(1, request, 0)
         self.store.log.add("do", 1, 0, jute.write_request(1, request)[4:])
         self.store.commit()
         self.clients = [Client(k) for k in range(clients)]
         for client in self.clients:
-            client.world = self
-            client.look()
-            client.look_children()
+            client.simulation = self
+            client.read_data()
+            client.read_children()
 
-    def cut(self, client: Client) -> None:
+    def disconnect(self, client: Client) -> None:
         if client.line is not None:
-            self.store.lost(client.line)
+            self.store.connection_lost(client.line)
             client.line = None
             client.session.disconnected()
 
     def restart(self) -> None:
         for client in self.clients:
-            self.cut(client)
-        # What was not committed is lost with the process: only what is on disk counts.
+            self.disconnect(client)
+        # Uncommitted changes are lost with the process: only those on disk remain.
         self.store = Store(Log(self.folder, 25), self.seed + 1, self.now)
 
     def step(self, client: Client) -> None:
-        """Bytes pass, some of what waits or all of it."""
+        """Transfers some or all of the pending bytes in both directions."""
         session = client.session
         if session.state is State.EXPIRED:
             client.expiries += 1
-            self.cut(client)
-            for name in [name for name, owner in client.acked.items() if owner == session.session]:
-                del client.acked[name]
-            client.begin()
-            client.look()
-            client.look_children()
+            self.disconnect(client)
+            for name in [name for name, owner in client.acknowledged.items() if owner == session.session]:
+                del client.acknowledged[name]
+            client.start_session()
+            client.read_data()
+            client.read_children()
             return
         if client.line is None:
-            client.line, client.sent = Line(), b""
+            client.line, client.unsent = Line(), b""
             session.connected(self.now)
         if not session.tick(self.now):
-            self.cut(client)
+            self.disconnect(client)
             return
-        client.sent += session.take_output()
-        part = self.chance.choice([len(client.sent), self.chance.randrange(len(client.sent) + 1)])
-        data, client.sent = client.sent[:part], client.sent[part:]
+        client.unsent += session.take_output()
+        part = self.random.choice([len(client.unsent), self.random.randrange(len(client.unsent) + 1)])
+        data, client.unsent = client.unsent[:part], client.unsent[part:]
         line = client.line
         self.store.take(line, data, self.now)
         self.store.commit()
-        back = bytes(line.out)
-        part = len(back) if line.over else self.chance.choice([len(back), self.chance.randrange(len(back) + 1)])
+        answers = bytes(line.out)
+        part = (
+            len(answers)
+            if line.close_reason
+            else self.random.choice([len(answers), self.random.randrange(len(answers) + 1)])
+        )
         del line.out[:part]
-        session.receive(back[:part], self.now)
-        if line.over and client.line is line:
-            self.cut(client)
+        session.receive(answers[:part], self.now)
+        if line.close_reason and client.line is line:
+            self.disconnect(client)
 
-    def settle(self) -> None:
+    def run_until_settled(self) -> None:
         for _ in range(60):
             self.now += 0.05
             for client in self.clients:
                 self.step(client)
-            self.store.turn(self.now)
+            self.store.expire_sessions(self.now)
             self.store.commit()
 
 
-def history(folder, seed: int, steps: int = 60) -> int:
-    world, chance = Between(folder, seed), Random(seed + 0.5)
+def run_history(folder, seed: int, steps: int = 60) -> int:
+    simulation, random = Simulation(folder, seed), Random(seed + 0.5)
     for k in range(steps):
-        world.now += chance.choice([0.01, 0.05, 0.3])
-        client, luck = chance.choice(world.clients), chance.random()
-        if luck < 0.15:
+        simulation.now += random.choice([0.01, 0.05, 0.3])
+        client, draw = random.choice(simulation.clients), random.random()
+        if draw < 0.15:
             name = f"/s/{client.number}-{k}"
 
             def created(error, result, client=client, session=client.session, name=name):
                 if error == OK and client.session is session:
-                    client.acked[name] = session.session
+                    client.acknowledged[name] = session.session
 
             client.ask(Create(name, b"", EPHEMERAL), created)
-        elif luck < 0.25:
+        elif draw < 0.25:
             client.ask(SetData("/s", b"%d" % k), lambda error, result: None)
-        elif luck < 0.32:
-            world.cut(client)
-        elif luck < 0.34:
-            world.restart()
-        elif luck < 0.37:
-            world.store.expire(client.session.session)
-        elif luck < 0.39:
-            world.now += 2.5  # all lapse that do not come back at once
-        world.step(client)
-        world.store.turn(world.now)
-        world.store.commit()
-        for number, _ in ((n.owner, n) for n in world.store.tree.nodes.values()):
-            assert not number or number in world.store.tree.sessions, "an ephemeral node outlived its session"
-    world.settle()
-    tree = world.store.tree
-    for client in world.clients:
+        elif draw < 0.32:
+            simulation.disconnect(client)
+        elif draw < 0.34:
+            simulation.restart()
+        elif draw < 0.37:
+            simulation.store.expire(client.session.session)
+        elif draw < 0.39:
+            simulation.now += 2.5  # sessions that are not resumed at once lapse
+        simulation.step(client)
+        simulation.store.expire_sessions(simulation.now)
+        simulation.store.commit()
+        for number, _ in ((n.owner, n) for n in simulation.store.tree.nodes.values()):
+            assert not number or number in simulation.store.tree.sessions, "an ephemeral node outlived its session"
+    simulation.run_until_settled()
+    tree = simulation.store.tree
+    for client in simulation.clients:
         assert client.session.state is State.ON
-        there = {path for path, owner in client.acked.items() if owner == client.session.session}
-        assert there <= set(tree.nodes), "an acknowledged create was lost"
+        present = {path for path, owner in client.acknowledged.items() if owner == client.session.session}
+        assert present <= set(tree.nodes), "an acknowledged create was lost"
         assert client.seen == tree.nodes["/s"].data, "a change of data was missed"
         assert client.names == sorted(tree.nodes["/s"].children), "a change of children was missed"
-    assert sum(node.owner not in (0, *(c.session.session for c in world.clients)) for node in tree.nodes.values()) == 0
-    world.store.log.close()
-    return sum(client.expiries for client in world.clients)
+    assert (
+        sum(node.owner not in (0, *(c.session.session for c in simulation.clients)) for node in tree.nodes.values())
+        == 0
+    )
+    simulation.store.log.close()
+    return sum(client.expiries for client in simulation.clients)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nothing_acknowledged_is_lost_and_no_change_missed_whatever_is_cut(tmp_path, seed):
-    history(tmp_path, seed)
+def test_no_acknowledged_change_is_lost_and_none_missed_when_connections_are_cut(tmp_path, seed):
+    run_history(tmp_path, seed)
 
 
 def test_loss_of_connection_is_not_expiry():
@@ -647,56 +658,56 @@
     assert not session.tick(2.0)
 
 
-def test_one_malformed_connection_disturbs_no_other(tmp_path):
+def test_a_malformed_connection_affects_no_other(tmp_path):
     store = Store(Log(tmp_path), 1, 0.0)
     good, bad = Line(), Line()
     store.take(good, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
-    chance = Random(4)
+    random = Random(4)
     for _ in range(300):
         bad = Line()
         store.take(bad, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
-        store.take(bad, jute.frame(chance.randbytes(chance.randrange(40))), 0.0)
-        store.lost(bad)
+        store.take(bad, jute.frame(random.randbytes(random.randrange(40))), 0.0)
+        store.connection_lost(bad)
     store.take(good, jute.write_request(1, Create("/a", b"")), 0.1)
     store.commit()
-    assert not good.over and good.session in store.tree.sessions and "/a" in store.tree.nodes
+    assert not good.close_reason and good.session in store.tree.sessions and "/a" in store.tree.nodes
 
 
-def test_a_client_that_saw_more_than_the_store_has_is_turned_away(tmp_path):
+def test_a_client_that_has_seen_newer_changes_than_the_store_is_rejected(tmp_path):
     store, line = Store(Log(tmp_path), 1, 0.0), Line()
     store.take(line, jute.write_connect(Connect(99, 4000, 0, b"")), 0.0)
-    assert "has seen change 99" in line.over and not line.out
+    assert "has seen change 99" in line.close_reason and not line.out
 
 
-# ---- on real sockets -------------------------------------------------------------------------------------------
+# ---- real sockets -------------------------------------------------------------------------------------------
 
 
-class Served:
-    """A store and clients of it on one loop."""
+class StoreWithClients:
+    """A store and its clients on one loop."""
 
     def __init__(self, folder) -> None:
         self.loop, self.folder = Loop(), folder
         self.server = StoreServer(self.loop, ("127.0.0.1", 0), Log(folder), 1)
-        self.clients, self.told = [], []
+        self.clients, self.received = [], []
 
     def client(self, timeout=1.0, hosts=None) -> RosterClient:
-        told = []
+        received = []
         client = RosterClient(
             self.loop,
             hosts or [self.server.address],
             timeout,
             Random(len(self.clients)),
-            lambda state: told.append(("state", state)),
-            lambda event: told.append(("event", event)),
+            lambda state: received.append(("state", state)),
+            lambda event: received.append(("event", event)),
         )
-        client.told = told
+        client.received = received
         self.clients.append(client)
         return client
 
-    def until(self, holds, within=20.0):
+    def until(self, condition, within=20.0):
         end = self.loop.clock() + within
-        while not holds():
-            assert self.loop.clock() < end, "it did not come to hold"
+        while not condition():
+            assert self.loop.clock() < end, "the condition was not met in time"
             self.loop.turn(self.loop.clock() + 0.02)
 
     def ask(self, client, request):
@@ -714,7 +725,7 @@
 
 @pytest.fixture
 def served(tmp_path):
-    served = Served(tmp_path)
+    served = StoreWithClients(tmp_path)
     yield served
     served.close()
 
@@ -723,37 +734,37 @@
     one, two = served.client(), served.client()
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     assert served.ask(two, GetData("/x", True))[1][0] == b"1"
-    served.server.break_all()
-    served.until(lambda: ("state", State.AWAY) in one.told and ("state", State.AWAY) in two.told)
-    served.until(lambda: one.told[-1] == two.told[-1] == ("state", State.ON))
-    assert served.ask(two, Exists("/x"))[0] == OK  # still there
-    one.stop()  # without a word
-    served.until(lambda: ("event", Event(DELETED, CONNECTED, "/x")) in two.told)
-    assert served.server.store.expired == 1
+    served.server.reset_connections()
+    served.until(lambda: ("state", State.AWAY) in one.received and ("state", State.AWAY) in two.received)
+    served.until(lambda: one.received[-1] == two.received[-1] == ("state", State.ON))
+    assert served.ask(two, Exists("/x"))[0] == OK  # still exists
+    one.stop()  # without closing its session
+    served.until(lambda: ("event", Event(DELETED, CONNECTED, "/x")) in two.received)
+    assert served.server.store.expired_count == 1
 
 
-def test_an_expired_session_is_told_and_a_store_that_is_away_is_not_taken_for_it(served):
+def test_an_expired_session_is_reported_and_an_unreachable_store_is_not_mistaken_for_it(served):
     one = served.client(timeout=0.8)
     assert served.ask(one, Create("/x", b"", EPHEMERAL))[0] == OK
-    served.server.deaf = True
-    served.until(lambda: ("state", State.AWAY) in one.told)  # silent for two thirds of the time-out
-    assert ("state", State.EXPIRED) not in one.told
-    served.server.deaf = False
+    served.server.unresponsive = True
+    served.until(lambda: ("state", State.AWAY) in one.received)  # silent for two thirds of the time-out
+    assert ("state", State.EXPIRED) not in one.received
+    served.server.unresponsive = False
     served.server.expire(one.session.session)
-    served.until(lambda: one.told[-1] == ("state", State.EXPIRED))
+    served.until(lambda: one.received[-1] == ("state", State.EXPIRED))
 
 
-def test_the_next_host_is_taken_and_a_restarted_store_has_what_it_acknowledged(served):
-    nobody = socket.socket()
-    nobody.bind(("127.0.0.1", 0))  # does not listen
-    one = served.client(timeout=5.0, hosts=[nobody.getsockname(), served.server.address])
+def test_the_client_tries_the_next_host_and_a_restarted_store_has_all_acknowledged_changes(served):
+    closed_host = socket.socket()
+    closed_host.bind(("127.0.0.1", 0))  # does not listen
+    one = served.client(timeout=5.0, hosts=[closed_host.getsockname(), served.server.address])
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     served.server.close()
-    served.until(lambda: one.told[-1] == ("state", State.AWAY))
+    served.until(lambda: one.received[-1] == ("state", State.AWAY))
     served.server = StoreServer(served.loop, served.server.address, Log(served.folder), 1)
     assert served.ask(one, GetData("/x"))[1][0] == b"1"
-    assert ("state", State.EXPIRED) not in one.told
-    nobody.close()
+    assert ("state", State.EXPIRED) not in one.received
+    closed_host.close()
 
 
 # ---- membership ------------------------------------------------------------------------------------------------
@@ -885,7 +896,7 @@
 ROOT = "/driftshed/servers"
 
 
-class Fleet(Served):
+class Fleet(StoreWithClients):
     """A store, a follower and announcers; `listed_states` is the list as built from the updates."""
 
     def __init__(self, folder) -> None:
@@ -968,7 +979,7 @@
     assert whys == ["its node was removed"]
 
 
-def test_all_sessions_lapsing_at_once_empty_no_list_and_all_come_back(fleet):
+def test_a_lapse_of_all_sessions_at_once_empties_no_list_and_all_register_again(fleet):
     announcers = [fleet.announce(k) for k in range(1, 9)]
     fleet.wait_for_ready(*range(1, 9))
     sizes = []
@@ -1012,13 +1023,13 @@
     fleet.wait_for_ready(1)
 
 
-def test_a_watch_whose_connection_breaks_just_then_misses_nothing(fleet):
+def test_no_change_is_missed_when_the_connection_breaks_as_its_watch_triggers(fleet):
     one = fleet.announce(1, timeout=5.0)
     fleet.wait_for_ready(1)
-    fleet.server.store.breaks_events = 1
+    fleet.server.store.events_to_drop = 1
     one.say("draining")
     fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
-    assert fleet.server.store.breaks_events == 0
+    assert fleet.server.store.events_to_drop == 0
     states = [fields.get("state") for event, fields in fleet.logs if event == "roster_session"]
     assert states[-2:] == ["no connection", "on"]
 
@@ -1042,17 +1053,17 @@
     assert one.standing is Standing.LEFT
 
 
-def test_answers_that_are_late_or_held_back_change_nothing(fleet):
+def test_delayed_or_withheld_answers_change_nothing(fleet):
     for k in range(1, 4):
         fleet.announce(k, timeout=5.0)
     fleet.wait_for_ready(1, 2, 3)
-    fleet.server.late = 0.2
+    fleet.server.answer_delay = 0.2
     fleet.announce(4, timeout=5.0)
     fleet.wait_for_ready(1, 2, 3, 4)
-    fleet.server.late = 0.0
-    fleet.server.held = {fleet.follower.client.session.session}
+    fleet.server.answer_delay = 0.0
+    fleet.server.muted_sessions = {fleet.follower.client.session.session}
     fleet.until(lambda: ("roster_session", "no connection") in [(e, f.get("state")) for e, f in fleet.logs])
-    fleet.server.held = set()
+    fleet.server.muted_sessions = set()
     fleet.until(lambda: fleet.follower.membership.away_since is None)
     assert set(fleet.listed_states) == {f"127.0.0.1:{k}" for k in range(1, 5)}
 
@@ -1060,12 +1071,12 @@
 def test_an_older_process_that_resumes_is_fenced_by_its_successor(fleet):
     old = fleet.announce(1)
     fleet.wait_for_ready(1)
-    asleep = old.client
-    fleet.server.expire(asleep.session.session)
-    asleep.stream.pause(True)  # it receives no message of the expiry
+    paused = old.client
+    fleet.server.expire(paused.session.session)
+    paused.stream.pause(True)  # it receives no message of the expiry
     new = fleet.announce(1)
     fleet.until(lambda: new.standing is Standing.LISTED and new.epoch == 2)
-    asleep.stream.pause(False)
+    paused.stream.pause(False)
     fleet.until(lambda: old.standing is Standing.FENCED)
     fleet.wait_for_ready(1)
     assert [name for name in fleet.server.store.tree.nodes if name.startswith(ROOT + "/")] == [f"{ROOT}/127.0.0.1:1~2"]
@@ -1191,8 +1202,8 @@
 """
 
 
-def test_a_day_with_a_store_leaves_no_proxy_bare_and_keeps_drains(tmp_path):
-    """Judged from the bytes that passed, the store's own wire among them."""
+def test_a_day_with_a_store_leaves_no_proxy_without_a_server_and_keeps_drains(tmp_path):
+    """Judged from the bytes on the network, including those of the store."""
     from driftshed.day.judge import judge
     from driftshed.day.script import load_script
     from driftshed.day.stage import play as play_day
@@ -1208,7 +1219,7 @@
 
 
 @pytest.mark.parametrize("change", ["store = true", 'type = "deploy"'])
-def test_days_whose_troubles_do_not_go_with_their_roster_are_told(tmp_path, change):
+def test_days_with_faults_that_do_not_fit_their_roster_are_rejected(tmp_path, change):
     from driftshed.day.script import BadScript, load_script
 
     wrong = {"store = true": "store = false", 'type = "deploy"': 'type = "late-roster"'}[change]
@@ -1222,7 +1233,7 @@
 
 
 def test_corrupt_answers_raise_only_malformed_in_the_client():
-    chance = Random(6)
+    random = Random(6)
     for _ in range(3000):
         session = ClientSession(3.0)
         session.connected(0.0)
@@ -1233,8 +1244,8 @@
         good += jute.write_event(Event(CHANGED, CONNECTED, "/a"))
         good += jute.write_reply(Reply(2, 6, OK), jute.vector([jute.string("n")]) + jute.stat(Stat(*range(11))))
         data = bytearray(good)
-        for _ in range(chance.randrange(1, 4)):
-            data[chance.randrange(len(data))] = chance.randrange(256)
+        for _ in range(random.randrange(1, 4)):
+            data[random.randrange(len(data))] = random.randrange(256)
         try:
             session.receive(bytes(data), 0.1)
         except Malformed:
@@ -1252,15 +1263,15 @@
     from tests.fleets import STORE
     from tests.fleets import Fleet as Agents
 
-    agents, count, told = Agents(("a",)), MAX_PENDING_REQUESTS + 500, []
+    agents, count, updates = Agents(("a",)), MAX_PENDING_REQUESTS + 500, []
     tree = agents.store.store.tree
-    tree.open(7, 60000, bytes(16))
-    tree.do(7, jute.Create("/driftshed", b""), 0)
-    tree.do(7, jute.Create(ROOT, b""), 0)
+    tree.open_session(7, 60000, bytes(16))
+    tree.execute(7, jute.Create("/driftshed", b""), 0)
+    tree.execute(7, jute.Create(ROOT, b""), 0)
     for k in range(count):
         name = f"10.1.{k // 250}.{k % 250}:80"
         data = write_node(Announced(name, "east", "standard", "ready", None, 0, 1.0, 1))
-        assert tree.do(7, jute.Create(f"{ROOT}/{name}~1", data, jute.EPHEMERAL), 0).error == jute.OK
+        assert tree.execute(7, jute.Create(f"{ROOT}/{name}~1", data, jute.EPHEMERAL), 0).error == jute.OK
     agents.network.zones["127.0.9.9"] = "follower"
     follower = RosterFollower(
         Seat(agents.loop, "follower"),
@@ -1269,7 +1280,7 @@
         ("east",),
         ("standard",),
         Membership(4.0, 60.0),
-        told.append,
+        updates.append,
         lambda event, **fields: None,
         1,
         4.0,
@@ -1277,7 +1288,7 @@
     )
     for k in range(broken):
         agents.until(lambda k=k: follower.reads > 600 * (k + 1), 20)
-        agents.store.break_all()
-    agents.until(lambda: told, 60)
-    assert told[0].whole and len({each.server for each in told[0].servers}) == count
+        agents.store.reset_connections()
+    agents.until(lambda: updates, 60)
+    assert updates[0].whole and len({each.server for each in updates[0].servers}) == count
     assert follower.pending_reads == 0 and not follower.unread
