--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -711,10 +711,10 @@
             self.loop.turn(self.loop.clock() + 0.02)
 
     def ask(self, client, request):
-        got = []
-        client.ask(request, lambda error, result: got.append((error, result)))
-        self.until(lambda: got)
-        return got[0]
+        results = []
+        client.ask(request, lambda error, result: results.append((error, result)))
+        self.until(lambda: results)
+        return results[0]
 
     def close(self):
         for client in self.clients:
@@ -1256,7 +1256,7 @@
 # ---- lists longer than a session's request limit -------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("broken", [0, 3], ids=["undisturbed", "its connection reset while it reads"])
+@pytest.mark.parametrize("broken", [0, 3], ids=["untroubled", "its connection reset while it reads"])
 def test_a_list_of_more_nodes_than_pending_requests_is_published_complete(broken):
     from driftshed.lab.virtual import Seat
     from driftshed.roster.session import MAX_PENDING_REQUESTS
