--- a/driftshed/roster/membership.py
+++ b/driftshed/roster/membership.py
@@ -161,7 +161,7 @@
             elif node.state == "draining":
                 rows.append((None, "it was draining, and its node was removed"))
             elif mass_lapse_held:
-                rows.append((self._entry(node), "held: many nodes were removed at once"))
+                rows.append((self._entry(node), "held: many nodes vanished at once"))
             elif self.away_since is not None:
                 rows.append((self._entry(node), "held: the store is unreachable"))
             elif now - self.lapsed_at[i] < self.lapse_hold_s and self._is_answering(i, now):
