--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Membership by sessions: the wire's records, and the tree that a store keeps."""
+"""Membership by sessions: wire format, store, client sessions, membership, follower and announcer."""
 
 import signal
 import socket
@@ -40,7 +40,7 @@
     Check,
     Close,
     Connect,
-    Connected,
+    ConnectResponse,
     Create,
     Delete,
     Event,
@@ -58,7 +58,7 @@
     Stat,
     Sync,
 )
-from driftshed.roster.log import Damaged, Log, dump, record
+from driftshed.roster.log import CorruptLog, Log, encode_record, encode_tree
 from driftshed.roster.membership import Announced, Membership
 from driftshed.roster.nodes import write_node
 from driftshed.roster.serve import StoreServer
@@ -66,9 +66,9 @@
 from driftshed.roster.store import Line, Store
 from driftshed.roster.tree import Tree
 
-# ---- the wire --------------------------------------------------------------------------------------------------
+# ---- wire format --------------------------------------------------------------------------------------------------
 
-# Written out by hand from the public description of the records.
+# Written by hand from the published description of the records.
 VECTORS = [
     (
         jute.write_connect(Connect(0x1122, 10000, 0, b"")),
@@ -79,7 +79,7 @@
         "0000002d 00000000 0000000000000001 00000fa0 000000000000010a 00000010 00000000000000000000000000000000 00",
     ),
     (
-        jute.write_connected(Connected(4000, 0x10A, b"\1\2")),
+        jute.write_connect_response(ConnectResponse(4000, 0x10A, b"\1\2")),
         "00000017 00000000 00000fa0 000000000000010a 00000002 0102 00",
     ),
     (
@@ -107,9 +107,9 @@
 ]
 
 
-@pytest.mark.parametrize(("written", "said"), VECTORS)
-def test_bytes_are_as_the_description_has_them(written, said):
-    assert written.hex() == said.replace(" ", "")
+@pytest.mark.parametrize(("written", "expected"), VECTORS)
+def test_encoded_bytes_match_the_published_description(written, expected):
+    assert written.hex() == expected.replace(" ", "")
 
 
 PATHS = st.sampled_from(["/", "/a", "/a/b", "/a/c", "/servers/x", "/é"])
@@ -135,16 +135,16 @@
 
 
 @given(REQUESTS, st.integers(-(2**31), 2**31 - 1), st.integers(1, 7))
-def test_requests_read_back_however_they_are_cut(request, xid, cut):
+def test_requests_decode_from_frames_split_at_any_byte(request, xid, cut):
     written = jute.write_request(xid, request)
     frames = Frames()
     payloads = [p for k in range(0, len(written), cut) for p in frames.feed(written[k : k + cut])]
-    assert [jute.read_request(p) for p in payloads] == [(xid, request)] and not frames.kept
+    assert [jute.read_request(p) for p in payloads] == [(xid, request)] and not frames.buffered
 
 
 @given(REQUESTS, st.data())
 @settings(max_examples=300)
-def test_cut_or_damaged_requests_are_told_and_nothing_else(request, data):
+def test_truncated_or_corrupt_requests_raise_only_malformed(request, data):
     payload = bytearray(jute.write_request(1, request)[4:])
     if payload and data.draw(st.booleans()):
         payload[data.draw(st.integers(0, len(payload) - 1))] = data.draw(st.integers(0, 255))
@@ -157,7 +157,7 @@
     assert read is None or jute.read_request(jute.write_request(1, read)[4:])[1] == read
 
 
-def test_large_frames_and_lengths_are_refused_before_they_come():
+def test_too_large_frames_and_lengths_are_refused_before_their_data_arrives():
     with pytest.raises(Malformed):
         list(Frames(100).feed(b"\x00\x00\x01\x00"))
     with pytest.raises(Malformed):
@@ -170,108 +170,112 @@
 
 
 @given(st.integers(0, 2**62), st.integers(0, 10**6), st.integers(0, 2**62), st.binary(max_size=16))
-def test_sessions_read_back(zxid, timeout, session, password):
+def test_session_handshakes_decode_as_encoded(zxid, timeout, session, password):
     opened = Connect(zxid, timeout, session, password)
     assert jute.read_connect(jute.write_connect(opened)[4:]) == opened
-    assert jute.read_connect(jute.write_connect(opened)[4:-1]) == opened  # as older clients write it
-    told = Connected(timeout, session, password)
-    assert jute.read_connected(jute.write_connected(told)[4:]) == told
+    assert jute.read_connect(jute.write_connect(opened)[4:-1]) == opened  # as older clients encode it
+    response = ConnectResponse(timeout, session, password)
+    assert jute.read_connect_response(jute.write_connect_response(response)[4:]) == response
 
 
-# ---- the tree --------------------------------------------------------------------------------------------------
+# ---- tree --------------------------------------------------------------------------------------------------
 
 
 def tree_with(*sessions: int) -> Tree:
     tree = Tree()
     for session in sessions or (1,):
-        tree.open(session, 4000, b"p")
+        tree.open_session(session, 4000, b"p")
     return tree
 
 
 def test_creates_deletes_and_versions():
     tree = tree_with()
-    assert tree.do(1, Create("/a", b"x"), 5).result[0] == "/a"
-    assert tree.do(1, Create("/a", b"x"), 5).error == NODE_EXISTS
-    assert tree.do(1, Create("/b/c", b"x"), 5).error == NO_NODE
-    assert tree.do(1, Create("/a/c", b""), 6).error == OK
-    assert tree.do(1, Delete("/a"), 6).error == NOT_EMPTY
-    assert tree.do(1, SetData("/a", b"yz", 1), 7).error == BAD_VERSION
-    assert tree.do(1, SetData("/a", b"yz", 0), 7).result.version == 1
-    data, stat = tree.do(1, GetData("/a"), 8).result
+    assert tree.execute(1, Create("/a", b"x"), 5).result[0] == "/a"
+    assert tree.execute(1, Create("/a", b"x"), 5).error == NODE_EXISTS
+    assert tree.execute(1, Create("/b/c", b"x"), 5).error == NO_NODE
+    assert tree.execute(1, Create("/a/c", b""), 6).error == OK
+    assert tree.execute(1, Delete("/a"), 6).error == NOT_EMPTY
+    assert tree.execute(1, SetData("/a", b"yz", 1), 7).error == BAD_VERSION
+    assert tree.execute(1, SetData("/a", b"yz", 0), 7).result.version == 1
+    data, stat = tree.execute(1, GetData("/a"), 8).result
     assert data == b"yz"
     assert (stat.ctime, stat.mtime, stat.version, stat.cversion, stat.data_length, stat.children) == (5, 7, 1, 1, 2, 1)
-    assert tree.do(1, Delete("/a/c", 0), 8).error == OK and tree.do(1, Delete("/a", 1), 8).error == OK
-    assert tree.do(1, GetData("/a"), 8).error == NO_NODE
+    assert tree.execute(1, Delete("/a/c", 0), 8).error == OK and tree.execute(1, Delete("/a", 1), 8).error == OK
+    assert tree.execute(1, GetData("/a"), 8).error == NO_NODE
     for path in ("", "a", "//", "/a/", "/./a", "/a/../b", "/a\0"):
-        assert tree.do(1, Create(path, b""), 9).error == BAD_ARGUMENTS, path
-    assert tree.do(1, Delete("/"), 9).error == BAD_ARGUMENTS
+        assert tree.execute(1, Create(path, b""), 9).error == BAD_ARGUMENTS, path
+    assert tree.execute(1, Delete("/"), 9).error == BAD_ARGUMENTS
 
 
-def test_sequential_names_never_come_twice():
+def test_sequential_names_are_never_repeated():
     tree, names = tree_with(), []
-    tree.do(1, Create("/q", b""), 0)
+    tree.execute(1, Create("/q", b""), 0)
     for k in range(5):
-        names.append(tree.do(1, Create("/q/n-", b"", SEQUENTIAL), 0).result[0])
+        names.append(tree.execute(1, Create("/q/n-", b"", SEQUENTIAL), 0).result[0])
         if k % 2:
-            tree.do(1, Delete(names[-1]), 0)
+            tree.execute(1, Delete(names[-1]), 0)
     assert names[0] == "/q/n-0000000000" and len(set(names)) == 5 and names == sorted(names)
 
 
 def test_ephemeral_nodes_end_with_their_session_and_have_no_children():
     tree = tree_with(1, 2)
-    tree.do(1, Create("/s", b""), 0)
-    tree.do(2, Create("/s/x", b"", EPHEMERAL), 0)
-    assert tree.do(1, Create("/s/x/y", b""), 0).error == EPHEMERAL_PARENT
-    tree.do(1, GetChildren("/s", True), 0)
-    tree.do(1, Exists("/s/x", True), 0)
+    tree.execute(1, Create("/s", b""), 0)
+    tree.execute(2, Create("/s/x", b"", EPHEMERAL), 0)
+    assert tree.execute(1, Create("/s/x/y", b""), 0).error == EPHEMERAL_PARENT
+    tree.execute(1, GetChildren("/s", True), 0)
+    tree.execute(1, Exists("/s/x", True), 0)
     before = tree.zxid
-    events = tree.end(2)
+    events = tree.end_session(2)
     assert tree.zxid == before + 1 and "/s/x" not in tree.nodes
     assert events == [(1, Event(DELETED, CONNECTED, "/s/x")), (1, Event(CHILDREN, CONNECTED, "/s"))]
-    assert tree.end(2) == []
+    assert tree.end_session(2) == []
 
 
-def test_watches_tell_once_and_a_coming_node_is_watched_for():
+def test_watches_trigger_once_and_cover_the_creation_of_a_node():
     tree = tree_with(1, 2)
-    assert tree.do(1, Exists("/a", True), 0).error == NO_NODE
-    assert tree.do(1, GetData("/a", True), 0).error == NO_NODE  # sets none
-    assert tree.do(2, Create("/a", b""), 0).events == [(1, Event(CREATED, CONNECTED, "/a"))]
-    assert tree.do(2, SetData("/a", b"1"), 0).events == []
-    tree.do(1, GetData("/a", True), 0)
-    tree.do(1, GetChildren("/a", True), 0)
-    assert tree.do(2, SetData("/a", b"2"), 0).events == [(1, Event(CHANGED, CONNECTED, "/a"))]
-    tree.do(1, GetData("/a", True), 0)
-    assert tree.do(2, Delete("/a"), 0).events == [(1, Event(DELETED, CONNECTED, "/a"))]  # one word for both
-    assert not tree.watching
-
-
-def test_watches_set_again_tell_what_was_missed():
+    assert tree.execute(1, Exists("/a", True), 0).error == NO_NODE
+    assert tree.execute(1, GetData("/a", True), 0).error == NO_NODE  # sets no watch
+    assert tree.execute(2, Create("/a", b""), 0).events == [(1, Event(CREATED, CONNECTED, "/a"))]
+    assert tree.execute(2, SetData("/a", b"1"), 0).events == []
+    tree.execute(1, GetData("/a", True), 0)
+    tree.execute(1, GetChildren("/a", True), 0)
+    assert tree.execute(2, SetData("/a", b"2"), 0).events == [(1, Event(CHANGED, CONNECTED, "/a"))]
+    tree.execute(1, GetData("/a", True), 0)
+    assert tree.execute(2, Delete("/a"), 0).events == [
+        (1, Event(DELETED, CONNECTED, "/a"))
+    ]  # one event for both watches
+    assert not tree.watches
+
+
+def test_watches_set_again_report_missed_changes():
     tree = tree_with(1, 2)
     for path in ("/a", "/b", "/c"):
-        tree.do(2, Create(path, b""), 0)
+        tree.execute(2, Create(path, b""), 0)
     seen = tree.zxid
-    tree.do(2, SetData("/a", b"1"), 0)
-    tree.do(2, Create("/b/x", b""), 0)
-    tree.do(2, Delete("/c"), 0)
-    tree.do(2, Create("/d", b""), 0)
+    tree.execute(2, SetData("/a", b"1"), 0)
+    tree.execute(2, Create("/b/x", b""), 0)
+    tree.execute(2, Delete("/c"), 0)
+    tree.execute(2, Create("/d", b""), 0)
     again = SetWatches(seen, ("/a", "/b", "/c"), ("/d", "/e"), ("/a", "/b", "/c"))
-    told = [(event.kind, event.path) for _, event in tree.do(1, again, 0).events]
-    assert told == [(CHANGED, "/a"), (DELETED, "/c"), (CREATED, "/d"), (CHILDREN, "/b"), (DELETED, "/c")]
-    assert set(tree.watching) == {("data", "/b"), ("data", "/e"), ("children", "/a")}
+    events = [(event.kind, event.path) for _, event in tree.execute(1, again, 0).events]
+    assert events == [(CHANGED, "/a"), (DELETED, "/c"), (CREATED, "/d"), (CHILDREN, "/b"), (DELETED, "/c")]
+    assert set(tree.watches) == {("data", "/b"), ("data", "/e"), ("children", "/a")}
     tree.forget_watches(1)
-    assert not tree.watching
+    assert not tree.watches
 
 
-def test_a_multi_takes_effect_whole_or_not_at_all():
+def test_a_multi_is_applied_completely_or_not_at_all():
     tree = tree_with(1, 2)
-    tree.do(1, Create("/a", b"0"), 0)
-    tree.do(2, GetData("/a", True), 0)
+    tree.execute(1, Create("/a", b"0"), 0)
+    tree.execute(2, GetData("/a", True), 0)
     before, stat = tree.zxid, tree.nodes["/a"].stat
-    done = tree.do(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Check("/a", 9), Delete("/a/x"))), 0)
-    assert done.result == [OK, OK, BAD_VERSION, RUNTIME_INCONSISTENCY] and not done.events and not done.wrote
+    done = tree.execute(
+        1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Check("/a", 9), Delete("/a/x"))), 0
+    )
+    assert done.result == [OK, OK, BAD_VERSION, RUNTIME_INCONSISTENCY] and not done.events and not done.is_transaction
     assert (tree.zxid, tree.nodes["/a"].stat, tree.sessions[1].nodes) == (before, stat, {})
-    assert tree.sessions[2].data == {"/a"} and tree.watching == {("data", "/a"): {2: None}}
-    done = tree.do(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Delete("/a/x"))), 0)
+    assert tree.sessions[2].data == {"/a"} and tree.watches == {("data", "/a"): {2: None}}
+    done = tree.execute(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Delete("/a/x"))), 0)
     assert done.error == OK and tree.zxid == before + 1 and done.events == [(2, Event(CHANGED, CONNECTED, "/a"))]
     assert jute.read_result(
         Multi((Create("/a/x", b""), Check("/a", 1))),
@@ -279,8 +283,8 @@
     ) == [("/a/x", None), None]
 
 
-class Plain:
-    """The tree as plainly as can be: one dict of path to (data, version, owner)."""
+class ReferenceTree:
+    """Reference model of the tree: one dict of path to (data, version, owner)."""
 
     def __init__(self) -> None:
         self.nodes = {"/": (b"", 0, 0)}
@@ -317,393 +321,400 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_histories_go_as_the_plain_model_has_them_and_no_watch_is_missed(seed):
-    chance, tree, plain = Random(seed), tree_with(1, 2, 3), Plain()
+def test_random_histories_match_the_reference_model_and_no_watch_is_missed(seed):
+    random, tree, reference = Random(seed), tree_with(1, 2, 3), ReferenceTree()
     paths = [f"/{a}{b}" for a in "ab" for b in ("", "/x", "/y", "/x/z")]
-    watched: dict[tuple, object] = {}  # by (session, kind, path): what was seen
+    watched: dict[tuple, object] = {}  # by (session, kind, path): the state last read
 
     def state(kind, path):
-        return plain.nodes.get(path) if kind == "data" else (path in plain.nodes, plain.children(path))
+        return reference.nodes.get(path) if kind == "data" else (path in reference.nodes, reference.children(path))
 
-    def told(events):
+    def remove_triggered(events):
         for session, event in events:
             for kind in ("data", "children"):
                 if event.kind == DELETED or (event.kind == CHILDREN) == (kind == "children"):
                     watched.pop((session, kind, event.path), None)
 
-    def none_missed():
-        """Whoever still watches has seen what is there."""
+    def check_none_missed():
+        """A watch that has not triggered means that the state is as last read."""
         for (session, kind, path), seen in watched.items():
             if session in tree.sessions:
                 assert state(kind, path) == seen, (session, kind, path)
 
     for step in range(400):
-        session, path, luck = chance.choice([1, 2, 3]), chance.choice(paths), chance.random()
+        session, path, draw = random.choice([1, 2, 3]), random.choice(paths), random.random()
         if session not in tree.sessions:
-            tree.open(session, 4000, b"p")
-        if luck < 0.3:
-            request = Create(path, b"%d" % step, EPHEMERAL if chance.random() < 0.4 else 0)
-        elif luck < 0.5:
-            request = Delete(path, chance.choice([ANY_VERSION, 0, 1]))
-        elif luck < 0.65:
-            request = SetData(path, b"%d" % step, chance.choice([ANY_VERSION, 0, 1]))
-        elif luck < 0.75:
-            parts = [Create(path, b"m"), SetData(chance.choice(paths), b"n"), Delete(chance.choice(paths))]
-            chance.shuffle(parts)
-            copy = Plain()
-            copy.nodes = dict(plain.nodes)
+            tree.open_session(session, 4000, b"p")
+        if draw < 0.3:
+            request = Create(path, b"%d" % step, EPHEMERAL if random.random() < 0.4 else 0)
+        elif draw < 0.5:
+            request = Delete(path, random.choice([ANY_VERSION, 0, 1]))
+        elif draw < 0.65:
+            request = SetData(path, b"%d" % step, random.choice([ANY_VERSION, 0, 1]))
+        elif draw < 0.75:
+            parts = [Create(path, b"m"), SetData(random.choice(paths), b"n"), Delete(random.choice(paths))]
+            random.shuffle(parts)
+            copy = ReferenceTree()
+            copy.nodes = dict(reference.nodes)
             codes = [copy.do(session, part) for part in parts]
             first = next((code for code in codes if code), OK)
-            done = tree.do(session, Multi(tuple(parts)), step)
+            done = tree.execute(session, Multi(tuple(parts)), step)
             assert done.error == first
             if not first:
-                plain.nodes = copy.nodes
-            told(done.events)
-            none_missed()
+                reference.nodes = copy.nodes
+            remove_triggered(done.events)
+            check_none_missed()
             continue
-        elif luck < 0.95:
-            kind = chance.choice(["data", "children"])
-            done = tree.do(session, (Exists if kind == "data" else GetChildren)(path, True), step)
-            assert (done.error == OK) == (path in plain.nodes)
+        elif draw < 0.95:
+            kind = random.choice(["data", "children"])
+            done = tree.execute(session, (Exists if kind == "data" else GetChildren)(path, True), step)
+            assert (done.error == OK) == (path in reference.nodes)
             if kind == "data" or done.error == OK:
                 watched[session, kind, path] = state(kind, path)
             continue
         else:
-            told(tree.end(session))
-            plain.nodes = {p: node for p, node in plain.nodes.items() if node[2] != session}
+            remove_triggered(tree.end_session(session))
+            reference.nodes = {p: node for p, node in reference.nodes.items() if node[2] != session}
             watched = {key: seen for key, seen in watched.items() if key[0] != session}
-            none_missed()
+            check_none_missed()
             continue
-        done = tree.do(session, request, step)
-        assert done.error == plain.do(session, request)
-        told(done.events)
-        none_missed()
-    assert {path: (n.data, n.version, n.owner) for path, n in tree.nodes.items()} == plain.nodes
-    assert all(sorted(n.children) == plain.children(path) for path, n in tree.nodes.items())
+        done = tree.execute(session, request, step)
+        assert done.error == reference.do(session, request)
+        remove_triggered(done.events)
+        check_none_missed()
+    assert {path: (n.data, n.version, n.owner) for path, n in tree.nodes.items()} == reference.nodes
+    assert all(sorted(n.children) == reference.children(path) for path, n in tree.nodes.items())
 
 
-def test_stats_read_back():
+def test_stats_decode_as_encoded():
     value = Stat(*range(11))
     assert Reader(jute.stat(value)).stat() == value
 
 
-# ---- the log ---------------------------------------------------------------------------------------------------
+# ---- log ---------------------------------------------------------------------------------------------------
 
 
-def played(folder, chance: Random, steps: int, every: int = 40) -> Log:
-    """A log with a random history in it, all of it synced."""
+def log_with_history(folder, random: Random, steps: int, every: int = 40) -> Log:
+    """A log with a random history, all of it synced."""
     log = Log(folder, every)
     tree = log.tree
     for step in range(steps):
-        session, luck = chance.choice([1, 2, 3]), chance.random()
+        session, draw = random.choice([1, 2, 3]), random.random()
         if session not in tree.sessions:
             log.add("open", session, step, msgspec.msgpack.encode((4000, b"p")))
-            tree.open(session, 4000, b"p")
-        elif luck < 0.05:
+            tree.open_session(session, 4000, b"p")
+        elif draw < 0.05:
             log.add("end", session, step, b"")
-            tree.end(session)
+            tree.end_session(session)
         else:
-            path = f"/{chance.choice('abc')}" + chance.choice(["", "/x", "/y"])
-            request = chance.choice(
+            path = f"/{random.choice('abc')}" + random.choice(["", "/x", "/y"])
+            request = random.choice(
                 [
-                    Create(path, b"%d" % step, chance.choice([0, 1, 2])),
+                    Create(path, b"%d" % step, random.choice([0, 1, 2])),
                     SetData(path, b"s"),
                     Delete(path),
                     Multi((Create(path, b""), Delete(path))),
                 ]
             )
-            if tree.do(session, request, step).wrote:
+            if tree.execute(session, request, step).is_transaction:
                 log.add("do", session, step, jute.write_request(1, request)[4:])
         log.sync()
     return log
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_what_was_synced_is_there_after_a_crash_at_any_byte(tmp_path, seed):
-    chance = Random(seed)
-    log = played(tmp_path, chance, 150)
-    before = dump(log.tree)  # the file is not closed: as after SIGKILL
-    assert dump(Log(tmp_path, 40).tree) == before
+def test_synced_records_survive_a_crash_at_any_byte(tmp_path, seed):
+    random = Random(seed)
+    log = log_with_history(tmp_path, random, 150)
+    before = encode_tree(log.tree)  # the file is not closed: as after SIGKILL
+    assert encode_tree(Log(tmp_path, 40).tree) == before
     newest = max(tmp_path.glob("log-*"), key=lambda path: int(path.name[4:]))
     whole = newest.read_bytes()
-    torn = record("do", 1, 0, jute.write_request(1, Create("/torn", b""))[4:])
-    newest.write_bytes(whole + torn[: chance.randrange(1, 30)])
+    torn = encode_record("do", 1, 0, jute.write_request(1, Create("/torn", b""))[4:])
+    newest.write_bytes(whole + torn[: random.randrange(1, 30)])
     again = Log(tmp_path, 40)
-    assert dump(again.tree) == before and again.cut_off > 0
-    assert dump(Log(tmp_path, 40).tree) == before
+    assert encode_tree(again.tree) == before and again.truncated_bytes > 0
+    assert encode_tree(Log(tmp_path, 40).tree) == before
     (tmp_path / "snapshot-999999").write_bytes(b"half of a snapsh")
-    assert dump(Log(tmp_path, 40).tree) == before
+    assert encode_tree(Log(tmp_path, 40).tree) == before
 
 
-def test_damage_under_newer_logs_is_told(tmp_path):
-    played(tmp_path, Random(1), 60, every=10**6).close()
+def test_corruption_below_newer_logs_raises_an_error(tmp_path):
+    log_with_history(tmp_path, Random(1), 60, every=10**6).close()
     log = Log(tmp_path, 10**6)
-    log.tree.open(9, 4000, b"")
+    log.tree.open_session(9, 4000, b"")
     log.file.close()
     (old,) = tmp_path.glob("log-0")
     (tmp_path / f"log-{log.tree.zxid - 1}").touch()
     data = bytearray(old.read_bytes())
     data[len(data) // 2] ^= 1
     old.write_bytes(data)
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptLog):
         Log(tmp_path)
 
 
-def test_old_files_go_once_two_snapshots_hold_all(tmp_path):
-    log = played(tmp_path, Random(3), 400, every=20)
+def test_old_files_are_deleted_once_two_snapshots_cover_them(tmp_path):
+    log = log_with_history(tmp_path, Random(3), 400, every=20)
     assert len(list(tmp_path.glob("snapshot-*"))) == 2 and len(list(tmp_path.iterdir())) <= 6
-    assert dump(Log(tmp_path).tree) == dump(log.tree)
+    assert encode_tree(Log(tmp_path).tree) == encode_tree(log.tree)
 
 
-# ---- sessions, both sides --------------------------------------------------------------------------------------
+# ---- sessions, client and store --------------------------------------------------------------------------------------
 
 
 class Client:
-    """A client that follows one node and its children, and holds an ephemeral node of its own."""
+    """A client that watches one node and its children, and creates ephemeral nodes."""
 
     def __init__(self, number: int) -> None:
-        self.number, self.acked, self.seen, self.names, self.expiries = number, {}, None, None, 0
-        self.begin()
+        self.number, self.acknowledged, self.seen, self.names, self.expiries = number, {}, None, None, 0
+        self.start_session()
 
-    def begin(self) -> None:
-        self.session, self.line, self.sent = ClientSession(2.0), None, b""
-        self.session.on_event = self.event
+    def start_session(self) -> None:
+        self.session, self.line, self.unsent = ClientSession(2.0), None, b""
+        self.session.on_event = self.on_event
         self.mine, self.asks = False, 0
 
-    def event(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         if event.kind == CHILDREN:
-            self.look_children()
+            self.read_children()
         else:
-            self.look()
+            self.read_data()
 
     def ask(self, request, done):
-        self.session.ask(request, done, self.world.now)
+        self.session.ask(request, done, self.simulation.now)
 
-    def look(self) -> None:
-        def got(error, result):
+    def read_data(self) -> None:
+        def on_result(error, result):
             if error == OK:
                 self.seen = result[0]
             elif error == CONNECTION_LOSS:
-                self.look()
+                self.read_data()
 
-        self.ask(GetData("/s", True), got)
+        self.ask(GetData("/s", True), on_result)
 
-    def look_children(self) -> None:
-        def got(error, result):
+    def read_children(self) -> None:
+        def on_result(error, result):
             if error == OK:
                 self.names = result[0]
             elif error == CONNECTION_LOSS:
-                self.look_children()
+                self.read_children()
 
-        self.ask(GetChildren("/s", True), got)
+        self.ask(GetChildren("/s", True), on_result)
 
 
-class Between:
-    """Clients and a store, with cuts and restarts at any byte."""
+class Simulation:
+    """Clients and a store, with lost connections and restarts at any byte."""
 
     def __init__(self, folder, seed: int, clients: int = 3) -> None:
-        self.folder, self.chance, self.now, self.seed = folder, Random(seed), 100.0, seed
+        self.folder, self.random, self.now, self.seed = folder, Random(seed), 100.0, seed
         self.store = Store(Log(folder, 25), seed, self.now)
-        self.store.tree.open(1, 60000, b"")
+        self.store.tree.open_session(1, 60000, b"")
         self.store.log.add("open", 1, 0, msgspec.msgpack.encode((60000, b"")))
         request = Create("/s", b"0")
-        self.store.tree.do(1, request, 0)
+        self.store.tree.execute(1, request, 0)
         self.store.log.add("do", 1, 0, jute.write_request(1, request)[4:])
         self.store.commit()
         self.clients = [Client(k) for k in range(clients)]
         for client in self.clients:
-            client.world = self
-            client.look()
-            client.look_children()
+            client.simulation = self
+            client.read_data()
+            client.read_children()
 
-    def cut(self, client: Client) -> None:
+    def disconnect(self, client: Client) -> None:
         if client.line is not None:
-            self.store.lost(client.line)
+            self.store.connection_lost(client.line)
             client.line = None
-            client.session.lost()
+            client.session.disconnected()
 
     def restart(self) -> None:
         for client in self.clients:
-            self.cut(client)
-        # What was not committed is lost with the process: only what is on disk counts.
+            self.disconnect(client)
+        # Uncommitted changes are lost with the process: only those on disk remain.
         self.store = Store(Log(self.folder, 25), self.seed + 1, self.now)
 
     def step(self, client: Client) -> None:
-        """Bytes pass, some of what waits or all of it."""
+        """Transfers some or all of the pending bytes in both directions."""
         session = client.session
         if session.state is State.EXPIRED:
             client.expiries += 1
-            self.cut(client)
-            for name in [name for name, owner in client.acked.items() if owner == session.session]:
-                del client.acked[name]
-            client.begin()
-            client.look()
-            client.look_children()
+            self.disconnect(client)
+            for name in [name for name, owner in client.acknowledged.items() if owner == session.session]:
+                del client.acknowledged[name]
+            client.start_session()
+            client.read_data()
+            client.read_children()
             return
         if client.line is None:
-            client.line, client.sent = Line(), b""
+            client.line, client.unsent = Line(), b""
             session.connected(self.now)
-        if not session.turn(self.now):
-            self.cut(client)
+        if not session.tick(self.now):
+            self.disconnect(client)
             return
-        client.sent += session.taken_out()
-        part = self.chance.choice([len(client.sent), self.chance.randrange(len(client.sent) + 1)])
-        data, client.sent = client.sent[:part], client.sent[part:]
+        client.unsent += session.take_output()
+        part = self.random.choice([len(client.unsent), self.random.randrange(len(client.unsent) + 1)])
+        data, client.unsent = client.unsent[:part], client.unsent[part:]
         line = client.line
         self.store.take(line, data, self.now)
         self.store.commit()
-        back = bytes(line.out)
-        part = len(back) if line.over else self.chance.choice([len(back), self.chance.randrange(len(back) + 1)])
+        answers = bytes(line.out)
+        part = (
+            len(answers)
+            if line.close_reason
+            else self.random.choice([len(answers), self.random.randrange(len(answers) + 1)])
+        )
         del line.out[:part]
-        session.take(back[:part], self.now)
-        if line.over and client.line is line:
-            self.cut(client)
+        session.receive(answers[:part], self.now)
+        if line.close_reason and client.line is line:
+            self.disconnect(client)
 
-    def settle(self) -> None:
+    def run_until_settled(self) -> None:
         for _ in range(60):
             self.now += 0.05
             for client in self.clients:
                 self.step(client)
-            self.store.turn(self.now)
+            self.store.expire_sessions(self.now)
             self.store.commit()
 
 
-def history(folder, seed: int, steps: int = 60) -> int:
-    world, chance = Between(folder, seed), Random(seed + 0.5)
+def run_history(folder, seed: int, steps: int = 60) -> int:
+    simulation, random = Simulation(folder, seed), Random(seed + 0.5)
     for k in range(steps):
-        world.now += chance.choice([0.01, 0.05, 0.3])
-        client, luck = chance.choice(world.clients), chance.random()
-        if luck < 0.15:
+        simulation.now += random.choice([0.01, 0.05, 0.3])
+        client, draw = random.choice(simulation.clients), random.random()
+        if draw < 0.15:
             name = f"/s/{client.number}-{k}"
 
             def created(error, result, client=client, session=client.session, name=name):
                 if error == OK and client.session is session:
-                    client.acked[name] = session.session
+                    client.acknowledged[name] = session.session
 
             client.ask(Create(name, b"", EPHEMERAL), created)
-        elif luck < 0.25:
+        elif draw < 0.25:
             client.ask(SetData("/s", b"%d" % k), lambda error, result: None)
-        elif luck < 0.32:
-            world.cut(client)
-        elif luck < 0.34:
-            world.restart()
-        elif luck < 0.37:
-            world.store.expire(client.session.session)
-        elif luck < 0.39:
-            world.now += 2.5  # all lapse that do not come back at once
-        world.step(client)
-        world.store.turn(world.now)
-        world.store.commit()
-        for number, _ in ((n.owner, n) for n in world.store.tree.nodes.values()):
-            assert not number or number in world.store.tree.sessions, "an ephemeral node outlived its session"
-    world.settle()
-    tree = world.store.tree
-    for client in world.clients:
+        elif draw < 0.32:
+            simulation.disconnect(client)
+        elif draw < 0.34:
+            simulation.restart()
+        elif draw < 0.37:
+            simulation.store.expire(client.session.session)
+        elif draw < 0.39:
+            simulation.now += 2.5  # sessions that are not resumed at once lapse
+        simulation.step(client)
+        simulation.store.expire_sessions(simulation.now)
+        simulation.store.commit()
+        for number, _ in ((n.owner, n) for n in simulation.store.tree.nodes.values()):
+            assert not number or number in simulation.store.tree.sessions, "an ephemeral node outlived its session"
+    simulation.run_until_settled()
+    tree = simulation.store.tree
+    for client in simulation.clients:
         assert client.session.state is State.ON
-        there = {path for path, owner in client.acked.items() if owner == client.session.session}
-        assert there <= set(tree.nodes), "an acknowledged create was lost"
+        present = {path for path, owner in client.acknowledged.items() if owner == client.session.session}
+        assert present <= set(tree.nodes), "an acknowledged create was lost"
         assert client.seen == tree.nodes["/s"].data, "a change of data was missed"
         assert client.names == sorted(tree.nodes["/s"].children), "a change of children was missed"
-    assert sum(node.owner not in (0, *(c.session.session for c in world.clients)) for node in tree.nodes.values()) == 0
-    world.store.log.close()
-    return sum(client.expiries for client in world.clients)
+    assert (
+        sum(node.owner not in (0, *(c.session.session for c in simulation.clients)) for node in tree.nodes.values())
+        == 0
+    )
+    simulation.store.log.close()
+    return sum(client.expiries for client in simulation.clients)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nothing_acknowledged_is_lost_and_no_change_missed_whatever_is_cut(tmp_path, seed):
-    history(tmp_path, seed)
+def test_no_acknowledged_change_is_lost_and_none_missed_when_connections_are_cut(tmp_path, seed):
+    run_history(tmp_path, seed)
 
 
 def test_loss_of_connection_is_not_expiry():
-    session, told = ClientSession(3.0), []
-    session.on_state = told.append
+    session, states = ClientSession(3.0), []
+    session.on_state = states.append
     session.connected(0.0)
-    session.take(jute.write_connected(Connected(3000, 7, b"p" * 16)), 0.1)
-    got = []
-    session.ask(Create("/a", b""), lambda error, result: got.append(error), 0.2)
-    session.lost()
-    assert told == [State.OPENING, State.ON, State.AWAY] and got == [CONNECTION_LOSS]
-    session.ask(GetData("/a"), lambda error, result: got.append(error), 0.3)  # waits
+    session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"p" * 16)), 0.1)
+    errors = []
+    session.ask(Create("/a", b""), lambda error, result: errors.append(error), 0.2)
+    session.disconnected()
+    assert states == [State.OPENING, State.ON, State.AWAY] and errors == [CONNECTION_LOSS]
+    session.ask(GetData("/a"), lambda error, result: errors.append(error), 0.3)  # queued
     session.connected(1.0)
-    assert jute.read_connect(session.taken_out()[4:]).session == 7
-    session.take(jute.write_connected(Connected(0, 0, bytes(16))), 1.1)
-    assert told[-1] is State.EXPIRED and got == [CONNECTION_LOSS, EXPIRED]
+    assert jute.read_connect(session.take_output()[4:]).session == 7
+    session.receive(jute.write_connect_response(ConnectResponse(0, 0, bytes(16))), 1.1)
+    assert states[-1] is State.EXPIRED and errors == [CONNECTION_LOSS, EXPIRED]
 
 
-def test_pings_go_at_a_third_and_silence_ends_the_connection():
+def test_pings_are_sent_after_a_third_of_the_timeout_and_silence_ends_the_connection():
     session = ClientSession(3.0)
     session.connected(0.0)
-    session.take(jute.write_connected(Connected(3000, 7, b"")), 0.0)
-    session.taken_out()
-    assert session.next_at() == pytest.approx(1.0) and session.turn(1.0)
-    assert jute.read_request(session.taken_out()[4:]) == (-2, Ping())
-    assert session.turn(1.9) and not session.turn(2.01)
+    session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"")), 0.0)
+    session.take_output()
+    assert session.next_at() == pytest.approx(1.0) and session.tick(1.0)
+    assert jute.read_request(session.take_output()[4:]) == (-2, Ping())
+    assert session.tick(1.9) and not session.tick(2.01)
 
 
-def test_a_client_that_is_not_let_in_waits_and_does_not_spin():
+def test_a_client_without_a_connect_response_waits_without_a_busy_loop():
     session = ClientSession(3.0)
     session.connected(0.0)
-    assert session.next_at() == pytest.approx(2.0) and session.turn(1.5) and session.next_at() > 1.5
-    assert not session.turn(2.0)
+    assert session.next_at() == pytest.approx(2.0) and session.tick(1.5) and session.next_at() > 1.5
+    assert not session.tick(2.0)
 
 
-def test_one_malformed_connection_disturbs_no_other(tmp_path):
+def test_a_malformed_connection_affects_no_other(tmp_path):
     store = Store(Log(tmp_path), 1, 0.0)
     good, bad = Line(), Line()
     store.take(good, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
-    chance = Random(4)
+    random = Random(4)
     for _ in range(300):
         bad = Line()
         store.take(bad, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
-        store.take(bad, jute.frame(chance.randbytes(chance.randrange(40))), 0.0)
-        store.lost(bad)
+        store.take(bad, jute.frame(random.randbytes(random.randrange(40))), 0.0)
+        store.connection_lost(bad)
     store.take(good, jute.write_request(1, Create("/a", b"")), 0.1)
     store.commit()
-    assert not good.over and good.session in store.tree.sessions and "/a" in store.tree.nodes
+    assert not good.close_reason and good.session in store.tree.sessions and "/a" in store.tree.nodes
 
 
-def test_a_client_that_saw_more_than_the_store_has_is_turned_away(tmp_path):
+def test_a_client_that_has_seen_newer_changes_than_the_store_is_rejected(tmp_path):
     store, line = Store(Log(tmp_path), 1, 0.0), Line()
     store.take(line, jute.write_connect(Connect(99, 4000, 0, b"")), 0.0)
-    assert "has seen change 99" in line.over and not line.out
+    assert "has seen change 99" in line.close_reason and not line.out
 
 
-# ---- on real sockets -------------------------------------------------------------------------------------------
+# ---- real sockets -------------------------------------------------------------------------------------------
 
 
-class Served:
-    """A store and clients of it on one loop."""
+class StoreWithClients:
+    """A store and its clients on one loop."""
 
     def __init__(self, folder) -> None:
         self.loop, self.folder = Loop(), folder
         self.server = StoreServer(self.loop, ("127.0.0.1", 0), Log(folder), 1)
-        self.clients, self.told = [], []
+        self.clients, self.received = [], []
 
     def client(self, timeout=1.0, hosts=None) -> RosterClient:
-        told = []
+        received = []
         client = RosterClient(
             self.loop,
             hosts or [self.server.address],
             timeout,
             Random(len(self.clients)),
-            lambda state: told.append(("state", state)),
-            lambda event: told.append(("event", event)),
+            lambda state: received.append(("state", state)),
+            lambda event: received.append(("event", event)),
         )
-        client.told = told
+        client.received = received
         self.clients.append(client)
         return client
 
-    def until(self, holds, within=20.0):
+    def until(self, condition, within=20.0):
         end = self.loop.clock() + within
-        while not holds():
-            assert self.loop.clock() < end, "it did not come to hold"
+        while not condition():
+            assert self.loop.clock() < end, "the condition was not met in time"
             self.loop.turn(self.loop.clock() + 0.02)
 
     def ask(self, client, request):
-        got = []
-        client.ask(request, lambda error, result: got.append((error, result)))
-        self.until(lambda: got)
-        return got[0]
+        results = []
+        client.ask(request, lambda error, result: results.append((error, result)))
+        self.until(lambda: results)
+        return results[0]
 
     def close(self):
         for client in self.clients:
@@ -714,7 +725,7 @@
 
 @pytest.fixture
 def served(tmp_path):
-    served = Served(tmp_path)
+    served = StoreWithClients(tmp_path)
     yield served
     served.close()
 
@@ -723,37 +734,37 @@
     one, two = served.client(), served.client()
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     assert served.ask(two, GetData("/x", True))[1][0] == b"1"
-    served.server.break_all()
-    served.until(lambda: ("state", State.AWAY) in one.told and ("state", State.AWAY) in two.told)
-    served.until(lambda: one.told[-1] == two.told[-1] == ("state", State.ON))
-    assert served.ask(two, Exists("/x"))[0] == OK  # still there
-    one.stop()  # without a word
-    served.until(lambda: ("event", Event(DELETED, CONNECTED, "/x")) in two.told)
-    assert served.server.store.expired == 1
+    served.server.reset_connections()
+    served.until(lambda: ("state", State.AWAY) in one.received and ("state", State.AWAY) in two.received)
+    served.until(lambda: one.received[-1] == two.received[-1] == ("state", State.ON))
+    assert served.ask(two, Exists("/x"))[0] == OK  # still exists
+    one.stop()  # without closing its session
+    served.until(lambda: ("event", Event(DELETED, CONNECTED, "/x")) in two.received)
+    assert served.server.store.expired_count == 1
 
 
-def test_an_expired_session_is_told_and_a_store_that_is_away_is_not_taken_for_it(served):
+def test_an_expired_session_is_reported_and_an_unreachable_store_is_not_mistaken_for_it(served):
     one = served.client(timeout=0.8)
     assert served.ask(one, Create("/x", b"", EPHEMERAL))[0] == OK
-    served.server.deaf = True
-    served.until(lambda: ("state", State.AWAY) in one.told)  # silent for two thirds of the time-out
-    assert ("state", State.EXPIRED) not in one.told
-    served.server.deaf = False
+    served.server.unresponsive = True
+    served.until(lambda: ("state", State.AWAY) in one.received)  # silent for two thirds of the time-out
+    assert ("state", State.EXPIRED) not in one.received
+    served.server.unresponsive = False
     served.server.expire(one.session.session)
-    served.until(lambda: one.told[-1] == ("state", State.EXPIRED))
+    served.until(lambda: one.received[-1] == ("state", State.EXPIRED))
 
 
-def test_the_next_host_is_taken_and_a_restarted_store_has_what_it_acknowledged(served):
-    nobody = socket.socket()
-    nobody.bind(("127.0.0.1", 0))  # does not listen
-    one = served.client(timeout=5.0, hosts=[nobody.getsockname(), served.server.address])
+def test_the_client_tries_the_next_host_and_a_restarted_store_has_all_acknowledged_changes(served):
+    closed_host = socket.socket()
+    closed_host.bind(("127.0.0.1", 0))  # does not listen
+    one = served.client(timeout=5.0, hosts=[closed_host.getsockname(), served.server.address])
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     served.server.close()
-    served.until(lambda: one.told[-1] == ("state", State.AWAY))
+    served.until(lambda: one.received[-1] == ("state", State.AWAY))
     served.server = StoreServer(served.loop, served.server.address, Log(served.folder), 1)
     assert served.ask(one, GetData("/x"))[1][0] == b"1"
-    assert ("state", State.EXPIRED) not in one.told
-    nobody.close()
+    assert ("state", State.EXPIRED) not in one.received
+    closed_host.close()
 
 
 # ---- membership ------------------------------------------------------------------------------------------------
@@ -765,117 +776,118 @@
 
 def members(count: int = 10) -> Membership:
     membership = Membership(4.0, 60.0)
-    membership.whole({f"/s/{k}": node(k) for k in range(1, count + 1)}, -10.0)
-    assert len(membership.turn(0.0)) == count
+    membership.replace_nodes({f"/s/{k}": node(k) for k in range(1, count + 1)}, -10.0)
+    assert len(membership.evaluate(0.0)) == count
     return membership
 
 
-def told(membership: Membership, now: float) -> dict[str, str]:
-    return {change.listed.server: change.listed.state for change in membership.turn(now)}
+def changed_states(membership: Membership, now: float) -> dict[str, str]:
+    return {change.listed.server: change.listed.state for change in membership.evaluate(now)}
 
 
 def test_the_first_list_waits_for_servers_that_start_together_but_not_for_ever():
-    """A lab's finding: the module lays its tables out by the first list, which had the quickest few of 118."""
+    """Guards against a first list of only the fastest few of 118 servers, as found in the laboratory: the module lays
+    out its tables by that list."""
     membership = Membership(4.0, 60.0)
-    assert membership.turn(0.0) == [] and membership.next_at(0.0) is None  # nothing was read yet
-    membership.whole({"/s/1": node(1)}, 1.0)
+    assert membership.evaluate(0.0) == [] and membership.next_at(0.0) is None  # nothing has been read yet
+    membership.replace_nodes({"/s/1": node(1)}, 1.0)
     for k in range(2, 40):
         at = 1.0 + k / 10
-        membership.appeared(f"/s/{k}", node(k), at)
-        assert at < 5.0 or len(membership.turn(at)) >= 1
-        assert at >= 5.0 or (membership.turn(at) == [] and membership.next_at(at) == min(5.0, at + 0.5))
-    calm = Membership(4.0, 60.0)
-    calm.whole({"/s/1": node(1)}, 1.0)
-    calm.appeared("/s/2", node(2), 1.2)
-    assert calm.turn(1.6) == [] and len(calm.turn(1.7)) == 2
+        membership.node_updated(f"/s/{k}", node(k), at)
+        assert at < 5.0 or len(membership.evaluate(at)) >= 1
+        assert at >= 5.0 or (membership.evaluate(at) == [] and membership.next_at(at) == min(5.0, at + 0.5))
+    quiet = Membership(4.0, 60.0)
+    quiet.replace_nodes({"/s/1": node(1)}, 1.0)
+    quiet.node_updated("/s/2", node(2), 1.2)
+    assert quiet.evaluate(1.6) == [] and len(quiet.evaluate(1.7)) == 2
 
 
-def test_a_word_binds_at_once_and_a_lapse_of_a_silent_server_too():
+def test_announced_states_and_lapses_of_unresponsive_servers_apply_at_once():
     membership = members()
-    membership.appeared("/s/1", node(1, "draining"), 1.0)
-    assert told(membership, 1.0) == {"10.0.0.1:80": "draining"}
-    membership.vanished("/s/1", 2.0)
-    membership.vanished("/s/2", 2.0)
-    assert told(membership, 2.0) == {"10.0.0.1:80": "gone", "10.0.0.2:80": "gone"}
+    membership.node_updated("/s/1", node(1, "draining"), 1.0)
+    assert changed_states(membership, 1.0) == {"10.0.0.1:80": "draining"}
+    membership.node_removed("/s/1", 2.0)
+    membership.node_removed("/s/2", 2.0)
+    assert changed_states(membership, 2.0) == {"10.0.0.1:80": "gone", "10.0.0.2:80": "gone"}
 
 
-def test_a_server_that_still_answers_is_held_for_the_stated_time_only():
+def test_a_server_that_still_answers_is_held_for_the_configured_time_only():
     membership = members()
-    membership.vanished("/s/3", 1.0)
+    membership.node_removed("/s/3", 1.0)
     for k in range(16):
-        membership.answered("10.0.0.3:80", 1.0 + k / 4)
-        assert told(membership, 1.0 + k / 4) == {}
+        membership.record_answer("10.0.0.3:80", 1.0 + k / 4)
+        assert changed_states(membership, 1.0 + k / 4) == {}
     assert membership.next_at(4.9) == pytest.approx(5.0)
-    membership.answered("10.0.0.3:80", 5.0)
-    assert told(membership, 5.0) == {"10.0.0.3:80": "gone"}
+    membership.record_answer("10.0.0.3:80", 5.0)
+    assert changed_states(membership, 5.0) == {"10.0.0.3:80": "gone"}
     silent = members()
-    silent.answered("10.0.0.3:80", 0.9)
-    silent.vanished("/s/3", 1.0)
-    assert told(silent, 1.0) == {} and told(silent, 3.0) == {"10.0.0.3:80": "gone"}
+    silent.record_answer("10.0.0.3:80", 0.9)
+    silent.node_removed("/s/3", 1.0)
+    assert changed_states(silent, 1.0) == {} and changed_states(silent, 3.0) == {"10.0.0.3:80": "gone"}
 
 
 def test_a_flapping_session_changes_nothing_and_a_restart_is_a_restart():
     membership = members()
-    membership.answered("10.0.0.4:80", 1.0)
-    membership.vanished("/s/4", 1.0)
-    assert told(membership, 1.1) == {}
-    membership.appeared("/s/4b", node(4), 1.5)
-    assert told(membership, 1.5) == {}
-    membership.appeared("/s/4c", node(4, epoch=2, started=7.0), 2.0)
-    (change,) = membership.turn(2.0)
+    membership.record_answer("10.0.0.4:80", 1.0)
+    membership.node_removed("/s/4", 1.0)
+    assert changed_states(membership, 1.1) == {}
+    membership.node_updated("/s/4b", node(4), 1.5)
+    assert changed_states(membership, 1.5) == {}
+    membership.node_updated("/s/4c", node(4, epoch=2, started=7.0), 2.0)
+    (change,) = membership.evaluate(2.0)
     assert change.listed.started == 7.0
-    membership.vanished("/s/4b", 2.5)  # the older one's session lapses
-    membership.appeared("/s/4b", node(4), 3.0)  # and wakes from its pause
-    assert told(membership, 3.0) == {}
+    membership.node_removed("/s/4b", 2.5)  # the session of the older process lapses
+    membership.node_updated("/s/4b", node(4), 3.0)  # the older process resumes after a pause
+    assert changed_states(membership, 3.0) == {}
 
 
-def test_a_mass_lapse_is_held_but_words_bind_and_its_time_is_bounded():
+def test_a_mass_lapse_is_held_for_a_bounded_time_but_announced_states_apply():
     membership = members()
     for k in range(1, 11):
-        membership.vanished(f"/s/{k}", 1.0 + k / 20)
-    assert told(membership, 2.0) == {}
-    membership.appeared("/s/1", node(1), 3.0)
-    membership.appeared("/s/2", node(2, "draining"), 3.0)
-    assert told(membership, 3.0) == {"10.0.0.2:80": "draining"}  # rule 3, mass or not
-    assert told(membership, 50.0) == {}
+        membership.node_removed(f"/s/{k}", 1.0 + k / 20)
+    assert changed_states(membership, 2.0) == {}
+    membership.node_updated("/s/1", node(1), 3.0)
+    membership.node_updated("/s/2", node(2, "draining"), 3.0)
+    assert changed_states(membership, 3.0) == {"10.0.0.2:80": "draining"}  # rule 3 holds during a mass lapse too
+    assert changed_states(membership, 50.0) == {}
     assert membership.next_at(50.0) == pytest.approx(62.0)
-    gone = told(membership, 62.1)
+    gone = changed_states(membership, 62.1)
     assert len(gone) == 8 and set(gone.values()) == {"gone"}
 
 
 def test_the_last_to_come_back_from_a_mass_lapse_are_held_too():
     membership = members()
     for k in range(1, 11):
-        membership.vanished(f"/s/{k}", 1.0)
-    assert told(membership, 1.0) == {}
+        membership.node_removed(f"/s/{k}", 1.0)
+    assert changed_states(membership, 1.0) == {}
     for k in range(1, 10):
-        membership.appeared(f"/s/{k}", node(k), 2.0 + k)
-        assert told(membership, 2.0 + k) == {}
-    membership.appeared("/s/10", node(10), 30.0)
-    assert told(membership, 30.0) == {}
-    membership.vanished("/s/10", 31.0)  # the mass is over: this is one of its own
-    assert told(membership, 31.0) == {"10.0.0.10:80": "gone"}
+        membership.node_updated(f"/s/{k}", node(k), 2.0 + k)
+        assert changed_states(membership, 2.0 + k) == {}
+    membership.node_updated("/s/10", node(10), 30.0)
+    assert changed_states(membership, 30.0) == {}
+    membership.node_removed("/s/10", 31.0)  # the mass lapse is over: this is a separate lapse
+    assert changed_states(membership, 31.0) == {"10.0.0.10:80": "gone"}
 
 
-def test_two_of_ten_are_no_mass_and_a_store_that_is_away_holds_all():
+def test_two_lapses_of_ten_are_no_mass_lapse_and_an_unreachable_store_holds_all():
     membership = members()
-    membership.vanished("/s/1", 1.0)
-    membership.vanished("/s/2", 1.0)
-    assert len(told(membership, 1.0)) == 2
-    membership.away(2.0)
-    assert told(membership, 500.0) == {}
-    membership.whole({f"/s/{k}": node(k) for k in range(3, 6)}, 500.0)  # shorter by five of eight
-    assert told(membership, 500.0) == {}
+    membership.node_removed("/s/1", 1.0)
+    membership.node_removed("/s/2", 1.0)
+    assert len(changed_states(membership, 1.0)) == 2
+    membership.store_unreachable(2.0)
+    assert changed_states(membership, 500.0) == {}
+    membership.replace_nodes({f"/s/{k}": node(k) for k in range(3, 6)}, 500.0)  # five of eight nodes are missing
+    assert changed_states(membership, 500.0) == {}
 
 
 def test_addresses_that_came_and_went_are_forgotten():
     membership = members(4)
     for k in range(2000):
         each = Announced(f"10.1.{k // 250}.{k % 250}:80", "east", "standard", "ready", None, 0, 1.0, 1)
-        membership.appeared(f"/n/{k}", each, 10.0 * k)
-        membership.turn(10.0 * k)
-        membership.vanished(f"/n/{k}", 10.0 * k + 5)
-        membership.turn(10.0 * k + 5)
+        membership.node_updated(f"/n/{k}", each, 10.0 * k)
+        membership.evaluate(10.0 * k)
+        membership.node_removed(f"/n/{k}", 10.0 * k + 5)
+        membership.evaluate(10.0 * k + 5)
     assert len(membership.servers) < 300 and sum(each is not None for each in membership.listed) == 4
 
 
@@ -884,13 +896,13 @@
 ROOT = "/driftshed/servers"
 
 
-class Fleet(Served):
-    """A store, a follower, and announcers."""
+class Fleet(StoreWithClients):
+    """A store, a follower and announcers; `listed_states` is the list as built from the updates."""
 
     def __init__(self, folder) -> None:
         super().__init__(folder)
-        self.heard, self.logs, self.announcers = [], [], []
-        self.list: dict[str, str] = {}
+        self.updates, self.logs, self.announcers = [], [], []
+        self.listed_states: dict[str, str] = {}
         self.follower = RosterFollower(
             self.loop,
             [self.server.address],
@@ -898,20 +910,20 @@
             ("east", "west"),
             ("standard",),
             Membership(0.6, 6.0),
-            self.hear,
+            self.apply_update,
             lambda event, **fields: self.logs.append((event, fields)),
             1,
             1.0,
         )
 
-    def hear(self, news) -> None:
-        assert news.version == len(self.heard) + 1 and news.whole == (not self.heard)
-        self.heard.append(news)
-        for each in news.servers:
+    def apply_update(self, update) -> None:
+        assert update.version == len(self.updates) + 1 and update.whole == (not self.updates)
+        self.updates.append(update)
+        for each in update.servers:
             if each.state == "gone":
-                self.list.pop(each.server, None)
+                self.listed_states.pop(each.server, None)
             else:
-                self.list[each.server] = each.state
+                self.listed_states[each.server] = each.state
 
     def announce(self, number: int, timeout: float = 1.0) -> Announcer:
         who = Announced(f"127.0.0.1:{number}", "east", "standard", "ready", 1.0, 0, 1.0, 0)
@@ -919,9 +931,9 @@
         self.announcers.append(announcer)
         return announcer
 
-    def listed(self, *numbers: int) -> None:
+    def wait_for_ready(self, *numbers: int) -> None:
         names = {f"127.0.0.1:{number}" for number in numbers}
-        self.until(lambda: {name for name, state in self.list.items() if state == "ready"} == names)
+        self.until(lambda: {name for name, state in self.listed_states.items() if state == "ready"} == names)
 
     def close(self) -> None:
         for announcer in self.announcers:
@@ -939,85 +951,85 @@
 
 def test_servers_join_drain_leave_and_lapse(fleet):
     one, two, three = (fleet.announce(k) for k in (1, 2, 3))
-    fleet.listed(1, 2, 3)
+    fleet.wait_for_ready(1, 2, 3)
     reads = fleet.follower.reads
     one.say("draining")
-    fleet.until(lambda: fleet.list["127.0.0.1:1"] == "draining")
-    assert fleet.follower.reads == reads + 1  # of the changed one alone
+    fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
+    assert fleet.follower.reads == reads + 1  # only the changed node
     one.leave()
-    fleet.until(lambda: "127.0.0.1:1" not in fleet.list)
-    two.stop()  # dies; nothing met it answering
-    fleet.listed(3)
+    fleet.until(lambda: "127.0.0.1:1" not in fleet.listed_states)
+    two.stop()  # as if it died; no report shows an answer of it
+    fleet.wait_for_ready(3)
     assert three.standing is Standing.LISTED
 
 
 def test_a_lapsed_server_that_answers_is_held_and_then_goes(fleet):
     one, _ = fleet.announce(1), fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     fleet.follower.answered("127.0.0.1:1")
     lapsed = fleet.loop.clock()
-    one.standing = Standing.LEFT  # it does not come back
+    one.standing = Standing.LEFT  # it does not register again
     fleet.server.expire(one.client.session.session)
     while fleet.loop.clock() < lapsed + 0.45:
         fleet.follower.answered("127.0.0.1:1")
         fleet.loop.turn(fleet.loop.clock() + 0.02)
-        assert "127.0.0.1:1" in fleet.list
-    fleet.listed(2)
+        assert "127.0.0.1:1" in fleet.listed_states
+    fleet.wait_for_ready(2)
     whys = [fields["why"] for event, fields in fleet.logs if event == "listed" and fields["state"] == "gone"]
-    assert whys == ["its node vanished"]
+    assert whys == ["its node was removed"]
 
 
-def test_all_sessions_lapsing_at_once_empty_no_list_and_all_come_back(fleet):
+def test_a_lapse_of_all_sessions_at_once_empties_no_list_and_all_register_again(fleet):
     announcers = [fleet.announce(k) for k in range(1, 9)]
-    fleet.listed(*range(1, 9))
+    fleet.wait_for_ready(*range(1, 9))
     sizes = []
     for announcer in announcers:
         fleet.server.expire(announcer.client.session.session)
 
     def all_back():
-        sizes.append(len(fleet.list))
+        sizes.append(len(fleet.listed_states))
         there = fleet.server.store.tree.sessions
         return all(a.standing is Standing.LISTED and a.client.session.session in there for a in announcers)
 
     fleet.until(all_back)
-    fleet.listed(*range(1, 9))
+    fleet.wait_for_ready(*range(1, 9))
     assert min(sizes) == 8
 
 
 def test_a_store_that_restarts_or_is_unreachable_changes_nothing(fleet):
     for k in range(1, 6):
         fleet.announce(k, timeout=5.0)
-    fleet.listed(*range(1, 6))
-    heard = len(fleet.heard)
+    fleet.wait_for_ready(*range(1, 6))
+    update_count = len(fleet.updates)
     fleet.server.close()
     fleet.until(lambda: fleet.follower.membership.away_since is not None)
-    assert len(fleet.heard) == heard
+    assert len(fleet.updates) == update_count
     fleet.server = StoreServer(fleet.loop, fleet.server.address, Log(fleet.folder), 1)
     fleet.until(lambda: fleet.follower.membership.away_since is None)
-    assert len(fleet.heard) == heard
+    assert len(fleet.updates) == update_count
     fleet.announce(6)
-    fleet.listed(*range(1, 7))
+    fleet.wait_for_ready(*range(1, 7))
 
 
-def test_the_followers_own_session_lapsing_changes_nothing_but_is_followed_anew(fleet):
+def test_a_lapse_of_the_followers_own_session_changes_nothing_and_it_follows_on_in_a_new_one(fleet):
     fleet.announce(1)
     two = fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     first = fleet.follower.client
     fleet.server.expire(first.session.session)
     fleet.until(lambda: fleet.follower.client is not first and fleet.follower.membership.away_since is None)
-    assert set(fleet.list) == {"127.0.0.1:1", "127.0.0.1:2"}
+    assert set(fleet.listed_states) == {"127.0.0.1:1", "127.0.0.1:2"}
     two.leave()
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
 
 
-def test_a_watch_whose_connection_breaks_just_then_misses_nothing(fleet):
+def test_no_change_is_missed_when_the_connection_breaks_as_its_watch_triggers(fleet):
     one = fleet.announce(1, timeout=5.0)
-    fleet.listed(1)
-    fleet.server.store.breaks_events = 1
+    fleet.wait_for_ready(1)
+    fleet.server.store.events_to_drop = 1
     one.say("draining")
-    fleet.until(lambda: fleet.list["127.0.0.1:1"] == "draining")
-    assert fleet.server.store.breaks_events == 0
+    fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
+    assert fleet.server.store.events_to_drop == 0
     states = [fields.get("state") for event, fields in fleet.logs if event == "roster_session"]
     assert states[-2:] == ["no connection", "on"]
 
@@ -1026,7 +1038,7 @@
 def test_a_server_drains_and_leaves_though_its_session_or_node_is_lost_meanwhile(fleet, lost):
     one, gone = fleet.announce(1), []
     fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     if lost == "session":
         one.client.stream.pause(True)
         fleet.server.expire(one.client.session.session)
@@ -1037,42 +1049,42 @@
     if lost == "session":
         one.client.stream.pause(False)
     fleet.until(lambda: gone)
-    fleet.listed(2)
+    fleet.wait_for_ready(2)
     assert one.standing is Standing.LEFT
 
 
-def test_answers_that_are_late_or_held_back_change_nothing(fleet):
+def test_delayed_or_withheld_answers_change_nothing(fleet):
     for k in range(1, 4):
         fleet.announce(k, timeout=5.0)
-    fleet.listed(1, 2, 3)
-    fleet.server.late = 0.2
+    fleet.wait_for_ready(1, 2, 3)
+    fleet.server.answer_delay = 0.2
     fleet.announce(4, timeout=5.0)
-    fleet.listed(1, 2, 3, 4)
-    fleet.server.late = 0.0
-    fleet.server.held = {fleet.follower.client.session.session}
+    fleet.wait_for_ready(1, 2, 3, 4)
+    fleet.server.answer_delay = 0.0
+    fleet.server.muted_sessions = {fleet.follower.client.session.session}
     fleet.until(lambda: ("roster_session", "no connection") in [(e, f.get("state")) for e, f in fleet.logs])
-    fleet.server.held = set()
+    fleet.server.muted_sessions = set()
     fleet.until(lambda: fleet.follower.membership.away_since is None)
-    assert set(fleet.list) == {f"127.0.0.1:{k}" for k in range(1, 5)}
+    assert set(fleet.listed_states) == {f"127.0.0.1:{k}" for k in range(1, 5)}
 
 
-def test_an_older_process_that_wakes_is_fenced_by_its_successor(fleet):
+def test_an_older_process_that_resumes_is_fenced_by_its_successor(fleet):
     old = fleet.announce(1)
-    fleet.listed(1)
-    asleep = old.client
-    fleet.server.expire(asleep.session.session)
-    asleep.stream.pause(True)  # it hears nothing of it
+    fleet.wait_for_ready(1)
+    paused = old.client
+    fleet.server.expire(paused.session.session)
+    paused.stream.pause(True)  # it receives no message of the expiry
     new = fleet.announce(1)
     fleet.until(lambda: new.standing is Standing.LISTED and new.epoch == 2)
-    asleep.stream.pause(False)
+    paused.stream.pause(False)
     fleet.until(lambda: old.standing is Standing.FENCED)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     assert [name for name in fleet.server.store.tree.nodes if name.startswith(ROOT + "/")] == [f"{ROOT}/127.0.0.1:1~2"]
 
 
-def test_bad_nodes_are_told_and_disturb_no_other(fleet):
+def test_invalid_nodes_are_logged_and_affect_no_other(fleet):
     fleet.announce(1)
-    fleet.listed(1)
+    fleet.wait_for_ready(1)
     client = fleet.client()
     for name, data in (
         ("127.0.0.1:9~1", b"{"),
@@ -1082,12 +1094,12 @@
     ):
         assert fleet.ask(client, Create(f"{ROOT}/{name}", data))[0] == OK
     fleet.announce(2)
-    fleet.listed(1, 2)
+    fleet.wait_for_ready(1, 2)
     assert sum(event == "bad_node" for event, _ in fleet.logs) == 4
 
 
 def test_supervise_follows_a_store_and_announce_joins_and_drains(tmp_path):
-    """Real processes of all three."""
+    """Runs the store, the supervisor and the announcer as processes."""
     run = lambda *command: subprocess.Popen(  # noqa: E731
         [sys.executable, "-m", "driftshed.cli", *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
     )
@@ -1190,8 +1202,8 @@
 """
 
 
-def test_a_day_with_a_store_leaves_no_proxy_bare_and_keeps_drains(tmp_path):
-    """Judged from the bytes that passed, the store's own wire among them."""
+def test_a_day_with_a_store_leaves_no_proxy_without_a_server_and_keeps_drains(tmp_path):
+    """Judged from the bytes on the network, including those of the store."""
     from driftshed.day.judge import judge
     from driftshed.day.script import load_script
     from driftshed.day.stage import play as play_day
@@ -1207,7 +1219,7 @@
 
 
 @pytest.mark.parametrize("change", ["store = true", 'type = "deploy"'])
-def test_days_whose_troubles_do_not_go_with_their_roster_are_told(tmp_path, change):
+def test_days_with_faults_that_do_not_fit_their_roster_are_rejected(tmp_path, change):
     from driftshed.day.script import BadScript, load_script
 
     wrong = {"store = true": "store = false", 'type = "deploy"': 'type = "late-roster"'}[change]
@@ -1220,46 +1232,46 @@
         load_script(str(path))
 
 
-def test_damaged_answers_are_told_by_the_client_and_nothing_else():
-    chance = Random(6)
+def test_corrupt_answers_raise_only_malformed_in_the_client():
+    random = Random(6)
     for _ in range(3000):
         session = ClientSession(3.0)
         session.connected(0.0)
-        session.take(jute.write_connected(Connected(3000, 7, b"")), 0.0)
+        session.receive(jute.write_connect_response(ConnectResponse(3000, 7, b"")), 0.0)
         session.ask(GetData("/a", True), lambda error, result: None, 0.0)
         session.ask(GetChildren("/", True, True), lambda error, result: None, 0.0)
         good = jute.write_reply(Reply(1, 5, OK), jute.buffer(b"x") + jute.stat(Stat(*range(11))))
         good += jute.write_event(Event(CHANGED, CONNECTED, "/a"))
         good += jute.write_reply(Reply(2, 6, OK), jute.vector([jute.string("n")]) + jute.stat(Stat(*range(11))))
         data = bytearray(good)
-        for _ in range(chance.randrange(1, 4)):
-            data[chance.randrange(len(data))] = chance.randrange(256)
+        for _ in range(random.randrange(1, 4)):
+            data[random.randrange(len(data))] = random.randrange(256)
         try:
-            session.take(bytes(data), 0.1)
+            session.receive(bytes(data), 0.1)
         except Malformed:
             pass
-        assert len(session.frames.kept) <= jute.MOST_FRAME + 4
+        assert len(session.frames.buffered) <= jute.MAX_FRAME_BYTES + 4
 
 
-# ---- lists longer than a session takes requests -------------------------------------------------------------------
+# ---- lists longer than a session's request limit -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("broken", [0, 3], ids=["untroubled", "its connection reset while it reads"])
-def test_a_list_of_more_nodes_than_requests_may_wait_is_told_whole(broken):
+def test_a_list_of_more_nodes_than_pending_requests_is_published_complete(broken):
     from driftshed.lab.virtual import Seat
-    from driftshed.roster.session import MOST_WAITING
+    from driftshed.roster.session import MAX_PENDING_REQUESTS
     from tests.fleets import STORE
     from tests.fleets import Fleet as Agents
 
-    agents, count, told = Agents(("a",)), MOST_WAITING + 500, []
+    agents, count, updates = Agents(("a",)), MAX_PENDING_REQUESTS + 500, []
     tree = agents.store.store.tree
-    tree.open(7, 60000, bytes(16))
-    tree.do(7, jute.Create("/driftshed", b""), 0)
-    tree.do(7, jute.Create(ROOT, b""), 0)
+    tree.open_session(7, 60000, bytes(16))
+    tree.execute(7, jute.Create("/driftshed", b""), 0)
+    tree.execute(7, jute.Create(ROOT, b""), 0)
     for k in range(count):
         name = f"10.1.{k // 250}.{k % 250}:80"
         data = write_node(Announced(name, "east", "standard", "ready", None, 0, 1.0, 1))
-        assert tree.do(7, jute.Create(f"{ROOT}/{name}~1", data, jute.EPHEMERAL), 0).error == jute.OK
+        assert tree.execute(7, jute.Create(f"{ROOT}/{name}~1", data, jute.EPHEMERAL), 0).error == jute.OK
     agents.network.zones["127.0.9.9"] = "follower"
     follower = RosterFollower(
         Seat(agents.loop, "follower"),
@@ -1268,7 +1280,7 @@
         ("east",),
         ("standard",),
         Membership(4.0, 60.0),
-        told.append,
+        updates.append,
         lambda event, **fields: None,
         1,
         4.0,
@@ -1276,7 +1288,7 @@
     )
     for k in range(broken):
         agents.until(lambda k=k: follower.reads > 600 * (k + 1), 20)
-        agents.store.break_all()
-    agents.until(lambda: told, 60)
-    assert told[0].whole and len({each.server for each in told[0].servers}) == count
-    assert follower.reading == 0 and not follower.unread
+        agents.store.reset_connections()
+    agents.until(lambda: updates, 60)
+    assert updates[0].whole and len({each.server for each in updates[0].servers}) == count
+    assert follower.pending_reads == 0 and not follower.unread
