--- a/driftshed/trace/files.py
+++ b/driftshed/trace/files.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from driftshed.trace.columns import MOST_RECORDS, Batch, TraceError, join
+from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, concatenate
 from driftshed.trace.framing import (
     BLOCK,
     END,
@@ -187,9 +187,9 @@
             view = view[self.file.write(view) :]
 
     def batch(self, batch: Batch) -> None:
-        for start in range(0, batch.size, MOST_RECORDS):
-            rows = np.arange(start, min(batch.size, start + MOST_RECORDS))
-            data, meta = block_bytes(batch if batch.size <= MOST_RECORDS else batch.take(rows))
+        for start in range(0, batch.size, MAX_RECORDS):
+            rows = np.arange(start, min(batch.size, start + MAX_RECORDS))
+            data, meta = block_bytes(batch if batch.size <= MAX_RECORDS else batch.select(rows))
             self.block(data, Place(self.offset, len(data), meta))
 
     def block(self, data: bytes, place: Place) -> None:
@@ -231,10 +231,10 @@
         waiting = self.waiting.setdefault(key, [])
         waiting.append(batch)
         if sum(each.size for each in waiting) >= self.size:
-            self.writer.batch(join(self.waiting.pop(key)))
+            self.writer.batch(concatenate(self.waiting.pop(key)))
 
     def close(self) -> None:
         for waiting in self.waiting.values():
-            self.writer.batch(join(waiting))
+            self.writer.batch(concatenate(waiting))
         self.waiting.clear()
         self.writer.close()
--- a/driftshed/trace/framing.py
+++ b/driftshed/trace/framing.py
@@ -9,7 +9,16 @@
 import xxhash
 import zstandard
 
-from driftshed.trace.columns import MOST_RAW, MOST_RECORDS, Batch, TraceError, make, pack, unpack, values
+from driftshed.trace.columns import (
+    MAX_PAYLOAD_BYTES,
+    MAX_RECORDS,
+    Batch,
+    TraceError,
+    column_values,
+    make_column,
+    pack,
+    unpack,
+)
 
 MAJOR, MINOR = 1, 0
 MAGIC, SYNC, END = b"DSTRACE\n", b"\xd5DSB", b"DSTREND\n"
@@ -68,8 +77,8 @@
 def block_bytes(batch: Batch) -> tuple[bytes, Meta]:
     """A batch as a block. TraceError where it holds more than a block may."""
     raw = pack(batch)
-    if len(raw) > MOST_RAW:
-        raise TraceError(f"a block of {len(raw)} bytes; {MOST_RAW} are the most")
+    if len(raw) > MAX_PAYLOAD_BYTES:
+        raise TraceError(f"a block of {len(raw)} bytes; {MAX_PAYLOAD_BYTES} are the most")
     at = batch.columns["at"][1] if "at" in batch.columns and batch.size else None
     first, last = (int(at.min()), int(at.max())) if at is not None else (0, 0)
     meta = Meta(batch.kind, batch.source, batch.size, first, last, len(raw))
@@ -111,8 +120,8 @@
     payload = data[start : start + stored]
     if len(payload) != stored or struct.unpack_from("<Q", data, start + stored)[0] != xxhash.xxh64_intdigest(payload):
         raise TraceError(f"{where} is damaged: its checksum does not fit")
-    if not 0 <= place.meta.raw <= MOST_RAW:
-        raise TraceError(f"{where} claims {place.meta.raw} bytes; {MOST_RAW} are the most")
+    if not 0 <= place.meta.raw <= MAX_PAYLOAD_BYTES:
+        raise TraceError(f"{where} claims {place.meta.raw} bytes; {MAX_PAYLOAD_BYTES} are the most")
     try:
         # Guards against a small block that unpacks without end: never more than it claims.
         stream = zstandard.ZstdDecompressor().decompressobj()
@@ -126,7 +135,7 @@
 
 def _claims(payload: bytes) -> int:
     size = zstandard.frame_content_size(payload)
-    return size if size >= 0 else MOST_RAW + 1
+    return size if size >= 0 else MAX_PAYLOAD_BYTES + 1
 
 
 def read_batch(data: bytes, place: Place) -> Batch:
@@ -144,9 +153,9 @@
 def index_batches(places: list[Place]) -> list[Batch]:
     """The index as batches of kind `#index`, a record for each block."""
     batches = []
-    for start in range(0, max(1, len(places)), MOST_RECORDS):
-        some = places[start : start + MOST_RECORDS]
-        columns = {"at": ("t", make("t", [place.meta.first for place in some]))}
+    for start in range(0, max(1, len(places)), MAX_RECORDS):
+        some = places[start : start + MAX_RECORDS]
+        columns = {"at": ("t", make_column("t", [place.meta.first for place in some]))}
         for name, kind, values_of in (
             ("last", "t", [place.meta.last for place in some]),
             ("offset", "i", [place.offset for place in some]),
@@ -156,7 +165,7 @@
             ("raw", "i", [place.meta.raw for place in some]),
             ("records", "i", [place.meta.records for place in some]),
         ):
-            columns[name] = kind, make(kind, values_of)
+            columns[name] = kind, make_column(kind, values_of)
         batches.append(Batch(INDEX, "", columns))
     return batches
 
@@ -166,7 +175,7 @@
     wanted = dict(zip(("at", "last", "offset", "length", "kind", "source", "raw", "records"), "ttiissii", strict=True))
     if batch.kind != INDEX or {name: kind for name, (kind, _) in batch.columns.items()} != wanted:
         raise TraceError("the index is not one")
-    plain = {name: values(kind, column) for name, (kind, column) in batch.columns.items()}
+    plain = {name: column_values(kind, column) for name, (kind, column) in batch.columns.items()}
     order = ("offset", "length", "kind", "source", "records", "at", "last", "raw")
     rows = zip(*(plain[name] for name in order), strict=True)
     return [Place(offset, length, Meta(*meta)) for offset, length, *meta in rows]
--- a/driftshed/trace/fuzz.py
+++ b/driftshed/trace/fuzz.py
@@ -10,7 +10,7 @@
 
 import zstandard
 
-from driftshed.trace.columns import MOST_RAW, TraceError, pack
+from driftshed.trace.columns import MAX_PAYLOAD_BYTES, TraceError, pack
 from driftshed.trace.files import TraceFile, TraceFileWriter
 from driftshed.trace.framing import Meta, read_head, read_meta, seal
 from driftshed.trace.generate import batches
@@ -63,7 +63,7 @@
     out = head
     for raw in raws:
         raw = _mutate(random, raw) if random.random() < 0.7 else raw
-        claimed = random.choice([len(raw), len(raw), random.randrange(2 * MOST_RAW)])
+        claimed = random.choice([len(raw), len(raw), random.randrange(2 * MAX_PAYLOAD_BYTES)])
         meta = Meta("invocation", "proxies-0", random.choice([0, 50, 1 << 40]), 0, 1, claimed)
         out += seal(meta, zstandard.ZstdCompressor().compress(raw))
     return out
--- a/driftshed/trace/schema.py
+++ b/driftshed/trace/schema.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from driftshed.trace.columns import Batch, Lists, TraceError, make, values
+from driftshed.trace.columns import Batch, Lists, TraceError, column_values, make_column
 
 # `at`: unix time. `seq`: counts the records of a source, without a hole but where a gap record says so.
 BASE = {"at": "t", "seq": "i"}
@@ -111,7 +111,7 @@
             column = [row[name] for row in rows]
         except KeyError:
             raise TraceError(f"a record of kind {kind} without {name}") from None
-        columns[name] = kind_of, make(kind_of, _micros(kind_of, column))
+        columns[name] = kind_of, make_column(kind_of, _micros(kind_of, column))
     return fold(Batch(kind, source, columns))
 
 
@@ -131,7 +131,7 @@
     """The rows of a batch, times in seconds."""
     columns = {}
     for name, (kind, column) in spread(batch).columns.items():
-        plain = values(kind, column)
+        plain = column_values(kind, column)
         if kind == "t":
             plain = [value / 1e6 for value in plain]
         elif kind == "T":
--- a/driftshed/trace/tools.py
+++ b/driftshed/trace/tools.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from driftshed.trace.clocks import Offset, Unknown, estimate
-from driftshed.trace.columns import TYPES, Batch, Strings, TraceError, make
+from driftshed.trace.columns import COLUMN_TYPES, Batch, Strings, TraceError, make_column
 from driftshed.trace.files import BLOCK_RECORDS, Collector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MINOR
 from driftshed.trace.schema import KINDS, STORED, fold, spread, to_rows
@@ -95,7 +95,7 @@
             batch = file.read(place)
             rows = wanted.rows(batch)
             kept += len(rows)
-            collector.add(batch.take(rows))
+            collector.add(batch.select(rows))
         collector.close()
     return kept
 
@@ -220,7 +220,7 @@
                 elif kind in "sSb" and (name not in PLAIN_TEXT or STORED[batch.kind].get(name) != kind):
                     dropped[f"{batch.kind}.{name}"] += batch.size
                     if name in STORED[batch.kind]:
-                        columns[name] = kind, make(kind, [""] * batch.size)
+                        columns[name] = kind, make_column(kind, [""] * batch.size)
                 elif name in STORED[batch.kind]:
                     columns[name] = kind, column
                 else:
@@ -427,7 +427,9 @@
     def flush(key: tuple[str, str]) -> None:
         rows = waiting.pop(key)
         shape = types[key[0]]
-        columns = {name: (kind, make(kind, _plain(kind, [row[name] for row in rows]))) for name, kind in shape.items()}
+        columns = {
+            name: (kind, make_column(kind, _plain(kind, [row[name] for row in rows]))) for name, kind in shape.items()
+        }
         collector.add(fold(Batch(*key, columns)))
 
     try:
@@ -486,8 +488,8 @@
 
 
 def _shape(shape: object, number: int) -> dict[str, str]:
-    if not isinstance(shape, dict) or not set(map(str, shape.values())) <= set(TYPES):
-        raise TraceError(f"line {number}: types are of {', '.join(TYPES)}")
+    if not isinstance(shape, dict) or not set(map(str, shape.values())) <= set(COLUMN_TYPES):
+        raise TraceError(f"line {number}: types are of {', '.join(COLUMN_TYPES)}")
     return shape
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -20,7 +20,7 @@
 from driftshed.cli import main
 from driftshed.trace import tools
 from driftshed.trace.clocks import Offset, Unknown, estimate
-from driftshed.trace.columns import MOST_RECORDS, Batch, TraceError, make, pack, unpack
+from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, make_column, pack, unpack
 from driftshed.trace.files import Collector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MAGIC, MAJOR, head_bytes, read_head
 from driftshed.trace.fuzz import BOUND, fuzz
@@ -92,7 +92,7 @@
         for n, kind in enumerate(kinds)
     }
     plain["at"] = "t", data.draw(st.lists(INTS, min_size=count, max_size=count))
-    batch = Batch("k", "s", {name: (kind, make(kind, column)) for name, (kind, column) in plain.items()})
+    batch = Batch("k", "s", {name: (kind, make_column(kind, column)) for name, (kind, column) in plain.items()})
     back = unpack(pack(batch))
     assert [(name, kind) for name, (kind, _) in back.columns.items()] == [(n, k) for n, (k, _) in plain.items()]
     for name, (kind, column) in plain.items():
@@ -101,7 +101,7 @@
         assert got == [scale(value) for value in column]
     places = data.draw(st.lists(st.integers(0, count - 1), max_size=5) if count else st.just([]))
     rows = np.array(places, dtype=np.int64)
-    assert to_rows(back.take(rows)) == [to_rows(back)[row] for row in rows]
+    assert to_rows(back.select(rows)) == [to_rows(back)[row] for row in rows]
 
 
 def test_records_come_back_from_a_file_and_by_time(tmp_path):
@@ -201,7 +201,7 @@
 
 def test_a_block_that_claims_or_unpacks_to_too_much_is_refused(tmp_path):
     with pytest.raises(TraceError, match="more than a block may hold"):
-        unpack(pack(Batch("k", "s", {"at": ("t", np.zeros(MOST_RECORDS + 1, dtype=np.int64))})))
+        unpack(pack(Batch("k", "s", {"at": ("t", np.zeros(MAX_RECORDS + 1, dtype=np.int64))})))
     path = tmp_path / "a.dst"
     path.write_bytes(MAGIC + b"\1\0\0\0\xff\xff\xff\xff")
     assert run("verify", path)[0] == 2
