--- a/driftshed/trace/command.py
+++ b/driftshed/trace/command.py
@@ -65,7 +65,7 @@
     base = 0
     if relative:
         with TraceFile(file) as opened:
-            base = min((place.meta.first for place in opened.places), default=0)
+            base = min((place.meta.first_us for place in opened.places), default=0)
     sets = [frozenset(part) or None for part in (kinds, proxies, servers, operations, instances)]
     wanted = tools.Wanted(
         -tools.NO_BYTES if since is None else base + round(since * 1e6),
--- a/driftshed/trace/files.py
+++ b/driftshed/trace/files.py
@@ -14,26 +14,26 @@
 
 from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, concatenate
 from driftshed.trace.framing import (
-    BLOCK,
-    END,
-    HEAD,
-    INDEX,
+    BLOCK_HEADER,
+    BLOCK_MAGIC,
+    END_MAGIC,
+    HEADER,
+    INDEX_KIND,
+    MAX_HEADER_BYTES,
+    MAX_META_BYTES,
     MINOR,
-    MOST_HEAD,
-    MOST_META,
-    SYNC,
-    TAIL,
-    Place,
-    block_bytes,
-    head_bytes,
+    TRAILER,
+    BlockEntry,
+    encode_block,
+    header_bytes,
     index_batches,
     read_batch,
-    read_head,
+    read_block_header,
+    read_header,
     read_index,
-    read_meta,
-    tail_bytes,
+    trailer_bytes,
 )
-from driftshed.trace.schema import spread, to_rows
+from driftshed.trace.schema import expand_invocations, to_rows
 
 CHUNK = 1 << 20
 BLOCK_RECORDS = 8192  # that writers put in a block
@@ -58,14 +58,14 @@
             raise TraceError(f"{path}: {error.strerror}") from None
         self.size = os.fstat(self.file.fileno()).st_size
         try:
-            self.about, self.minor, self.begins = read_head(self.file.read(HEAD.size + MOST_HEAD + 8))
+            self.about, self.minor, self.data_start = read_header(self.file.read(HEADER.size + MAX_HEADER_BYTES + 8))
         except TraceError as error:
             self.file.close()
             raise TraceError(f"{path}: {error}") from None
         self.damages: list[Damage] = []
         places = None if look else self._by_index()
         self.indexed = places is not None
-        self.places: list[Place] = list(self._by_looking()) if places is None else places
+        self.places: list[BlockEntry] = list(self._by_looking()) if places is None else places
 
     def __enter__(self) -> TraceFile:
         return self
@@ -77,56 +77,56 @@
         self.file.seek(offset)
         return self.file.read(size)
 
-    def _place_at(self, offset: int) -> Place:
-        return read_meta(self.bytes_at(offset, BLOCK.size + MOST_META + 4), offset)
+    def _place_at(self, offset: int) -> BlockEntry:
+        return read_block_header(self.bytes_at(offset, BLOCK_HEADER.size + MAX_META_BYTES + 4), offset)
 
-    def _by_index(self) -> list[Place] | None:
+    def _by_index(self) -> list[BlockEntry] | None:
         """The index at the end; None where there is none, or it is not of this file as it stands."""
         try:
-            at, mark = TAIL.unpack(self.bytes_at(max(0, self.size - TAIL.size), TAIL.size))
-            if mark != END or not self.begins <= at < self.size:
+            at, mark = TRAILER.unpack(self.bytes_at(max(0, self.size - TRAILER.size), TRAILER.size))
+            if mark != END_MAGIC or not self.data_start <= at < self.size:
                 return None
             places, offset = [], at
-            while offset < self.size - TAIL.size:
+            while offset < self.size - TRAILER.size:
                 place = self._place_at(offset)
                 places += read_index(read_batch(self.bytes_at(offset, place.length), place))
                 offset += place.length
-            ends = [self.begins, *(each.offset + each.length for each in places)]
+            ends = [self.data_start, *(each.offset + each.length for each in places)]
             whole = [each.offset for each in places] + [at] == ends
-            return places if whole and offset + TAIL.size == self.size else None
+            return places if whole and offset + TRAILER.size == self.size else None
         except (TraceError, struct.error):
             return None
 
-    def _by_looking(self) -> Iterator[Place]:
+    def _by_looking(self) -> Iterator[BlockEntry]:
         """Guards against a lost or old index and against damage: every sound head of a block, from the beginning on;
         after what is not sound, the next mark of a block."""
-        offset = self.begins
+        offset = self.data_start
         while offset < self.size:
             try:
                 place = self._place_at(offset)
                 if offset + place.length > self.size:
                     raise TraceError(f"the block at byte {offset} is cut short")
             except TraceError as error:
-                if self.bytes_at(offset, TAIL.size)[8:] == END:
-                    offset += TAIL.size
+                if self.bytes_at(offset, TRAILER.size)[8:] == END_MAGIC:
+                    offset += TRAILER.size
                     continue
                 self.damages.append(Damage(offset, str(error)))
                 offset = self._next_mark(offset + 1)
                 continue
-            if place.meta.kind != INDEX:
+            if place.meta.kind != INDEX_KIND:
                 yield place
             offset += place.length
 
     def _next_mark(self, offset: int) -> int:
         while offset < self.size:
             data = self.bytes_at(offset, CHUNK)
-            found = data.find(SYNC)
+            found = data.find(BLOCK_MAGIC)
             if found >= 0:
                 return offset + found
-            offset += max(1, len(data) - len(SYNC) + 1)
+            offset += max(1, len(data) - len(BLOCK_MAGIC) + 1)
         return self.size
 
-    def read(self, place: Place) -> Batch:
+    def read(self, place: BlockEntry) -> Batch:
         """The batch of a block; TraceError where it is damaged."""
         return read_batch(self.bytes_at(place.offset, place.length), place)
 
@@ -142,9 +142,9 @@
                         raise
                     self.damages.append(Damage(place.offset, str(error)))
 
-    def streams(self, kinds: set[str] | None = None) -> dict[tuple[str, str], list[Place]]:
+    def streams(self, kinds: set[str] | None = None) -> dict[tuple[str, str], list[BlockEntry]]:
         """The blocks of each kind and source, in the order of writing."""
-        streams: dict[tuple[str, str], list[Place]] = defaultdict(list)
+        streams: dict[tuple[str, str], list[BlockEntry]] = defaultdict(list)
         for place in self.places:
             if kinds is None or place.meta.kind in kinds:
                 streams[place.meta.kind, place.meta.source].append(place)
@@ -154,10 +154,10 @@
         """(its batch, the record as a plain row) of every record by time, in bounded memory: one block of each kind and
         source at a time. Equal times go by source, then by `seq`; within a kind and source in the order of writing."""
 
-        def records(key: tuple[str, str], places: list[Place]) -> Iterator[tuple]:
+        def records(key: tuple[str, str], places: list[BlockEntry]) -> Iterator[tuple]:
             for place in places:
                 try:
-                    batch = spread(self.read(place))
+                    batch = expand_invocations(self.read(place))
                 except TraceError as error:
                     self.damages.append(Damage(place.offset, str(error)))
                     continue
@@ -175,8 +175,8 @@
 
     def __init__(self, path: Path | str, about: dict, minor: int = MINOR, file: BinaryIO | None = None) -> None:
         self.path = Path(path)
-        self.places: list[Place] = []
-        head = head_bytes(about, minor)
+        self.places: list[BlockEntry] = []
+        head = header_bytes(about, minor)
         self.file = file if file is not None else self.path.open("xb", buffering=0)
         self._write(head)
         self.offset = len(head)
@@ -189,10 +189,10 @@
     def batch(self, batch: Batch) -> None:
         for start in range(0, batch.size, MAX_RECORDS):
             rows = np.arange(start, min(batch.size, start + MAX_RECORDS))
-            data, meta = block_bytes(batch if batch.size <= MAX_RECORDS else batch.select(rows))
-            self.block(data, Place(self.offset, len(data), meta))
+            data, meta = encode_block(batch if batch.size <= MAX_RECORDS else batch.select(rows))
+            self.block(data, BlockEntry(self.offset, len(data), meta))
 
-    def block(self, data: bytes, place: Place) -> None:
+    def block(self, data: bytes, place: BlockEntry) -> None:
         """A block as it stands in another file. Where it cannot be written, none of it stays."""
         try:
             self._write(data)
@@ -200,7 +200,7 @@
             self.file.seek(self.offset)
             self.file.truncate()
             raise
-        self.places.append(Place(self.offset, place.length, place.meta))
+        self.places.append(BlockEntry(self.offset, place.length, place.meta))
         self.offset += place.length
 
     def sync(self) -> None:
@@ -210,8 +210,8 @@
         """Writes the index and ends the file. Without it the file is sound, and its index is made anew by readers."""
         try:
             for batch in index_batches(self.places):
-                self._write(block_bytes(batch)[0])
-            self._write(tail_bytes(self.offset))
+                self._write(encode_block(batch)[0])
+            self._write(trailer_bytes(self.offset))
             self.sync()
         finally:
             self.file.close()
--- a/driftshed/trace/framing.py
+++ b/driftshed/trace/framing.py
@@ -1,4 +1,5 @@
-"""The frame of a trace file, bytes alone: the header, blocks that can each be read alone, the index, the end mark."""
+"""The framing of a trace file as bytes, without I/O: the header, independently readable blocks, the index and the
+trailer."""
 
 from __future__ import annotations
 
@@ -21,166 +22,181 @@
 )
 
 MAJOR, MINOR = 1, 0
-MAGIC, SYNC, END = b"DSTRACE\n", b"\xd5DSB", b"DSTREND\n"
-HEAD = struct.Struct("<8sHHI")  # magic, major, minor, length of what follows; then that, and xxh64 of all before
-BLOCK = struct.Struct("<4sIHH")  # sync, stored length, meta length, 0; meta; xxh32 of both; payload; xxh64 of it
-TAIL = struct.Struct("<Q8s")  # where the index block begins, and the end mark
-MOST_HEAD, MOST_META = 1 << 16, 4096
-INDEX = "#index"
-LEVEL = 6  # of zstandard
+MAGIC, BLOCK_MAGIC, END_MAGIC = b"DSTRACE\n", b"\xd5DSB", b"DSTREND\n"
+HEADER = struct.Struct("<8sHHI")  # magic, major, minor, length of the body; then the body, and xxh64 of all before
+# Magic, length of the compressed payload, length of the meta, 0; then the meta, xxh32 of both, the compressed payload,
+# and xxh64 of that.
+BLOCK_HEADER = struct.Struct("<4sIHH")
+TRAILER = struct.Struct("<Q8s")  # offset of the first index block, and the end magic
+MAX_HEADER_BYTES, MAX_META_BYTES = 1 << 16, 4096
+INDEX_KIND = "#index"
+COMPRESSION_LEVEL = 6  # of Zstandard
 
 
-class Meta(NamedTuple):
-    """What a block says of itself: first and last time in whole microseconds; length of its payload unpacked."""
+class BlockMeta(NamedTuple):
+    """Describes the content of a block: first and last record time in whole microseconds, and the size of the
+    uncompressed payload in bytes. Stored as an array in this order."""
 
     kind: str
     source: str
     records: int
-    first: int
-    last: int
-    raw: int
+    first_us: int
+    last_us: int
+    payload_size: int
 
 
-class Place(NamedTuple):
-    """A block and where it stands."""
+class BlockEntry(NamedTuple):
+    """A block with its offset and length in the file, both in bytes."""
 
     offset: int
     length: int
-    meta: Meta
+    meta: BlockMeta
 
 
-def head_bytes(about: dict, minor: int = MINOR) -> bytes:
+def header_bytes(about: dict, minor: int = MINOR) -> bytes:
+    """Encodes the header of a file. `about`: the description of the trace."""
     body = msgspec.msgpack.encode(about)
-    head = HEAD.pack(MAGIC, MAJOR, minor, len(body)) + body
-    return head + struct.pack("<Q", xxhash.xxh64_intdigest(head))
+    header = HEADER.pack(MAGIC, MAJOR, minor, len(body)) + body
+    return header + struct.pack("<Q", xxhash.xxh64_intdigest(header))
 
 
-def read_head(data: bytes) -> tuple[dict, int, int]:
-    """What the header says, the minor version, and its length. TraceError where it is none of ours."""
-    if len(data) < HEAD.size or data[:8] != MAGIC:
-        raise TraceError("this is no trace file: it does not begin as one")
-    _, major, minor, size = HEAD.unpack_from(data)
+def read_header(data: bytes) -> tuple[dict, int, int]:
+    """Decodes the header: the description of the trace, the minor version, and the length of the header in bytes.
+    Raises TraceError if it is not a trace header, is damaged, or has another major version."""
+    if len(data) < HEADER.size or data[:8] != MAGIC:
+        raise TraceError("this is no trace file: it does not begin with the magic bytes")
+    _, major, minor, size = HEADER.unpack_from(data)
     if major != MAJOR:
-        raise TraceError(f"trace format {major}.{minor}: this program reads version {MAJOR} alone; use a newer one")
-    end = HEAD.size + size
-    if size > MOST_HEAD or len(data) < end + 8:
-        raise TraceError("the header is cut short")
+        raise TraceError(f"trace format {major}.{minor}: this program reads only version {MAJOR}; use a newer one")
+    end = HEADER.size + size
+    if size > MAX_HEADER_BYTES or len(data) < end + 8:
+        raise TraceError("the header is truncated")
     if struct.unpack_from("<Q", data, end)[0] != xxhash.xxh64_intdigest(data[:end]):
-        raise TraceError("the header is damaged: its checksum does not fit")
+        raise TraceError("the header is damaged: checksum mismatch")
     try:
-        about = msgspec.msgpack.decode(data[HEAD.size : end], type=dict)
+        about = msgspec.msgpack.decode(data[HEADER.size : end], type=dict)
     except msgspec.DecodeError:
-        raise TraceError("the header is damaged: it cannot be read") from None
+        raise TraceError("the header is damaged: it cannot be decoded") from None
     return about, minor, end + 8
 
 
-def block_bytes(batch: Batch) -> tuple[bytes, Meta]:
-    """A batch as a block. TraceError where it holds more than a block may."""
-    raw = pack(batch)
-    if len(raw) > MAX_PAYLOAD_BYTES:
-        raise TraceError(f"a block of {len(raw)} bytes; {MAX_PAYLOAD_BYTES} are the most")
-    at = batch.columns["at"][1] if "at" in batch.columns and batch.size else None
-    first, last = (int(at.min()), int(at.max())) if at is not None else (0, 0)
-    meta = Meta(batch.kind, batch.source, batch.size, first, last, len(raw))
-    return seal(meta, zstandard.ZstdCompressor(level=LEVEL).compress(raw)), meta
-
-
-def seal(meta: Meta, stored: bytes) -> bytes:
-    about = msgspec.msgpack.encode(meta)
-    head = BLOCK.pack(SYNC, len(stored), len(about), 0) + about
-    sums = struct.pack("<I", xxhash.xxh32_intdigest(head)), struct.pack("<Q", xxhash.xxh64_intdigest(stored))
-    return head + sums[0] + stored + sums[1]
-
-
-def read_meta(data: bytes, offset: int) -> Place:
-    """The block whose first bytes these are, at an offset of its file, by its head alone. TraceError where there is no
-    sound head of a block."""
-    if data[:4] != SYNC or len(data) < BLOCK.size:
-        raise TraceError(f"no block begins at byte {offset}")
-    _, stored, size, _ = BLOCK.unpack_from(data)
-    end = BLOCK.size + size
-    if size > MOST_META or len(data) < end + 4:
-        raise TraceError(f"the block at byte {offset} is cut short")
+def encode_block(batch: Batch) -> tuple[bytes, BlockMeta]:
+    """Encodes a batch as a block. Raises TraceError if the payload exceeds MAX_PAYLOAD_BYTES."""
+    payload = pack(batch)
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise TraceError(f"block payload of {len(payload)} bytes; the limit is {MAX_PAYLOAD_BYTES}")
+    times = batch.columns["at"][1] if "at" in batch.columns and batch.size else None
+    first_us, last_us = (int(times.min()), int(times.max())) if times is not None else (0, 0)
+    meta = BlockMeta(batch.kind, batch.source, batch.size, first_us, last_us, len(payload))
+    return frame_block(meta, zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(payload)), meta
+
+
+def frame_block(meta: BlockMeta, compressed: bytes) -> bytes:
+    """Adds the block header and both checksums to a compressed payload."""
+    encoded_meta = msgspec.msgpack.encode(meta)
+    header = BLOCK_HEADER.pack(BLOCK_MAGIC, len(compressed), len(encoded_meta), 0) + encoded_meta
+    checksums = struct.pack("<I", xxhash.xxh32_intdigest(header)), struct.pack("<Q", xxhash.xxh64_intdigest(compressed))
+    return header + checksums[0] + compressed + checksums[1]
+
+
+def read_block_header(data: bytes, offset: int) -> BlockEntry:
+    """Reads the header of the block whose first bytes are `data`; `offset` is its position in the file. The payload
+    need not be present. Raises TraceError if there is no intact block header."""
+    if data[:4] != BLOCK_MAGIC or len(data) < BLOCK_HEADER.size:
+        raise TraceError(f"no block starts at byte {offset}")
+    _, compressed_size, meta_size, _ = BLOCK_HEADER.unpack_from(data)
+    end = BLOCK_HEADER.size + meta_size
+    if meta_size > MAX_META_BYTES or len(data) < end + 4:
+        raise TraceError(f"the block at byte {offset} is truncated")
     if struct.unpack_from("<I", data, end)[0] != xxhash.xxh32_intdigest(data[:end]):
-        raise TraceError(f"the block at byte {offset} is damaged in its head")
+        raise TraceError(f"the header of the block at byte {offset} is damaged")
     try:
-        meta = msgspec.msgpack.decode(data[BLOCK.size : end], type=Meta)
+        meta = msgspec.msgpack.decode(data[BLOCK_HEADER.size : end], type=BlockMeta)
     except msgspec.DecodeError:
-        raise TraceError(f"the block at byte {offset} is damaged in its head") from None
-    return Place(offset, BLOCK.size + size + 4 + stored + 8, meta)
-
-
-def read_payload(data: bytes, place: Place) -> bytes:
-    """A block's payload, unpacked, from the bytes of that block alone."""
-    where = f"the block at byte {place.offset}"
-    if len(data) < place.length:
-        raise TraceError(f"{where} is cut short")
-    _, stored, size, _ = BLOCK.unpack_from(data)
-    start = BLOCK.size + size + 4
-    payload = data[start : start + stored]
-    if len(payload) != stored or struct.unpack_from("<Q", data, start + stored)[0] != xxhash.xxh64_intdigest(payload):
-        raise TraceError(f"{where} is damaged: its checksum does not fit")
-    if not 0 <= place.meta.raw <= MAX_PAYLOAD_BYTES:
-        raise TraceError(f"{where} claims {place.meta.raw} bytes; {MAX_PAYLOAD_BYTES} are the most")
+        raise TraceError(f"the header of the block at byte {offset} is damaged") from None
+    return BlockEntry(offset, BLOCK_HEADER.size + meta_size + 4 + compressed_size + 8, meta)
+
+
+def read_payload(data: bytes, block: BlockEntry) -> bytes:
+    """The decompressed payload of a block; `data` is the whole block. Raises TraceError if it is truncated or
+    damaged."""
+    where = f"the block at byte {block.offset}"
+    if len(data) < block.length:
+        raise TraceError(f"{where} is truncated")
+    _, compressed_size, meta_size, _ = BLOCK_HEADER.unpack_from(data)
+    start = BLOCK_HEADER.size + meta_size + 4
+    compressed = data[start : start + compressed_size]
+    if len(compressed) != compressed_size or struct.unpack_from("<Q", data, start + compressed_size)[
+        0
+    ] != xxhash.xxh64_intdigest(compressed):
+        raise TraceError(f"{where} is damaged: checksum mismatch")
+    if not 0 <= block.meta.payload_size <= MAX_PAYLOAD_BYTES:
+        raise TraceError(
+            f"{where} declares a payload of {block.meta.payload_size} bytes; the limit is {MAX_PAYLOAD_BYTES}"
+        )
     try:
-        # Guards against a small block that unpacks without end: never more than it claims.
-        stream = zstandard.ZstdDecompressor().decompressobj()
-        raw = stream.decompress(payload) if _claims(payload) <= place.meta.raw else b""
+        # Guards against decompression bombs: a block is never decompressed to more than its meta declares.
+        decompressor = zstandard.ZstdDecompressor().decompressobj()
+        payload = decompressor.decompress(compressed) if _declared_size(compressed) <= block.meta.payload_size else b""
     except zstandard.ZstdError as error:
-        raise TraceError(f"{where} cannot be unpacked: {error}") from None
-    if len(raw) != place.meta.raw:
-        raise TraceError(f"{where} unpacks to {len(raw)} bytes, not to {place.meta.raw}")
-    return raw
+        raise TraceError(f"{where} cannot be decompressed: {error}") from None
+    if len(payload) != block.meta.payload_size:
+        raise TraceError(f"{where} decompresses to {len(payload)} bytes instead of {block.meta.payload_size}")
+    return payload
 
 
-def _claims(payload: bytes) -> int:
-    size = zstandard.frame_content_size(payload)
+def _declared_size(compressed: bytes) -> int:
+    """The decompressed size from the Zstandard frame header; over every limit where the frame does not state it."""
+    size = zstandard.frame_content_size(compressed)
     return size if size >= 0 else MAX_PAYLOAD_BYTES + 1
 
 
-def read_batch(data: bytes, place: Place) -> Batch:
-    """The batch of a block. TraceError names the block where it cannot be read."""
+def read_batch(data: bytes, block: BlockEntry) -> Batch:
+    """Decodes the batch of a block; `data` is the whole block. Raises TraceError with the offset of the block if it
+    cannot be read."""
     try:
-        batch = unpack(read_payload(data, place))
+        batch = unpack(read_payload(data, block))
     except TraceError as error:
         text = str(error)
-        raise TraceError(text if "at byte" in text else f"the block at byte {place.offset}: {text}") from None
-    if (batch.kind, batch.source, batch.size) != place.meta[:3]:
-        raise TraceError(f"the block at byte {place.offset} holds something else than its head says")
+        raise TraceError(text if "at byte" in text else f"the block at byte {block.offset}: {text}") from None
+    if (batch.kind, batch.source, batch.size) != block.meta[:3]:
+        raise TraceError(f"the content of the block at byte {block.offset} does not match its header")
     return batch
 
 
-def index_batches(places: list[Place]) -> list[Batch]:
-    """The index as batches of kind `#index`, a record for each block."""
+def index_batches(blocks: list[BlockEntry]) -> list[Batch]:
+    """Encodes the index as batches of kind `#index` with one record per block; at least one batch."""
     batches = []
-    for start in range(0, max(1, len(places)), MAX_RECORDS):
-        some = places[start : start + MAX_RECORDS]
-        columns = {"at": ("t", make_column("t", [place.meta.first for place in some]))}
-        for name, kind, values_of in (
-            ("last", "t", [place.meta.last for place in some]),
-            ("offset", "i", [place.offset for place in some]),
-            ("length", "i", [place.length for place in some]),
-            ("kind", "s", [place.meta.kind for place in some]),
-            ("source", "s", [place.meta.source for place in some]),
-            ("raw", "i", [place.meta.raw for place in some]),
-            ("records", "i", [place.meta.records for place in some]),
+    for start in range(0, max(1, len(blocks)), MAX_RECORDS):
+        part = blocks[start : start + MAX_RECORDS]
+        columns = {"at": ("t", make_column("t", [block.meta.first_us for block in part]))}
+        for name, column_type, values in (
+            ("last", "t", [block.meta.last_us for block in part]),
+            ("offset", "i", [block.offset for block in part]),
+            ("length", "i", [block.length for block in part]),
+            ("kind", "s", [block.meta.kind for block in part]),
+            ("source", "s", [block.meta.source for block in part]),
+            ("raw", "i", [block.meta.payload_size for block in part]),
+            ("records", "i", [block.meta.records for block in part]),
         ):
-            columns[name] = kind, make_column(kind, values_of)
-        batches.append(Batch(INDEX, "", columns))
+            columns[name] = column_type, make_column(column_type, values)
+        batches.append(Batch(INDEX_KIND, "", columns))
     return batches
 
 
-def read_index(batch: Batch) -> list[Place]:
-    """The places that an index batch tells; TraceError where it is none."""
-    wanted = dict(zip(("at", "last", "offset", "length", "kind", "source", "raw", "records"), "ttiissii", strict=True))
-    if batch.kind != INDEX or {name: kind for name, (kind, _) in batch.columns.items()} != wanted:
-        raise TraceError("the index is not one")
-    plain = {name: column_values(kind, column) for name, (kind, column) in batch.columns.items()}
+def read_index(batch: Batch) -> list[BlockEntry]:
+    """Decodes one batch of the index. Raises TraceError if it is not one."""
+    expected = dict(
+        zip(("at", "last", "offset", "length", "kind", "source", "raw", "records"), "ttiissii", strict=True)
+    )
+    if batch.kind != INDEX_KIND or {name: kind for name, (kind, _) in batch.columns.items()} != expected:
+        raise TraceError("the index has other columns than expected")
+    values = {name: column_values(kind, column) for name, (kind, column) in batch.columns.items()}
     order = ("offset", "length", "kind", "source", "records", "at", "last", "raw")
-    rows = zip(*(plain[name] for name in order), strict=True)
-    return [Place(offset, length, Meta(*meta)) for offset, length, *meta in rows]
+    rows = zip(*(values[name] for name in order), strict=True)
+    return [BlockEntry(offset, length, BlockMeta(*meta)) for offset, length, *meta in rows]
 
 
-def tail_bytes(offset: int) -> bytes:
-    """The end of a file whose index begins at an offset."""
-    return TAIL.pack(offset, END)
+def trailer_bytes(offset: int) -> bytes:
+    """Encodes the trailer of a file whose index starts at `offset`."""
+    return TRAILER.pack(offset, END_MAGIC)
--- a/driftshed/trace/fuzz.py
+++ b/driftshed/trace/fuzz.py
@@ -12,7 +12,7 @@
 
 from driftshed.trace.columns import MAX_PAYLOAD_BYTES, TraceError, pack
 from driftshed.trace.files import TraceFile, TraceFileWriter
-from driftshed.trace.framing import Meta, read_head, read_meta, seal
+from driftshed.trace.framing import BlockMeta, frame_block, read_block_header, read_header
 from driftshed.trace.generate import batches
 from driftshed.trace.schema import to_rows
 
@@ -64,8 +64,8 @@
     for raw in raws:
         raw = _mutate(random, raw) if random.random() < 0.7 else raw
         claimed = random.choice([len(raw), len(raw), random.randrange(2 * MAX_PAYLOAD_BYTES)])
-        meta = Meta("invocation", "proxies-0", random.choice([0, 50, 1 << 40]), 0, 1, claimed)
-        out += seal(meta, zstandard.ZstdCompressor().compress(raw))
+        meta = BlockMeta("invocation", "proxies-0", random.choice([0, 50, 1 << 40]), 0, 1, claimed)
+        out += frame_block(meta, zstandard.ZstdCompressor().compress(raw))
     return out
 
 
@@ -81,13 +81,13 @@
         writer.batch(batch)
     writer.close()
     data = sound.read_bytes()
-    _, _, begins = read_head(data)
-    assert read_meta(data[begins:], begins).meta.records
+    _, _, data_start = read_header(data)
+    assert read_block_header(data[data_start:], data_start).meta.records
     raws, until = [pack(batch) for batch in made], time.monotonic() + seconds
     tracemalloc.start()
     try:
         while time.monotonic() < until and files < most:
-            mutant = _mutate(random, data) if random.random() < 0.5 else _sealed(random, data[:begins], raws)
+            mutant = _mutate(random, data) if random.random() < 0.5 else _sealed(random, data[:data_start], raws)
             broken.write_bytes(mutant)
             tracemalloc.reset_peak()
             refused += bool(_read_all(broken))
--- a/driftshed/trace/generate.py
+++ b/driftshed/trace/generate.py
@@ -8,7 +8,7 @@
 
 from driftshed.trace.columns import Batch, Lists, Strings
 from driftshed.trace.files import BLOCK_RECORDS
-from driftshed.trace.schema import fold
+from driftshed.trace.schema import compact_invocations
 
 OPERATIONS, VALUES = ["plan-lookup", "purchase-split", "history-read"], np.array([1.0, 5.0, 2.0])
 OUTCOMES = ["succeeded", "late", "errored", "rate-limited"]
@@ -57,4 +57,4 @@
             "outcomes": ("S", Lists(counts, Strings(outcome_of_try, TRIES))),
         }
         seq[source] += count
-        yield fold(Batch("invocation", f"proxies-{source}", columns))
+        yield compact_invocations(Batch("invocation", f"proxies-{source}", columns))
--- a/driftshed/trace/tools.py
+++ b/driftshed/trace/tools.py
@@ -18,7 +18,7 @@
 from driftshed.trace.columns import COLUMN_TYPES, Batch, Strings, TraceError, make_column
 from driftshed.trace.files import BLOCK_RECORDS, Collector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MINOR
-from driftshed.trace.schema import KINDS, STORED, fold, spread, to_rows
+from driftshed.trace.schema import KINDS, STORED_KINDS, compact_invocations, expand_invocations, to_rows
 from driftshed.trace.writer import free_name
 
 NO_BYTES = 1 << 62
@@ -83,11 +83,11 @@
         collector = Collector(opened(out, file.about | {"cut": True}, file.minor))
         for place in file.places:
             meta = place.meta
-            if meta.last < wanted.since or meta.first >= wanted.until:
+            if meta.last_us < wanted.since or meta.first_us >= wanted.until:
                 continue
             if wanted.kinds is not None and meta.kind not in wanted.kinds and meta.kind != "gap":
                 continue
-            if not wanted.by_row and wanted.since <= meta.first and meta.last < wanted.until:
+            if not wanted.by_row and wanted.since <= meta.first_us and meta.last_us < wanted.until:
                 file.read(place)  # what is damaged is told, not handed on
                 collector.writer.block(file.bytes_at(place.offset, place.length), place)
                 kept += meta.records
@@ -144,7 +144,7 @@
             for place in file.places:
                 # Those of an unknown clock stand behind the others: no order across halls is pretended.
                 group = 0 if known[number] else 1 + number
-                places.append((group, place.meta.first - round(shift * 1e6), number, place))
+                places.append((group, place.meta.first_us - round(shift * 1e6), number, place))
         records = 0
         for _, _, number, place in sorted(places, key=lambda row: row[:3]):
             file = files[number]
@@ -217,11 +217,11 @@
                     for code in used.tolist():
                         table[code] = pseudonym(table[code])
                     columns[name] = kind, Strings(column.codes, table)
-                elif kind in "sSb" and (name not in PLAIN_TEXT or STORED[batch.kind].get(name) != kind):
+                elif kind in "sSb" and (name not in PLAIN_TEXT or STORED_KINDS[batch.kind].get(name) != kind):
                     dropped[f"{batch.kind}.{name}"] += batch.size
-                    if name in STORED[batch.kind]:
+                    if name in STORED_KINDS[batch.kind]:
                         columns[name] = kind, make_column(kind, [""] * batch.size)
-                elif name in STORED[batch.kind]:
+                elif name in STORED_KINDS[batch.kind]:
                     columns[name] = kind, column
                 else:
                     dropped[f"{batch.kind}.{name}"] += batch.size
@@ -254,7 +254,7 @@
             if batch.kind == "gap":
                 lost += int(batch.ints("lost").sum())
             if batch.kind == "invocation":
-                _add_invocations(spread(batch), operations, servers)
+                _add_invocations(expand_invocations(batch), operations, servers)
         return {
             "file": file.path.name,
             "format": f"1.{file.minor}",
@@ -430,7 +430,7 @@
         columns = {
             name: (kind, make_column(kind, _plain(kind, [row[name] for row in rows]))) for name, kind in shape.items()
         }
-        collector.add(fold(Batch(*key, columns)))
+        collector.add(compact_invocations(Batch(*key, columns)))
 
     try:
         for number, line in enumerate(lines, 1):
--- a/driftshed/trace/writer.py
+++ b/driftshed/trace/writer.py
@@ -12,7 +12,7 @@
 from driftshed.trace.columns import TraceError
 from driftshed.trace.files import BLOCK_RECORDS, TraceFile, TraceFileWriter
 from driftshed.trace.replay import core_version
-from driftshed.trace.schema import by_kind
+from driftshed.trace.schema import to_batches
 
 MOST_WAITING = 32  # handovers that wait for the disk; what comes then is dropped and counted
 HOLD = 1.0  # seconds after which records are handed over though they are few
@@ -28,7 +28,7 @@
         if file.indexed:
             return len(file.places), 0
         places = file.places
-        end = max((place.offset + place.length for place in places), default=file.begins)
+        end = max((place.offset + place.length for place in places), default=file.data_start)
         size = file.size
     with path.open("r+b") as raw:
         raw.truncate(end)
@@ -167,10 +167,10 @@
             if gap:
                 since, until, count, why = gap
                 row = {"at": since, "seq": 0, "until": until, "lost": count, "why": why}
-                self.file.batch(by_kind([("gap", self.source, row)])[0])
+                self.file.batch(to_batches([("gap", self.source, row)])[0])
                 gap = None
             before = len(self.file.places)
-            for batch in by_kind(rows):
+            for batch in to_batches(rows):
                 self.file.batch(batch)
             self.written += sum(place.meta.records for place in self.file.places[before:])
         except (OSError, TraceError) as error:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -22,12 +22,12 @@
 from driftshed.trace.clocks import Offset, Unknown, estimate
 from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, make_column, pack, unpack
 from driftshed.trace.files import Collector, TraceFile, TraceFileWriter
-from driftshed.trace.framing import MAGIC, MAJOR, head_bytes, read_head
+from driftshed.trace.framing import MAGIC, MAJOR, header_bytes, read_header
 from driftshed.trace.fuzz import BOUND, fuzz
 from driftshed.trace.generate import batches
 from driftshed.trace.recording import Recording
 from driftshed.trace.replay import Replay
-from driftshed.trace.schema import STORED, by_kind, to_rows
+from driftshed.trace.schema import STORED_KINDS, to_batches, to_rows
 from driftshed.trace.tools import Wanted
 from driftshed.trace.writer import MOST_WAITING, TraceWriter, close_cleanly
 from tests.test_core import joined_instance, play
@@ -49,7 +49,7 @@
     """(kind, source, row)s as a trace, blocks of so many."""
     writer = TraceFileWriter(path, about or {"source": "test"}, minor)
     for start in range(0, len(rows), size):
-        for batch in by_kind(rows[start : start + size]):
+        for batch in to_batches(rows[start : start + size]):
             writer.batch(batch)
     writer.close()
     return path
@@ -163,7 +163,7 @@
 def test_a_flipped_bit_anywhere_is_found_the_block_named_and_the_rest_read(tmp_path):
     path = write(tmp_path / "a.dst", [invocation(n) for n in range(60)], size=20)
     with TraceFile(path) as file:
-        places, size, begins = file.places, file.size, file.begins
+        places, size, begins = file.places, file.size, file.data_start
     data, broken = path.read_bytes(), tmp_path / "broken.dst"
     for at in range(size):
         broken.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
@@ -184,12 +184,12 @@
     path = write(tmp_path / "a.dst", [invocation(n) for n in range(20)])
     other = write(tmp_path / "b.dst", [invocation(n) for n in range(20, 50)])
     with TraceFile(other) as file:
-        more = file.bytes_at(file.begins, file.places[0].length)
+        more = file.bytes_at(file.data_start, file.places[0].length)
     whole = path.read_bytes()
     path.write_bytes(whole + more)  # written behind the end mark
     assert len(rows_of(path)) == 50 and tools.verify(path).index == "none"
     with TraceFile(other) as file:
-        begins = file.begins
+        begins = file.data_start
     path.write_bytes(whole[:begins] + more + whole[begins:])  # and before what the index tells of
     assert len(rows_of(path)) == 50 and run("verify", path)[0] == 1
 
@@ -238,14 +238,14 @@
 
 
 def test_a_newer_major_version_is_refused_in_a_plain_sentence(tmp_path):
-    head = bytearray(head_bytes({}))
+    head = bytearray(header_bytes({}))
     head[8] = MAJOR + 1
     path = tmp_path / "a.dst"
     path.write_bytes(bytes(head))
     code, said = run("summary", path)
     assert code == 2 and f"trace format {MAJOR + 1}.0" in said and "use a newer one" in said
     with pytest.raises(TraceError, match="no trace file"):
-        read_head(b"PK\3\4 something else entirely")
+        read_header(b"PK\3\4 something else entirely")
 
 
 # ---- tools ----------------------------------------------------------------------------------------------------------
@@ -619,4 +619,4 @@
         collector.close()
     assert (tmp_path / "a").read_bytes() == (tmp_path / "b").read_bytes()
     with TraceFile(tmp_path / "a") as file:
-        assert set(next(file.batches()).columns) == set(STORED["invocation"])
+        assert set(next(file.batches()).columns) == set(STORED_KINDS["invocation"])
