--- a/driftshed/trace/command.py
+++ b/driftshed/trace/command.py
@@ -15,11 +15,11 @@
 from driftshed.trace import tools
 from driftshed.trace.clocks import Offset
 from driftshed.trace.columns import TraceError
-from driftshed.trace.files import Collector, TraceFile, TraceFileWriter
+from driftshed.trace.files import BlockCollector, TraceFile, TraceFileWriter
 from driftshed.trace.fuzz import fuzz as run_fuzz
 from driftshed.trace.generate import batches
 from driftshed.trace.replay import Replay, core_version
-from driftshed.trace.writer import free_name
+from driftshed.trace.writer import require_new_path
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 OUT = click.Path(dir_okay=False, path_type=Path)
@@ -65,7 +65,7 @@
     base = 0
     if relative:
         with TraceFile(file) as opened:
-            base = min((place.meta.first_us for place in opened.places), default=0)
+            base = min((block.meta.first_us for block in opened.blocks), default=0)
     sets = [frozenset(part) or None for part in (kinds, proxies, servers, operations, instances)]
     wanted = tools.Wanted(
         -tools.NO_BYTES if since is None else base + round(since * 1e6),
@@ -147,7 +147,7 @@
         if str(out) == "-":
             tools.to_lines(file, sys.stdout.buffer)
             return
-        free_name(out)
+        require_new_path(out)
         with out.open("wb") as sink:
             _say(records=tools.to_lines(file, sink))
         return
@@ -164,7 +164,7 @@
 def show(file, kinds, most) -> None:
     """Records by time, a line each."""
     with TraceFile(file) as opened:
-        for shown, (batch, row) in enumerate(opened.in_order(set(kinds) or None)):
+        for shown, (batch, row) in enumerate(opened.records_by_time(set(kinds) or None)):
             if shown >= most:
                 break
             at, seq = row.pop("at"), row.pop("seq", "")
@@ -184,8 +184,8 @@
 @click.option("--sources", type=click.IntRange(1, 1000), default=4, show_default=True)
 def generate(out, records, seed, sources) -> None:
     """A synthetic trace."""
-    free_name(out)
-    collector = Collector(TraceFileWriter(out, {"source": "generated", "seed": seed}))
+    require_new_path(out)
+    collector = BlockCollector(TraceFileWriter(out, {"source": "generated", "seed": seed}))
     for batch in batches(records, seed, sources):
         collector.add(batch)
     collector.close()
@@ -201,7 +201,7 @@
     playing = Replay(other_core, deciders=DECIDERS)
     for file in files:
         with TraceFile(file) as opened:
-            for batch, row in opened.in_order({"start", "turn", "switch", "decision"}):
+            for batch, row in opened.records_by_time({"start", "turn", "switch", "decision"}):
                 getattr(playing, batch.kind)(row)
             for damage in opened.damages:
                 click.echo(f"{file}: byte {damage.offset}: {damage.why}", err=True)
--- a/driftshed/trace/files.py
+++ b/driftshed/trace/files.py
@@ -1,4 +1,4 @@
-"""Trace files: reading them block by block, whatever is wrong with them, and writing them."""
+"""Reading trace files block by block, also damaged ones, and writing them."""
 
 from __future__ import annotations
 
@@ -35,22 +35,23 @@
 )
 from driftshed.trace.schema import expand_invocations, to_rows
 
-CHUNK = 1 << 20
-BLOCK_RECORDS = 8192  # that writers put in a block
+SCAN_CHUNK_BYTES = 1 << 20
+RECORDS_PER_BLOCK = 8192  # written by default; readers accept up to MAX_RECORDS
 
 
 class Damage(NamedTuple):
-    """A stretch of a file that is no sound block."""
+    """A position of a file at which no intact block could be read, and the reason."""
 
     offset: int
     why: str
 
 
 class TraceFile:
-    """A trace open for reading. `places`: its blocks, by its index where it has a sound one, else found by looking.
-    `indexed` says which; `damages`: what is not sound, as far as was looked."""
+    """A trace file open for reading. `blocks`: its blocks, from its index if that is valid (`indexed`), else found by
+    scanning the file. `damages`: the damage found so far, by the scan and by reading blocks."""
 
-    def __init__(self, path: Path | str, look: bool = False) -> None:
+    def __init__(self, path: Path | str, scan: bool = False) -> None:
+        """Opens the file; `scan` ignores its index. Raises TraceError if it cannot be opened or has no valid header."""
         self.path = Path(path)
         try:
             self.file = self.path.open("rb")
@@ -63,9 +64,9 @@
             self.file.close()
             raise TraceError(f"{path}: {error}") from None
         self.damages: list[Damage] = []
-        places = None if look else self._by_index()
-        self.indexed = places is not None
-        self.places: list[BlockEntry] = list(self._by_looking()) if places is None else places
+        blocks = None if scan else self._read_index()
+        self.indexed = blocks is not None
+        self.blocks: list[BlockEntry] = list(self._scan_blocks()) if blocks is None else blocks
 
     def __enter__(self) -> TraceFile:
         return self
@@ -73,143 +74,152 @@
     def __exit__(self, *_: object) -> None:
         self.file.close()
 
-    def bytes_at(self, offset: int, size: int) -> bytes:
+    def read_bytes(self, offset: int, size: int) -> bytes:
+        """Up to `size` bytes at `offset`; fewer at the end of the file."""
         self.file.seek(offset)
         return self.file.read(size)
 
-    def _place_at(self, offset: int) -> BlockEntry:
-        return read_block_header(self.bytes_at(offset, BLOCK_HEADER.size + MAX_META_BYTES + 4), offset)
+    def _block_at(self, offset: int) -> BlockEntry:
+        return read_block_header(self.read_bytes(offset, BLOCK_HEADER.size + MAX_META_BYTES + 4), offset)
 
-    def _by_index(self) -> list[BlockEntry] | None:
-        """The index at the end; None where there is none, or it is not of this file as it stands."""
+    def _read_index(self) -> list[BlockEntry] | None:
+        """Reads the index at the end of the file; None if there is none, or if it does not describe the file
+        exactly."""
         try:
-            at, mark = TRAILER.unpack(self.bytes_at(max(0, self.size - TRAILER.size), TRAILER.size))
-            if mark != END_MAGIC or not self.data_start <= at < self.size:
+            index_start, magic = TRAILER.unpack(self.read_bytes(max(0, self.size - TRAILER.size), TRAILER.size))
+            if magic != END_MAGIC or not self.data_start <= index_start < self.size:
                 return None
-            places, offset = [], at
+            blocks, offset = [], index_start
             while offset < self.size - TRAILER.size:
-                place = self._place_at(offset)
-                places += read_index(read_batch(self.bytes_at(offset, place.length), place))
-                offset += place.length
-            ends = [self.data_start, *(each.offset + each.length for each in places)]
-            whole = [each.offset for each in places] + [at] == ends
-            return places if whole and offset + TRAILER.size == self.size else None
+                block = self._block_at(offset)
+                blocks += read_index(read_batch(self.read_bytes(offset, block.length), block))
+                offset += block.length
+            ends = [self.data_start, *(each.offset + each.length for each in blocks)]
+            contiguous = [each.offset for each in blocks] + [index_start] == ends
+            return blocks if contiguous and offset + TRAILER.size == self.size else None
         except (TraceError, struct.error):
             return None
 
-    def _by_looking(self) -> Iterator[BlockEntry]:
-        """Guards against a lost or old index and against damage: every sound head of a block, from the beginning on;
-        after what is not sound, the next mark of a block."""
+    def _scan_blocks(self) -> Iterator[BlockEntry]:
+        """Finds the blocks without the index, for files whose index is missing or outdated, or that are damaged: reads
+        block headers from the start of the data, and after damage continues at the next block magic."""
         offset = self.data_start
         while offset < self.size:
             try:
-                place = self._place_at(offset)
-                if offset + place.length > self.size:
-                    raise TraceError(f"the block at byte {offset} is cut short")
+                block = self._block_at(offset)
+                if offset + block.length > self.size:
+                    raise TraceError(f"the block at byte {offset} is truncated")
             except TraceError as error:
-                if self.bytes_at(offset, TRAILER.size)[8:] == END_MAGIC:
+                if self.read_bytes(offset, TRAILER.size)[8:] == END_MAGIC:
                     offset += TRAILER.size
                     continue
                 self.damages.append(Damage(offset, str(error)))
-                offset = self._next_mark(offset + 1)
+                offset = self._find_block_magic(offset + 1)
                 continue
-            if place.meta.kind != INDEX_KIND:
-                yield place
-            offset += place.length
+            if block.meta.kind != INDEX_KIND:
+                yield block
+            offset += block.length
 
-    def _next_mark(self, offset: int) -> int:
+    def _find_block_magic(self, offset: int) -> int:
+        """The offset of the next block magic, or the end of the file."""
         while offset < self.size:
-            data = self.bytes_at(offset, CHUNK)
+            data = self.read_bytes(offset, SCAN_CHUNK_BYTES)
             found = data.find(BLOCK_MAGIC)
             if found >= 0:
                 return offset + found
             offset += max(1, len(data) - len(BLOCK_MAGIC) + 1)
         return self.size
 
-    def read(self, place: BlockEntry) -> Batch:
-        """The batch of a block; TraceError where it is damaged."""
-        return read_batch(self.bytes_at(place.offset, place.length), place)
+    def read(self, block: BlockEntry) -> Batch:
+        """Reads the batch of a block. Raises TraceError if it is damaged."""
+        return read_batch(self.read_bytes(block.offset, block.length), block)
 
     def batches(self, kinds: set[str] | None = None, strict: bool = False) -> Iterator[Batch]:
-        """All batches that can be read, in the order of the file; those that cannot are noted in `damages`, or with
-        `strict` raise."""
-        for place in self.places:
-            if kinds is None or place.meta.kind in kinds:
+        """All readable batches in file order. A damaged block is added to `damages`, or with `strict` raises
+        TraceError."""
+        for block in self.blocks:
+            if kinds is None or block.meta.kind in kinds:
                 try:
-                    yield self.read(place)
+                    yield self.read(block)
                 except TraceError as error:
                     if strict:
                         raise
-                    self.damages.append(Damage(place.offset, str(error)))
+                    self.damages.append(Damage(block.offset, str(error)))
 
     def streams(self, kinds: set[str] | None = None) -> dict[tuple[str, str], list[BlockEntry]]:
-        """The blocks of each kind and source, in the order of writing."""
+        """The blocks of each (kind, source), in the order of writing."""
         streams: dict[tuple[str, str], list[BlockEntry]] = defaultdict(list)
-        for place in self.places:
-            if kinds is None or place.meta.kind in kinds:
-                streams[place.meta.kind, place.meta.source].append(place)
+        for block in self.blocks:
+            if kinds is None or block.meta.kind in kinds:
+                streams[block.meta.kind, block.meta.source].append(block)
         return streams
 
-    def in_order(self, kinds: set[str] | None = None) -> Iterator[tuple[Batch, dict]]:
-        """(its batch, the record as a plain row) of every record by time, in bounded memory: one block of each kind and
-        source at a time. Equal times go by source, then by `seq`; within a kind and source in the order of writing."""
+    def records_by_time(self, kinds: set[str] | None = None) -> Iterator[tuple[Batch, dict]]:
+        """All records by time, each as (its batch, its row). Memory is bounded: one block of each kind and source is
+        decoded at a time. Records of equal time are ordered by source, then by `seq`; records of one kind and source
+        stay in the order of writing. Damaged blocks are skipped and added to `damages`."""
 
-        def records(key: tuple[str, str], places: list[BlockEntry]) -> Iterator[tuple]:
-            for place in places:
+        def records(key: tuple[str, str], blocks: list[BlockEntry]) -> Iterator[tuple]:
+            for block in blocks:
                 try:
-                    batch = expand_invocations(self.read(place))
+                    batch = expand_invocations(self.read(block))
                 except TraceError as error:
-                    self.damages.append(Damage(place.offset, str(error)))
+                    self.damages.append(Damage(block.offset, str(error)))
                     continue
                 seqs = batch.ints("seq").tolist() if "seq" in batch.columns else range(batch.size)
                 for at, seq, row in zip(batch.ints("at").tolist(), seqs, to_rows(batch), strict=True):
                     yield at, key[1], seq, key[0], row, batch
 
-        streams = [records(key, places) for key, places in self.streams(kinds).items()]
+        streams = [records(key, blocks) for key, blocks in self.streams(kinds).items()]
         for *_, row, batch in heapq.merge(*streams, key=lambda each: each[:4]):
             yield batch, row
 
 
 class TraceFileWriter:
-    """Writes a trace: blocks as they are given, at the end the index. `sync()` puts it on the disk."""
+    """Writes a trace file: blocks in the order of the calls, and the index on `close`."""
 
     def __init__(self, path: Path | str, about: dict, minor: int = MINOR, file: BinaryIO | None = None) -> None:
+        """Creates the file, which must not exist, and writes its header; or writes to `file`, which must be
+        unbuffered."""
         self.path = Path(path)
-        self.places: list[BlockEntry] = []
-        head = header_bytes(about, minor)
+        self.blocks: list[BlockEntry] = []
+        header = header_bytes(about, minor)
         self.file = file if file is not None else self.path.open("xb", buffering=0)
-        self._write(head)
-        self.offset = len(head)
+        self._write(header)
+        self.offset = len(header)
 
     def _write(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
             view = view[self.file.write(view) :]
 
-    def batch(self, batch: Batch) -> None:
+    def write_batch(self, batch: Batch) -> None:
+        """Writes a batch as one block, or as several if it has more than MAX_RECORDS records."""
         for start in range(0, batch.size, MAX_RECORDS):
             rows = np.arange(start, min(batch.size, start + MAX_RECORDS))
             data, meta = encode_block(batch if batch.size <= MAX_RECORDS else batch.select(rows))
-            self.block(data, BlockEntry(self.offset, len(data), meta))
+            self.write_block(data, BlockEntry(self.offset, len(data), meta))
 
-    def block(self, data: bytes, place: BlockEntry) -> None:
-        """A block as it stands in another file. Where it cannot be written, none of it stays."""
+    def write_block(self, data: bytes, block: BlockEntry) -> None:
+        """Writes an encoded block; the offset in `block` is ignored. After an OSError the file is truncated to its
+        previous length, so that no partial block remains."""
         try:
             self._write(data)
         except OSError:
             self.file.seek(self.offset)
             self.file.truncate()
             raise
-        self.places.append(BlockEntry(self.offset, place.length, place.meta))
-        self.offset += place.length
+        self.blocks.append(BlockEntry(self.offset, block.length, block.meta))
+        self.offset += block.length
 
     def sync(self) -> None:
+        """Flushes the file to disk (fsync)."""
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
-        """Writes the index and ends the file. Without it the file is sound, and its index is made anew by readers."""
+        """Writes index and trailer and closes the file. A file without them is still readable: readers scan it."""
         try:
-            for batch in index_batches(self.places):
+            for batch in index_batches(self.blocks):
                 self._write(encode_block(batch)[0])
             self._write(trailer_bytes(self.offset))
             self.sync()
@@ -217,24 +227,28 @@
             self.file.close()
 
 
-class Collector:
-    """Gathers batches into blocks of a fit size, kind by kind and source by source, and writes those that are full."""
+class BlockCollector:
+    """Collects batches per kind, source and set of columns, and writes them as blocks of at least `records_per_block`
+    records. `close` also closes the writer."""
 
-    def __init__(self, writer: TraceFileWriter, size: int = BLOCK_RECORDS) -> None:
-        self.writer, self.size = writer, size
-        self.waiting: dict[tuple, list[Batch]] = {}
+    def __init__(self, writer: TraceFileWriter, records_per_block: int = RECORDS_PER_BLOCK) -> None:
+        """Writes to `writer`, which it owns from then on."""
+        self.writer, self.records_per_block = writer, records_per_block
+        self.pending: dict[tuple, list[Batch]] = {}
 
     def add(self, batch: Batch) -> None:
+        """Adds a batch; an empty one is ignored."""
         if not batch.size:
             return
         key = batch.kind, batch.source, tuple((name, kind) for name, (kind, _) in batch.columns.items())
-        waiting = self.waiting.setdefault(key, [])
-        waiting.append(batch)
-        if sum(each.size for each in waiting) >= self.size:
-            self.writer.batch(concatenate(self.waiting.pop(key)))
+        pending = self.pending.setdefault(key, [])
+        pending.append(batch)
+        if sum(each.size for each in pending) >= self.records_per_block:
+            self.writer.write_batch(concatenate(self.pending.pop(key)))
 
     def close(self) -> None:
-        for waiting in self.waiting.values():
-            self.writer.batch(concatenate(waiting))
-        self.waiting.clear()
+        """Writes the remaining records and closes the writer."""
+        for pending in self.pending.values():
+            self.writer.write_batch(concatenate(pending))
+        self.pending.clear()
         self.writer.close()
--- a/driftshed/trace/fuzz.py
+++ b/driftshed/trace/fuzz.py
@@ -28,9 +28,9 @@
 def _read_all(path: Path) -> int:
     """The records that can be read, as every tool reads them."""
     refused = 0
-    for look in (False, True):
+    for scan in (False, True):
         try:
-            with TraceFile(path, look=look) as file:
+            with TraceFile(path, scan=scan) as file:
                 for batch in file.batches():
                     to_rows(batch)
                 refused += len(file.damages)
@@ -78,7 +78,7 @@
     made = list(batches(150, seed, sources=3))
     writer = TraceFileWriter(sound, {"source": "fuzz"})
     for batch in made:
-        writer.batch(batch)
+        writer.write_batch(batch)
     writer.close()
     data = sound.read_bytes()
     _, _, data_start = read_header(data)
--- a/driftshed/trace/generate.py
+++ b/driftshed/trace/generate.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 from driftshed.trace.columns import Batch, Lists, Strings
-from driftshed.trace.files import BLOCK_RECORDS
+from driftshed.trace.files import RECORDS_PER_BLOCK
 from driftshed.trace.schema import compact_invocations
 
 OPERATIONS, VALUES = ["plan-lookup", "purchase-split", "history-read"], np.array([1.0, 5.0, 2.0])
@@ -22,7 +22,7 @@
     at, seq = [1_790_000_000_000_000] * sources, [0] * sources
     left, turn = records, 0
     while left > 0:
-        count, source = min(BLOCK_RECORDS, left), turn % sources
+        count, source = min(RECORDS_PER_BLOCK, left), turn % sources
         left, turn = left - count, turn + 1
         times = at[source] + np.cumsum(chance.exponential(sources / 940 * 1e6, count).astype(np.int64))
         at[source] = int(times[-1])
--- a/driftshed/trace/tools.py
+++ b/driftshed/trace/tools.py
@@ -16,16 +16,16 @@
 
 from driftshed.trace.clocks import Offset, Unknown, estimate
 from driftshed.trace.columns import COLUMN_TYPES, Batch, Strings, TraceError, make_column
-from driftshed.trace.files import BLOCK_RECORDS, Collector, TraceFile, TraceFileWriter
+from driftshed.trace.files import RECORDS_PER_BLOCK, BlockCollector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MINOR
 from driftshed.trace.schema import KINDS, STORED_KINDS, compact_invocations, expand_invocations, to_rows
-from driftshed.trace.writer import free_name
+from driftshed.trace.writer import require_new_path
 
 NO_BYTES = 1 << 62
 
 
 def opened(out: Path, about: dict, minor: int) -> TraceFileWriter:
-    free_name(out)
+    require_new_path(out)
     return TraceFileWriter(out, about, max(minor, MINOR))
 
 
@@ -65,12 +65,12 @@
 
 def _has(batch: Batch, name: str, wanted: Iterable[str]) -> np.ndarray:
     codes, table = batch.columns[name][1]
-    return np.isin(codes, [place for place, text in enumerate(table) if text in wanted])
+    return np.isin(codes, [code for code, text in enumerate(table) if text in wanted])
 
 
 def _has_any(batch: Batch, name: str, wanted: Iterable[str]) -> np.ndarray:
     counts, items = batch.columns[name][1]
-    found = np.isin(items.codes, [place for place, text in enumerate(items.table) if text in wanted])
+    found = np.isin(items.codes, [code for code, text in enumerate(items.table) if text in wanted])
     ends = np.cumsum(counts)
     sums = np.concatenate(([0], np.cumsum(found)))
     return sums[ends] - sums[ends - counts] > 0
@@ -80,19 +80,19 @@
     """Writes what is wanted of a trace; how many records. Blocks that stay whole are taken over as they are."""
     kept = 0
     with TraceFile(path) as file:
-        collector = Collector(opened(out, file.about | {"cut": True}, file.minor))
-        for place in file.places:
-            meta = place.meta
+        collector = BlockCollector(opened(out, file.about | {"cut": True}, file.minor))
+        for block in file.blocks:
+            meta = block.meta
             if meta.last_us < wanted.since or meta.first_us >= wanted.until:
                 continue
             if wanted.kinds is not None and meta.kind not in wanted.kinds and meta.kind != "gap":
                 continue
             if not wanted.by_row and wanted.since <= meta.first_us and meta.last_us < wanted.until:
-                file.read(place)  # what is damaged is told, not handed on
-                collector.writer.block(file.bytes_at(place.offset, place.length), place)
+                file.read(block)  # what is damaged is told, not handed on
+                collector.writer.write_block(file.read_bytes(block.offset, block.length), block)
                 kept += meta.records
                 continue
-            batch = file.read(place)
+            batch = file.read(block)
             rows = wanted.rows(batch)
             kept += len(rows)
             collector.add(batch.select(rows))
@@ -138,22 +138,22 @@
         writer = opened(out, about, max(file.minor for file in files))
         offsets = [None, *(clock if isinstance(clock, Offset) else None for clock in clocks)]
         known = [True, *(isinstance(clock, Offset) for clock in clocks)]
-        places = []
+        blocks = []
         for number, file in enumerate(files):
             shift = offsets[number].value if offsets[number] else 0.0
-            for place in file.places:
+            for block in file.blocks:
                 # Those of an unknown clock stand behind the others: no order across halls is pretended.
                 group = 0 if known[number] else 1 + number
-                places.append((group, place.meta.first_us - round(shift * 1e6), number, place))
+                blocks.append((group, block.meta.first_us - round(shift * 1e6), number, block))
         records = 0
-        for _, _, number, place in sorted(places, key=lambda row: row[:3]):
+        for _, _, number, block in sorted(blocks, key=lambda row: row[:3]):
             file = files[number]
-            batch = file.read(place)
+            batch = file.read(block)
             records += batch.size
             if offsets[number] is None:
-                writer.block(file.bytes_at(place.offset, place.length), place)
+                writer.write_block(file.read_bytes(block.offset, block.length), block)
             else:
-                writer.batch(_shifted(batch, offsets[number]))
+                writer.write_batch(_shifted(batch, offsets[number]))
         writer.close()
     finally:
         for file in files:
@@ -204,7 +204,7 @@
 
     with TraceFile(path) as file:
         about = {name: value for name, value in file.about.items() if name in KEPT_ABOUT} | {"anonymised": True}
-        collector = Collector(opened(out, about, MINOR))
+        collector = BlockCollector(opened(out, about, MINOR))
         for batch in file.batches(strict=True):
             if batch.kind == "note" or batch.kind not in KINDS:
                 dropped[batch.kind] += batch.size
@@ -277,8 +277,8 @@
     codes, table = batch.columns["operation"][1]
     outcomes = batch.columns["outcome"][1]
     took, value, counts = batch.ints("took"), batch.ints("value"), batch.columns["servers"][1].counts
-    for place, name in enumerate(table):
-        rows = np.flatnonzero(codes == place)
+    for code, name in enumerate(table):
+        rows = np.flatnonzero(codes == code)
         if len(rows):
             row = operations.setdefault(
                 name,
@@ -304,7 +304,7 @@
 def _told(row: dict) -> dict:
     edges, whole = np.append(EDGES, EDGES[-1]), np.cumsum(row["took"])
     places = {q: np.searchsorted(whole, q / 100 * whole[-1]) for q in (50, 99)}
-    quantiles = {f"p{q}_s": round(float(edges[place]) / 1e6, 4) for q, place in places.items()}
+    quantiles = {f"p{q}_s": round(float(edges[index]) / 1e6, 4) for q, index in places.items()}
     return {
         "count": row["count"],
         "value": round(row["value"], 6),
@@ -343,15 +343,15 @@
     """Looks at every byte of a trace."""
     with TraceFile(path) as by_index:
         indexed, size = by_index.indexed, by_index.size
-        tail = by_index.bytes_at(max(0, size - 8), 8)
-    with TraceFile(path, look=True) as file:
+        tail = by_index.read_bytes(max(0, size - 8), 8)
+    with TraceFile(path, scan=True) as file:
         records = blocks = total = 0
         last, seqs = None, defaultdict(lambda: [0, 0, 0, 0])  # least, most, how many, told lost
-        for place in file.places:
+        for block in file.blocks:
             try:
-                batch = file.read(place)
+                batch = file.read(block)
             except TraceError as error:
-                file.damages.append((place.offset, str(error)))
+                file.damages.append((block.offset, str(error)))
                 continue
             records, blocks = records + batch.size, blocks + 1
             if digest:
@@ -384,15 +384,15 @@
 def repair(path: Path, out: Path) -> tuple[int, list]:
     """Every sound block of a trace in a new one with its index; the records kept, and what was not sound."""
     records = 0
-    with TraceFile(path, look=True) as file:
+    with TraceFile(path, scan=True) as file:
         writer = opened(out, file.about | {"repaired": True}, file.minor)
-        for place in file.places:
+        for block in file.blocks:
             try:
-                records += file.read(place).size
+                records += file.read(block).size
             except TraceError as error:
-                file.damages.append((place.offset, str(error)))
+                file.damages.append((block.offset, str(error)))
                 continue
-            writer.block(file.bytes_at(place.offset, place.length), place)
+            writer.write_block(file.read_bytes(block.offset, block.length), block)
         writer.close()
         return records, [tuple(damage) for damage in file.damages]
 
@@ -406,7 +406,7 @@
     count, shapes, told = 0, {}, {}
     with TraceFile(path) as file:
         sink.write(msgspec.json.encode({"trace": file.about, "minor": file.minor}) + b"\n")
-        for batch, row in file.in_order():
+        for batch, row in file.records_by_time():
             if told.get(batch.kind) is not batch.columns:
                 told[batch.kind] = batch.columns
                 shape = {name: kind for name, (kind, _) in batch.columns.items()}
@@ -440,7 +440,7 @@
             if collector is None:
                 if not isinstance(row.get("trace"), dict):
                     raise TraceError('line 1: {"trace": {...}} is wanted first')
-                collector = Collector(opened(out, row["trace"], _minor(row)))
+                collector = BlockCollector(opened(out, row["trace"], _minor(row)))
             elif "types" in row:
                 for key in [key for key in waiting if key[0] == row.get("kind")]:
                     flush(key)
@@ -454,7 +454,7 @@
                     raise TraceError(f"line {number}: a record of kind {kind} has the fields {', '.join(types[kind])}")
                 waiting[kind, source].append(row)
                 count += 1
-                if len(waiting[kind, source]) >= BLOCK_RECORDS:
+                if len(waiting[kind, source]) >= RECORDS_PER_BLOCK:
                     flush((kind, source))
         for key in list(waiting):
             flush(key)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -21,7 +21,7 @@
 from driftshed.trace import tools
 from driftshed.trace.clocks import Offset, Unknown, estimate
 from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, make_column, pack, unpack
-from driftshed.trace.files import Collector, TraceFile, TraceFileWriter
+from driftshed.trace.files import BlockCollector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MAGIC, MAJOR, header_bytes, read_header
 from driftshed.trace.fuzz import BOUND, fuzz
 from driftshed.trace.generate import batches
@@ -29,7 +29,7 @@
 from driftshed.trace.replay import Replay
 from driftshed.trace.schema import STORED_KINDS, to_batches, to_rows
 from driftshed.trace.tools import Wanted
-from driftshed.trace.writer import MOST_WAITING, TraceWriter, close_cleanly
+from driftshed.trace.writer import MAX_QUEUED_BATCHES, TraceWriter, recover_file
 from tests.test_core import joined_instance, play
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -50,7 +50,7 @@
     writer = TraceFileWriter(path, about or {"source": "test"}, minor)
     for start in range(0, len(rows), size):
         for batch in to_batches(rows[start : start + size]):
-            writer.batch(batch)
+            writer.write_batch(batch)
     writer.close()
     return path
 
@@ -74,8 +74,8 @@
     return "invocation", source, row | more
 
 
-def rows_of(path: Path, look: bool = False) -> list:
-    with TraceFile(path, look=look) as file:
+def rows_of(path: Path, scan: bool = False) -> list:
+    with TraceFile(path, scan=scan) as file:
         return [(batch.kind, batch.source, row) for batch in file.batches() for row in to_rows(batch)]
 
 
@@ -110,18 +110,18 @@
     key = lambda row: (row[1], row[2]["seq"])  # noqa: E731
     assert sorted(rows_of(path), key=key) == sorted(rows, key=key)
     with TraceFile(path) as file:
-        assert file.indexed and [row["seq"] for _, row in file.in_order()] == list(range(2500))
+        assert file.indexed and [row["seq"] for _, row in file.records_by_time()] == list(range(2500))
 
 
 def test_equal_times_and_records_out_of_order_keep_all_and_a_steady_order(tmp_path):
     rows = [invocation(n, at=1e9 + (n * 7 % 5) / 10, source=f"p{n % 3}") for n in range(300)]
     path = write(tmp_path / "a.dst", rows)
     with TraceFile(path) as file:
-        once = [(batch.source, row["seq"]) for batch, row in file.in_order()]
-        assert once == [(batch.source, row["seq"]) for batch, row in file.in_order()] and len(set(once)) == 300
+        once = [(batch.source, row["seq"]) for batch, row in file.records_by_time()]
+        assert once == [(batch.source, row["seq"]) for batch, row in file.records_by_time()] and len(set(once)) == 300
     same = write(tmp_path / "b.dst", [invocation(n, at=1e9, source=f"p{2 - n % 3}") for n in range(30)])
     with TraceFile(same) as file:
-        shown = [(batch.source, row["seq"]) for batch, row in file.in_order()]
+        shown = [(batch.source, row["seq"]) for batch, row in file.records_by_time()]
     assert shown == sorted(shown)
 
 
@@ -144,11 +144,11 @@
 def test_a_file_cut_at_every_byte_of_its_last_two_blocks_loses_what_was_cut_and_no_more(tmp_path):
     path = write(tmp_path / "a.dst", [invocation(n) for n in range(60)], size=20)
     with TraceFile(path) as file:
-        places, size = file.places, file.size
+        blocks, size = file.blocks, file.size
     data, cut, mended = path.read_bytes(), tmp_path / "cut.dst", tmp_path / "mended.dst"
-    for end in range(places[1].offset, size):
+    for end in range(blocks[1].offset, size):
         cut.write_bytes(data[:end])
-        whole = sum(place.offset + place.length <= end for place in places)
+        whole = sum(block.offset + block.length <= end for block in blocks)
         found = tools.verify(cut)
         assert found.records == 20 * whole and found.last[2] == 20 * whole - 1 and found.index == "none"
         mended.unlink(missing_ok=True)
@@ -157,13 +157,13 @@
             assert file.indexed
         if end % 7 == 0:
             assert rows_of(mended) == [invocation(n) for n in range(20 * whole)]
-            assert close_cleanly(cut)[0] == whole and tools.verify(cut).index == "sound"
+            assert recover_file(cut)[0] == whole and tools.verify(cut).index == "sound"
 
 
 def test_a_flipped_bit_anywhere_is_found_the_block_named_and_the_rest_read(tmp_path):
     path = write(tmp_path / "a.dst", [invocation(n) for n in range(60)], size=20)
     with TraceFile(path) as file:
-        places, size, begins = file.places, file.size, file.data_start
+        blocks, size, begins = file.blocks, file.size, file.data_start
     data, broken = path.read_bytes(), tmp_path / "broken.dst"
     for at in range(size):
         broken.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
@@ -172,7 +172,7 @@
                 tools.verify(broken)
             continue
         found = tools.verify(broken)
-        hit = [place for place in places if place.offset <= at < place.offset + place.length]
+        hit = [block for block in blocks if block.offset <= at < block.offset + block.length]
         assert found.records == 60 - 20 * len(hit), at
         if hit:
             assert found.damages[0][0] == hit[0].offset and str(hit[0].offset) in found.damages[0][1]
@@ -184,7 +184,7 @@
     path = write(tmp_path / "a.dst", [invocation(n) for n in range(20)])
     other = write(tmp_path / "b.dst", [invocation(n) for n in range(20, 50)])
     with TraceFile(other) as file:
-        more = file.bytes_at(file.data_start, file.places[0].length)
+        more = file.read_bytes(file.data_start, file.blocks[0].length)
     whole = path.read_bytes()
     path.write_bytes(whole + more)  # written behind the end mark
     assert len(rows_of(path)) == 50 and tools.verify(path).index == "none"
@@ -287,7 +287,7 @@
         code, said = run("anonymise", path, tmp_path / out)
         assert code == 0 and json.loads(said)["dropped"]["note"] == 40
     with TraceFile(tmp_path / "b.dst") as file:
-        layers = [str(file.about).encode(), *(pack(file.read(place)) for place in file.places)]
+        layers = [str(file.about).encode(), *(pack(file.read(block)) for block in file.blocks)]
         layers.append((tmp_path / "b.dst").read_bytes())
     for name in names:
         assert not any(name.encode() in layer or name.partition("-")[2].encode() in layer for layer in layers)
@@ -396,8 +396,8 @@
     clock = json.loads(said)["clocks"][0]
     assert code == 0 and abs(clock["offset_s"] - 17.25) <= clock["bound_s"] < 0.01
     with TraceFile(tmp_path / "both.dst") as file:
-        order = [(row["id"], row["sent"]) for batch, row in file.in_order({"message"})]
-        assert file.about["clocks"]["two.dst"]["messages"] and sum(1 for _ in file.in_order()) == 1000
+        order = [(row["id"], row["sent"]) for batch, row in file.records_by_time({"message"})]
+        assert file.about["clocks"]["two.dst"]["messages"] and sum(1 for _ in file.records_by_time()) == 1000
     places = {name: place for place, name in enumerate(order)}
     assert all(places[name, 1] < places[name, 0] for name, sent in order)
 
@@ -407,7 +407,7 @@
     code, said = run("merge", one, two, tmp_path / "both.dst")
     assert code == 0 and "unknown" in said and "share no message" in said
     with TraceFile(tmp_path / "both.dst") as file:
-        sources = [place.meta.source for place in file.places]
+        sources = [block.meta.source for block in file.blocks]
     assert sources == sorted(sources)  # one hall after the other
     assert min(row["at"] for kind, source, row in rows_of(tmp_path / "both.dst") if source == "two") > 1e9 + 17
 
@@ -424,10 +424,10 @@
 
 def test_a_writer_rotates_by_size_and_goes_on_behind_its_last_file(tmp_path):
     for _ in range(2):
-        writer = TraceWriter(tmp_path, "p", size=2000)
+        writer = TraceWriter(tmp_path, "p", max_file_bytes=2000)
         for n in range(40):
             writer.add("note", 1e9 + n, text=f"{n} " + os.urandom(200).hex())
-            writer.tick()
+            writer.flush()
             settle(lambda writer=writer: writer.queue.empty())
         assert writer.close() and writer.lost == 0
     files = sorted(tmp_path.glob("*.dst"))
@@ -459,10 +459,10 @@
     Stuck.slow = lambda: bool(go)
     try:
         writer = TraceWriter(tmp_path, "p", opener=Stuck)
-        for n in range(3 * MOST_WAITING):
+        for n in range(3 * MAX_QUEUED_BATCHES):
             writer.add("note", 1e9 + n, text="x")
-            writer.tick()  # never waits
-        assert writer.lost >= MOST_WAITING and len(writer.rows) == 0
+            writer.flush()  # never waits
+        assert writer.lost >= MAX_QUEUED_BATCHES and len(writer.rows) == 0
         go.append(1)
         settle(lambda: writer.queue.empty())
         writer.add("note", 2e9, text="y")
@@ -470,7 +470,7 @@
     finally:
         Stuck.slow = None
     kept, lost = gaps(tmp_path)
-    assert lost == writer.lost and kept + lost == 3 * MOST_WAITING + 1
+    assert lost == writer.lost and kept + lost == 3 * MAX_QUEUED_BATCHES + 1
     assert all(not tools.verify(file).missing for file in tmp_path.glob("*.dst"))
 
 
@@ -480,11 +480,11 @@
         for n in range(30):
             Stuck.room = not 10 <= n < 20
             writer.add("note", 1e9 + n, text="x")
-            writer.tick()
+            writer.flush()
             before = writer.written + writer.lost
             settle(lambda before=before: writer.queue.empty() and writer.written + writer.lost >= before)
             time.sleep(0.02)
-        assert writer.close() and "No space" in writer.error
+        assert writer.close() and "No space" in writer.last_error
     finally:
         Stuck.room = True
     kept, lost = gaps(tmp_path)
@@ -501,7 +501,7 @@
 writer = TraceWriter(Path(sys.argv[1]), "p")
 for n in range(60):
     writer.add("note", 1e9 + n, text=os.urandom(100).hex())
-    writer.tick()
+    writer.flush()
     while not writer.queue.empty(): time.sleep(0.005)
 time.sleep(0.1)
 print(writer.lost, flush=True)
@@ -532,7 +532,7 @@
 def verdicts(path: Path, **more) -> list:
     replay = Replay(**more)
     with TraceFile(path) as file:
-        for batch, row in file.in_order({"start", "turn"}):
+        for batch, row in file.records_by_time({"start", "turn"}):
             replay.start(row) if batch.kind == "start" else replay.turn(row)
     return replay.verdicts()
 
@@ -613,7 +613,7 @@
 
 def test_generated_traces_are_the_same_for_a_seed(tmp_path):
     for name in ("a", "b"):
-        collector = Collector(TraceFileWriter(tmp_path / name, {}))
+        collector = BlockCollector(TraceFileWriter(tmp_path / name, {}))
         for batch in batches(20000, 5):
             collector.add(batch)
         collector.close()
