--- a/driftshed/trace/recording.py
+++ b/driftshed/trace/recording.py
@@ -1,4 +1,4 @@
-"""Recording a supervisor's instance: every batch that its module heard and every order that it gave."""
+"""Records an instance of the decisions module in a supervisor: every batch of events and the orders that followed."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from driftshed.core.hosting import Fault
 from driftshed.core.instance import Instance
-from driftshed.trace.replay import RAISED, core_version, encode_facts, encode_records
+from driftshed.trace.replay import ERROR_PREFIX, core_version, encode_facts, encode_records
 from driftshed.trace.writer import TraceWriter
 
 
 class Encoded:
-    """Events or orders that are encoded when they are written, on the writer's thread."""
+    """Events or orders whose encoding is deferred until they are written, on the writer's thread."""
 
     __slots__ = ("records",)
 
     def __init__(self, records: list) -> None:
+        """Keeps the list itself, which must not change afterwards."""
         self.records = records
 
     def __bytes__(self) -> bytes:
@@ -23,25 +24,27 @@
 
 
 class Recording:
-    """Hooks a writer to an instance."""
+    """Connects an instance to a trace writer through the callbacks of the instance."""
 
     def __init__(self, instance: Instance, writer: TraceWriter) -> None:
-        self.instance, self.writer, self.begin, self.count = instance, writer, -1, 0
+        """Sets the callbacks of the instance and records its start; a previous `on_fault` is still called."""
+        self.instance, self.writer, self.begin_number, self.turn_number = instance, writer, -1, 0
         self.core = core_version()
-        instance.on_turn, instance.on_begin, instance.on_switch = self._turn, self._begin, self._switch
-        self.was_fault, instance.on_fault = instance.on_fault, self._fault
-        self._begin(instance.seed, instance.began)
+        instance.on_turn, instance.on_begin, instance.on_switch = self._turn, self._start, self._switch
+        self.previous_on_fault, instance.on_fault = instance.on_fault, self._fault
+        self._start(instance.seed, instance.began)
 
-    def unix(self, now: float) -> float:
+    def unix_time(self, now: float) -> float:
+        """The unix time of a moment on the instance's clock, in seconds."""
         return now - self.instance.roster.wall
 
-    def _begin(self, seed: int, now: float) -> None:
-        self.begin, self.count = self.begin + 1, 0
+    def _start(self, seed: int, now: float) -> None:
+        self.begin_number, self.turn_number = self.begin_number + 1, 0
         self.writer.add(
             "start",
-            self.unix(now),
+            self.unix_time(now),
             run=self.instance.hub.run,
-            begin=self.begin,
+            begin=self.begin_number,
             now=now,
             seed=seed,
             core=self.core,
@@ -49,43 +52,43 @@
         )
 
     def _switch(self, now: float) -> None:
-        """The instance goes by other facts from its next turn on."""
+        """The instance uses other facts from its next turn on."""
         self.writer.add(
             "switch",
-            self.unix(now),
+            self.unix_time(now),
             run=self.instance.hub.run,
-            begin=self.begin,
-            turn=self.count,
+            begin=self.begin_number,
+            turn=self.turn_number,
             now=now,
             facts=encode_facts(self.instance.facts),
         )
 
     def _turn(self, now: float, events: list, orders: list) -> None:
-        self._add(now, Encoded(events), Encoded(orders))
+        self._add_turn(now, Encoded(events), Encoded(orders))
 
-    def _add(self, now: float, events: object, orders: object) -> None:
+    def _add_turn(self, now: float, events: object, orders: object) -> None:
         self.writer.add(
             "turn",
-            self.unix(now),
+            self.unix_time(now),
             run=self.instance.hub.run,
-            begin=self.begin,
-            turn=self.count,
+            begin=self.begin_number,
+            turn=self.turn_number,
             now=now,
             events=events,
             orders=orders,
         )
-        self.count += 1
+        self.turn_number += 1
 
     def _fault(self, fault: Fault) -> None:
         now, events = fault.turns[-1]
-        self._add(now, Encoded(events), RAISED + fault.error.encode())
-        self.was_fault(fault)
+        self._add_turn(now, Encoded(events), ERROR_PREFIX + fault.error.encode())
+        self.previous_on_fault(fault)
 
     def decided(self, now: float, what: str, topic: str, given: object, said: object) -> None:
-        """A decision of one of the parts that supervisors settle together, with all that it rests on."""
+        """Records a decision that the supervisors agree on (`said`), with all its inputs (`given`)."""
         self.writer.add(
             "decision",
-            self.unix(now),
+            self.unix_time(now),
             run=self.instance.hub.run,
             what=what,
             topic=topic,
@@ -94,5 +97,5 @@
         )
 
     def message(self, now: float, name: str, sent: bool) -> None:
-        """A message that a proxy's trace sees from its side."""
-        self.writer.add("message", self.unix(now), id=name, sent=int(sent))
+        """Records a message exchanged with a proxy, whose trace records it too; `sent`: from here to the proxy."""
+        self.writer.add("message", self.unix_time(now), id=name, sent=int(sent))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -23,12 +23,12 @@
 from driftshed.trace.columns import MAX_RECORDS, Batch, TraceError, make_column, pack, unpack
 from driftshed.trace.files import BlockCollector, TraceFile, TraceFileWriter
 from driftshed.trace.framing import MAGIC, MAJOR, header_bytes, read_header
-from driftshed.trace.fuzz import BOUND, fuzz
+from driftshed.trace.fuzz import MAX_MEMORY_BYTES, fuzz
 from driftshed.trace.generate import batches
 from driftshed.trace.recording import Recording
 from driftshed.trace.replay import Replay
 from driftshed.trace.schema import STORED_KINDS, to_batches, to_rows
-from driftshed.trace.tools import Wanted
+from driftshed.trace.tools import CutFilter
 from driftshed.trace.writer import MAX_QUEUED_BATCHES, TraceWriter, recover_file
 from tests.test_core import joined_instance, play
 
@@ -196,7 +196,7 @@
 
 def test_the_fuzz_raises_nothing_and_stays_within_its_bound(tmp_path):
     done = fuzz(tmp_path, 60.0, 1, most=60)  # by files, not by time: a busy machine plays fewer in a second
-    assert done.files > 50 and done.refused > done.files / 2 and done.most_bytes < BOUND
+    assert done.files > 50 and done.refused > done.files / 2 and done.most_bytes < MAX_MEMORY_BYTES
 
 
 def test_a_block_that_claims_or_unpacks_to_too_much_is_refused(tmp_path):
@@ -550,7 +550,7 @@
             orders = super().handle(now, events)
             return [o._replace(weight=o.weight * 2) if isinstance(o, face.SetLine) and now > 3 else o for o in orders]
 
-    (verdict,) = verdicts(recorded(tmp_path), make=Other)
+    (verdict,) = verdicts(recorded(tmp_path), make_brain=Other)
     assert verdict.said == "differs" and 3 < float(verdict.why.split(" at ")[1].split(" s")[0]) < 7
     assert "weight" in verdict.why
 
@@ -567,7 +567,7 @@
             return super().handle(now, events)
 
     path = recorded(tmp_path, brain=Faulty)
-    said = verdicts(path, make=Faulty)
+    said = verdicts(path, make_brain=Faulty)
     assert [(v.begin, v.said) for v in said] == [(0, "same"), (1, "same")] and all(v.turns for v in said)
     assert verdicts(path)[0].said == "differs" and "raised" in verdicts(path)[0].why
 
@@ -577,7 +577,7 @@
     assert verdicts(path, core="another")[0].said == "unknown" and "core" in verdicts(path, core="another")[0].why
     assert verdicts(path, core="another", other_core=True)[0].said == "same"
     late = tmp_path / "late.dst"
-    tools.cut(path, late, Wanted(kinds=frozenset({"turn"})))
+    tools.cut(path, late, CutFilter(kinds=frozenset({"turn"})))
     (verdict,) = verdicts(late)
     assert verdict.said == "unknown" and "start is not in the trace" in verdict.why
     rows = [row for row in rows_of(path) if row[2].get("turn") not in (20, 21)]
