--- a/driftshed/trace/fuzz.py
+++ b/driftshed/trace/fuzz.py
@@ -1,4 +1,4 @@
-"""A fuzz of the reader: whatever bytes a file holds, nothing but TraceError is raised and memory stays bounded."""
+"""Fuzzes the reader of trace files: whatever a file contains, only TraceError is raised and memory stays bounded."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
 from driftshed.trace.generate import batches
 from driftshed.trace.schema import to_rows
 
-BOUND = 256 << 20  # bytes that reading one file of the fuzz may take
+MAX_MEMORY_BYTES = 256 << 20  # that may be allocated while reading one file
 
 
-class Fuzzed(NamedTuple):
+class FuzzResult(NamedTuple):
+    """What a run of the fuzzer did."""
+
     files: int
-    refused: int  # with a TraceError, in whole or in part
-    most_bytes: int
+    refused: int  # files that raised TraceError, as a whole or for some block
+    most_bytes: int  # peak memory allocated while reading one file
 
 
-def _read_all(path: Path) -> int:
-    """The records that can be read, as every tool reads them."""
+def _count_refusals(path: Path) -> int:
+    """Reads a file with and without its index; returns how many TraceErrors and damaged blocks that gave."""
     refused = 0
     for scan in (False, True):
         try:
@@ -42,14 +44,14 @@
 def _mutate(random: Random, data: bytes) -> bytes:
     changed = bytearray(data)
     for _ in range(random.choice([1, 1, 2, 8])):
-        kind, at = random.randrange(5), random.randrange(len(changed))
-        if kind == 0:
+        change, at = random.randrange(5), random.randrange(len(changed))
+        if change == 0:
             changed[at] ^= 1 << random.randrange(8)
-        elif kind == 1:
+        elif change == 1:
             del changed[at:]
-        elif kind == 2:
+        elif change == 2:
             changed[at:at] = random.randbytes(random.randrange(1, 40))
-        elif kind == 3:
+        elif change == 3:
             del changed[at : at + random.randrange(1, 200)]
         else:
             changed[at : at + 8] = random.choice([b"\xff" * 8, b"\0" * 8, random.randbytes(8)])
@@ -58,45 +60,49 @@
     return bytes(changed)
 
 
-def _sealed(random: Random, head: bytes, raws: list[bytes]) -> bytes:
-    """A file whose checksums are right and whose payloads are not."""
-    out = head
-    for raw in raws:
-        raw = _mutate(random, raw) if random.random() < 0.7 else raw
-        claimed = random.choice([len(raw), len(raw), random.randrange(2 * MAX_PAYLOAD_BYTES)])
-        meta = BlockMeta("invocation", "proxies-0", random.choice([0, 50, 1 << 40]), 0, 1, claimed)
-        out += frame_block(meta, zstandard.ZstdCompressor().compress(raw))
-    return out
+def _with_valid_checksums(random: Random, header: bytes, payloads: list[bytes]) -> bytes:
+    """A file with valid checksums and mostly invalid payloads."""
+    data = header
+    for payload in payloads:
+        payload = _mutate(random, payload) if random.random() < 0.7 else payload
+        declared_size = random.choice([len(payload), len(payload), random.randrange(2 * MAX_PAYLOAD_BYTES)])
+        meta = BlockMeta("invocation", "proxies-0", random.choice([0, 50, 1 << 40]), 0, 1, declared_size)
+        data += frame_block(meta, zstandard.ZstdCompressor().compress(payload))
+    return data
 
 
-def fuzz(folder: Path, seconds: float, seed: int, most: int = 1 << 30) -> Fuzzed:
-    """Reads broken files until the time is over; whatever is raised but TraceError goes through to the caller, with the
-    file left in the folder. The same seed brings the same files."""
+def fuzz(folder: Path, seconds: float, seed: int, most: int = 1 << 30) -> FuzzResult:
+    """Reads corrupted files for `seconds`, at most `most` files. An exception other than TraceError, or MemoryError
+    above the limit, propagates and leaves the file in the folder. The same seed gives the same files."""
     random, files, refused, peak = Random(seed), 0, 0, 0
-    sound, broken = folder / f"sound-{seed}.dst", folder / f"broken-{seed}.dst"
-    sound.unlink(missing_ok=True)
-    made = list(batches(150, seed, sources=3))
-    writer = TraceFileWriter(sound, {"source": "fuzz"})
-    for batch in made:
+    intact_path, corrupt_path = folder / f"sound-{seed}.dst", folder / f"broken-{seed}.dst"
+    intact_path.unlink(missing_ok=True)
+    valid_batches = list(batches(150, seed, sources=3))
+    writer = TraceFileWriter(intact_path, {"source": "fuzz"})
+    for batch in valid_batches:
         writer.write_batch(batch)
     writer.close()
-    data = sound.read_bytes()
+    data = intact_path.read_bytes()
     _, _, data_start = read_header(data)
     assert read_block_header(data[data_start:], data_start).meta.records
-    raws, until = [pack(batch) for batch in made], time.monotonic() + seconds
+    payloads, deadline = [pack(batch) for batch in valid_batches], time.monotonic() + seconds
     tracemalloc.start()
     try:
-        while time.monotonic() < until and files < most:
-            mutant = _mutate(random, data) if random.random() < 0.5 else _sealed(random, data[:data_start], raws)
-            broken.write_bytes(mutant)
+        while time.monotonic() < deadline and files < most:
+            mutant = (
+                _mutate(random, data)
+                if random.random() < 0.5
+                else _with_valid_checksums(random, data[:data_start], payloads)
+            )
+            corrupt_path.write_bytes(mutant)
             tracemalloc.reset_peak()
-            refused += bool(_read_all(broken))
+            refused += bool(_count_refusals(corrupt_path))
             peak = max(peak, tracemalloc.get_traced_memory()[1])
             files += 1
-            if peak > BOUND:
-                raise MemoryError(f"{peak} bytes were taken for {broken}; {BOUND} are the bound")
+            if peak > MAX_MEMORY_BYTES:
+                raise MemoryError(f"reading {corrupt_path} allocated {peak} bytes; the limit is {MAX_MEMORY_BYTES}")
     finally:
         tracemalloc.stop()
-    broken.unlink(missing_ok=True)
-    sound.unlink()
-    return Fuzzed(files, refused, peak)
+    corrupt_path.unlink(missing_ok=True)
+    intact_path.unlink()
+    return FuzzResult(files, refused, peak)
--- a/driftshed/trace/tools.py
+++ b/driftshed/trace/tools.py
@@ -1,5 +1,5 @@
-"""What is done with traces: cut, merge, anonymise, summary, verify, repair, convert. Each goes through a trace block by
-block, whatever its size."""
+"""Operations on traces: cut, merge, anonymise, summary, verify, repair, convert. Each reads a trace block by block, so
+that memory does not grow with its size."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 from driftshed.trace.schema import KINDS, STORED_KINDS, compact_invocations, expand_invocations, to_rows
 from driftshed.trace.writer import require_new_path
 
-NO_BYTES = 1 << 62
+UNBOUNDED_US = 1 << 62  # later than any time
 
 
-def opened(out: Path, about: dict, minor: int) -> TraceFileWriter:
+def create_trace(out: Path, about: dict, minor: int) -> TraceFileWriter:
+    """Creates a trace with at least this program's minor version. Raises TraceError if the path exists."""
     require_new_path(out)
     return TraceFileWriter(out, about, max(minor, MINOR))
 
@@ -32,12 +33,12 @@
 # ---- cut ------------------------------------------------------------------------------------------------------------
 
 
-class Wanted(NamedTuple):
-    """What a cut keeps: unix times in whole microseconds, and sets of which any may be None for all. A record that has
-    none of the fields asked for is left out; gaps always stay."""
+class CutFilter(NamedTuple):
+    """The records that a cut keeps: `since` <= unix time < `until`, in whole microseconds, and sets of allowed values,
+    where None allows all. A record without a field that is checked is left out; gaps within the times always stay."""
 
-    since: int = -NO_BYTES
-    until: int = NO_BYTES
+    since: int = -UNBOUNDED_US
+    until: int = UNBOUNDED_US
     kinds: frozenset[str] | None = None
     proxies: frozenset[int] | None = None
     servers: frozenset[str] | None = None
@@ -45,105 +46,112 @@
     instances: frozenset[str] | None = None
 
     @property
-    def by_row(self) -> bool:
-        return any(part is not None for part in (self.proxies, self.servers, self.operations, self.instances))
+    def checks_fields(self) -> bool:
+        """Whether records must be checked one by one, beyond their kind and time."""
+        return any(allowed is not None for allowed in (self.proxies, self.servers, self.operations, self.instances))
 
-    def rows(self, batch: Batch) -> np.ndarray:
+    def matching_rows(self, batch: Batch) -> np.ndarray:
+        """The indexes of the records to keep; the kind is not checked."""
         at = batch.ints("at")
-        keep = (at >= self.since) & (at < self.until)
+        matching = (at >= self.since) & (at < self.until)
         if batch.kind == "gap":
-            return np.flatnonzero(keep)
+            return np.flatnonzero(matching)
         if self.proxies is not None:
-            keep &= np.isin(batch.ints("proxy"), list(self.proxies)) if "proxy" in batch.columns else False
-        for name, wanted in (("operation", self.operations), ("run", self.instances)):
-            if wanted is not None:
-                keep &= _has(batch, name, wanted) if name in batch.columns else batch.source in wanted
+            matching &= np.isin(batch.ints("proxy"), list(self.proxies)) if "proxy" in batch.columns else False
+        for name, allowed in (("operation", self.operations), ("run", self.instances)):
+            if allowed is not None:
+                matching &= _text_matches(batch, name, allowed) if name in batch.columns else batch.source in allowed
         if self.servers is not None:
-            keep &= _has_any(batch, "servers", self.servers) if "servers" in batch.columns else False
-        return np.flatnonzero(keep)
+            matching &= _any_item_matches(batch, "servers", self.servers) if "servers" in batch.columns else False
+        return np.flatnonzero(matching)
 
 
-def _has(batch: Batch, name: str, wanted: Iterable[str]) -> np.ndarray:
+def _text_matches(batch: Batch, name: str, allowed: Iterable[str]) -> np.ndarray:
     codes, table = batch.columns[name][1]
-    return np.isin(codes, [code for code, text in enumerate(table) if text in wanted])
+    return np.isin(codes, [code for code, text in enumerate(table) if text in allowed])
 
 
-def _has_any(batch: Batch, name: str, wanted: Iterable[str]) -> np.ndarray:
+def _any_item_matches(batch: Batch, name: str, allowed: Iterable[str]) -> np.ndarray:
     counts, items = batch.columns[name][1]
-    found = np.isin(items.codes, [code for code, text in enumerate(items.table) if text in wanted])
+    found = np.isin(items.codes, [code for code, text in enumerate(items.table) if text in allowed])
     ends = np.cumsum(counts)
     sums = np.concatenate(([0], np.cumsum(found)))
     return sums[ends] - sums[ends - counts] > 0
 
 
-def cut(path: Path, out: Path, wanted: Wanted) -> int:
-    """Writes what is wanted of a trace; how many records. Blocks that stay whole are taken over as they are."""
-    kept = 0
+def cut(path: Path, out: Path, criteria: CutFilter) -> int:
+    """Writes the matching records of a trace to `out` and returns their number. Blocks that match completely are copied
+    unchanged. Raises TraceError on damage."""
+    record_count = 0
     with TraceFile(path) as file:
-        collector = BlockCollector(opened(out, file.about | {"cut": True}, file.minor))
+        collector = BlockCollector(create_trace(out, file.about | {"cut": True}, file.minor))
         for block in file.blocks:
             meta = block.meta
-            if meta.last_us < wanted.since or meta.first_us >= wanted.until:
+            if meta.last_us < criteria.since or meta.first_us >= criteria.until:
                 continue
-            if wanted.kinds is not None and meta.kind not in wanted.kinds and meta.kind != "gap":
+            if criteria.kinds is not None and meta.kind not in criteria.kinds and meta.kind != "gap":
                 continue
-            if not wanted.by_row and wanted.since <= meta.first_us and meta.last_us < wanted.until:
-                file.read(block)  # what is damaged is told, not handed on
+            if not criteria.checks_fields and criteria.since <= meta.first_us and meta.last_us < criteria.until:
+                file.read(block)  # raises if the block is damaged, so that damage is not copied
                 collector.writer.write_block(file.read_bytes(block.offset, block.length), block)
-                kept += meta.records
+                record_count += meta.records
                 continue
             batch = file.read(block)
-            rows = wanted.rows(batch)
-            kept += len(rows)
+            rows = criteria.matching_rows(batch)
+            record_count += len(rows)
             collector.add(batch.select(rows))
         collector.close()
-    return kept
+    return record_count
 
 
 # ---- merge ----------------------------------------------------------------------------------------------------------
 
 
-class Merged(NamedTuple):
+class MergeResult(NamedTuple):
+    """The number of records merged, and how the clocks compared."""
+
     records: int
-    clocks: list[tuple[str, Offset | Unknown]]  # of each file behind the first
+    clocks: list[tuple[str, Offset | Unknown]]  # file name and clock of each file after the first
 
 
-def _messages(file: TraceFile) -> dict[tuple[str, int], float]:
-    """When each message was sent (1) or received (0) here; one that was seen twice is left out."""
+def _message_times(file: TraceFile) -> dict[tuple[str, int], float]:
+    """The unix time, in seconds, at which each message was sent (id, 1) or received (id, 0) here. Messages recorded
+    more than once are left out."""
     seen: dict[tuple[str, int], float] = {}
-    twice = set()
+    duplicates = set()
     for batch in file.batches({"message"}):
         rows = zip(batch.texts("id"), batch.ints("sent").tolist(), batch.ints("at").tolist(), strict=True)
         for name, sent, at in rows:
             key = name, sent
-            twice.add(key) if key in seen else seen.update({key: at / 1e6})
-    return {key: at for key, at in seen.items() if key not in twice}
+            duplicates.add(key) if key in seen else seen.update({key: at / 1e6})
+    return {key: at for key, at in seen.items() if key not in duplicates}
 
 
 def compare_clocks(first: dict, second: dict) -> Offset | Unknown:
-    forth = [(at, second[name, 0]) for (name, sent), at in first.items() if sent and (name, 0) in second]
-    back = [(at, first[name, 0]) for (name, sent), at in second.items() if sent and (name, 0) in first]
-    return estimate(forth, back)
+    """Estimates the offset of the second clock from the first; both arguments as from `_message_times`."""
+    forward = [(at, second[name, 0]) for (name, sent), at in first.items() if sent and (name, 0) in second]
+    backward = [(at, first[name, 0]) for (name, sent), at in second.items() if sent and (name, 0) in first]
+    return estimate(forward, backward)
 
 
-def merge(paths: list[Path], out: Path) -> Merged:
-    """Traces of several halls as one, on the clock of the first; blocks in the order of their first times. A file whose
-    clock cannot be compared keeps its own times, and the result says so."""
+def merge(paths: list[Path], out: Path) -> MergeResult:
+    """Merges traces of several halls into one, with times converted to the clock of the first; blocks are ordered by
+    their first times. A file whose clock cannot be compared keeps its own times, and the result reports that."""
     files = [TraceFile(path) for path in paths]
     try:
-        seen = [_messages(file) for file in files]
-        clocks: list[Offset | Unknown] = [compare_clocks(seen[0], other) for other in seen[1:]]
-        said = {f.path.name: c._asdict() for f, c in zip(files[1:], clocks, strict=True)}
-        about = {"merged": [file.about for file in files], "clocks": said}
-        writer = opened(out, about, max(file.minor for file in files))
+        times = [_message_times(file) for file in files]
+        clocks: list[Offset | Unknown] = [compare_clocks(times[0], other) for other in times[1:]]
+        clock_results = {file.path.name: clock._asdict() for file, clock in zip(files[1:], clocks, strict=True)}
+        about = {"merged": [file.about for file in files], "clocks": clock_results}
+        writer = create_trace(out, about, max(file.minor for file in files))
         offsets = [None, *(clock if isinstance(clock, Offset) else None for clock in clocks)]
-        known = [True, *(isinstance(clock, Offset) for clock in clocks)]
+        comparable = [True, *(isinstance(clock, Offset) for clock in clocks)]
         blocks = []
         for number, file in enumerate(files):
             shift = offsets[number].value if offsets[number] else 0.0
             for block in file.blocks:
-                # Those of an unknown clock stand behind the others: no order across halls is pretended.
-                group = 0 if known[number] else 1 + number
+                # Blocks of an unknown clock follow all others: their order relative to other halls is unknown.
+                group = 0 if comparable[number] else 1 + number
                 blocks.append((group, block.meta.first_us - round(shift * 1e6), number, block))
         records = 0
         for _, _, number, block in sorted(blocks, key=lambda row: row[:3]):
@@ -153,71 +161,76 @@
             if offsets[number] is None:
                 writer.write_block(file.read_bytes(block.offset, block.length), block)
             else:
-                writer.write_batch(_shifted(batch, offsets[number]))
+                writer.write_batch(_to_first_clock(batch, offsets[number]))
         writer.close()
     finally:
         for file in files:
             file.file.close()
-    return Merged(records, [(file.path.name, clock) for file, clock in zip(files[1:], clocks, strict=True)])
+    return MergeResult(records, [(file.path.name, clock) for file, clock in zip(files[1:], clocks, strict=True)])
 
 
-def _shifted(batch: Batch, offset: Offset) -> Batch:
-    """A batch on the first clock. Only `at` and `until` are moments of unix time; spans are as long on either."""
+def _to_first_clock(batch: Batch, offset: Offset) -> Batch:
+    """Converts a batch to the first clock. Only `at` and `until` are unix times; durations are the same on both
+    clocks."""
     columns = dict(batch.columns)
     for name in ("at", "until"):
         if name in columns:
             times = columns[name][1]
-            since = (times - round(offset.middle * 1e6)) / 1e6  # small, so that no microsecond is lost
-            steady = (since - offset.value) / (1 + offset.drift)
-            moved = offset.value + offset.drift * steady
+            relative = (times - round(offset.middle * 1e6)) / 1e6  # small, so that floats keep microseconds
+            first_clock_time = (relative - offset.value) / (1 + offset.drift)
+            moved = offset.value + offset.drift * first_clock_time
             columns[name] = "t", times - np.round(moved * 1e6).astype(np.int64)
     return Batch(batch.kind, batch.source, columns)
 
 
 # ---- anonymise ------------------------------------------------------------------------------------------------------
 
-# Texts that may stay: they name parts of the deployment, not households. All other texts and bytes are either
+# String and bytes columns that stay: they name parts of the deployment, not households. All others are replaced by
 # pseudonyms or left out.
-PLAIN_TEXT = {"operation", "outcome", "servers", "outcomes", "run", "core", "id", "facts", "events", "orders"}
-PSEUDONYMS = {"key"}
-KEPT_ABOUT = {"source", "core", "created", "cut", "repaired"}
+KEPT_TEXT_COLUMNS = {"operation", "outcome", "servers", "outcomes", "run", "core", "id", "facts", "events", "orders"}
+PSEUDONYM_COLUMNS = {"key"}
+KEPT_HEADER_FIELDS = {"source", "core", "created", "cut", "repaired"}
+
 
+class AnonymiseResult(NamedTuple):
+    """The number of records written, and what was left out."""
 
-class Anonymised(NamedTuple):
     records: int
-    dropped: dict[str, int]  # kinds and columns left out, with how many records
+    dropped: dict[str, int]  # by kind, or kind.column: records affected
 
 
-def anonymise(path: Path, out: Path, key: bytes) -> Anonymised:
-    """Keys become pseudonyms by a keyed hash: equal ones stay equal, and without the key nobody tells which was which.
-    Free text, and texts of kinds and columns that are not known here, are left out."""
-    names: dict[str, str] = {}
+def anonymise(path: Path, out: Path, key: bytes) -> AnonymiseResult:
+    """Replaces household keys by pseudonyms from a keyed hash: equal ones stay equal, and without `key` (at most 64
+    bytes) they cannot be traced back. Free text, and unknown kinds and columns, are left out."""
+    pseudonyms: dict[str, str] = {}
     dropped: dict[str, int] = defaultdict(int)
     records = 0
 
     def pseudonym(text: str) -> str:
-        if len(names) > 1 << 20:
-            names.clear()
-        if text not in names:
-            names[text] = hashlib.blake2b(text.encode("utf-8", "surrogatepass"), key=key, digest_size=9).hexdigest()
-        return names[text]
+        if len(pseudonyms) > 1 << 20:
+            pseudonyms.clear()
+        if text not in pseudonyms:
+            pseudonyms[text] = hashlib.blake2b(
+                text.encode("utf-8", "surrogatepass"), key=key, digest_size=9
+            ).hexdigest()
+        return pseudonyms[text]
 
     with TraceFile(path) as file:
-        about = {name: value for name, value in file.about.items() if name in KEPT_ABOUT} | {"anonymised": True}
-        collector = BlockCollector(opened(out, about, MINOR))
+        about = {name: value for name, value in file.about.items() if name in KEPT_HEADER_FIELDS} | {"anonymised": True}
+        collector = BlockCollector(create_trace(out, about, MINOR))
         for batch in file.batches(strict=True):
             if batch.kind == "note" or batch.kind not in KINDS:
                 dropped[batch.kind] += batch.size
                 continue
             columns = {}
             for name, (kind, column) in batch.columns.items():
-                if name in PSEUDONYMS and isinstance(column, Strings):
+                if name in PSEUDONYM_COLUMNS and isinstance(column, Strings):
                     used = np.unique(column.codes)
                     table = list(column.table)
                     for code in used.tolist():
                         table[code] = pseudonym(table[code])
                     columns[name] = kind, Strings(column.codes, table)
-                elif kind in "sSb" and (name not in PLAIN_TEXT or STORED_KINDS[batch.kind].get(name) != kind):
+                elif kind in "sSb" and (name not in KEPT_TEXT_COLUMNS or STORED_KINDS[batch.kind].get(name) != kind):
                     dropped[f"{batch.kind}.{name}"] += batch.size
                     if name in STORED_KINDS[batch.kind]:
                         columns[name] = kind, make_column(kind, [""] * batch.size)
@@ -228,16 +241,16 @@
             records += batch.size
             collector.add(Batch(batch.kind, batch.source, columns))
         collector.close()
-    return Anonymised(records, dict(dropped))
+    return AnonymiseResult(records, dict(dropped))
 
 
 # ---- summary --------------------------------------------------------------------------------------------------------
 
-EDGES = np.concatenate(([0], np.logspace(2, 8, 241)))  # microseconds: within 6% of each other
+TIME_BUCKETS_US = np.concatenate(([0], np.logspace(2, 8, 241)))  # successive bucket edges differ by 6%
 
 
 def summary(path: Path) -> dict:
-    """What a trace holds, in plain figures. Quantiles are told within 6%."""
+    """Summarises a trace in figures. Times are unix times in seconds; quantiles are accurate to 6%."""
     kinds: dict[str, int] = defaultdict(int)
     sources: dict[str, int] = defaultdict(int)
     operations: dict[str, dict] = {}
@@ -268,7 +281,7 @@
             "to": None if until is None else until / 1e6,
             "lost": lost,
             "damages": [damage._asdict() for damage in file.damages],
-            "operations": {name: _told(row) for name, row in sorted(operations.items())},
+            "operations": {name: _operation_summary(row) for name, row in sorted(operations.items())},
             "servers": dict(sorted(servers.items(), key=lambda row: (-row[1], row[0]))[:200]),
         }
 
@@ -277,8 +290,8 @@
     codes, table = batch.columns["operation"][1]
     outcomes = batch.columns["outcome"][1]
     took, value, counts = batch.ints("took"), batch.ints("value"), batch.columns["servers"][1].counts
-    for code, name in enumerate(table):
-        rows = np.flatnonzero(codes == code)
+    for operation, name in enumerate(table):
+        rows = np.flatnonzero(codes == operation)
         if len(rows):
             row = operations.setdefault(
                 name,
@@ -287,24 +300,24 @@
                     "value": 0.0,
                     "tries": 0,
                     "outcomes": defaultdict(int),
-                    "took": np.zeros(len(EDGES) + 1, dtype=np.int64),
+                    "took": np.zeros(len(TIME_BUCKETS_US) + 1, dtype=np.int64),
                 },
             )
             row["count"] += len(rows)
             row["value"] += float(value[rows].sum())
             row["tries"] += int(counts[rows].sum())
-            row["took"] += np.bincount(np.searchsorted(EDGES, took[rows]), minlength=len(EDGES) + 1)
-            for code, many in zip(*np.unique(outcomes.codes[rows], return_counts=True), strict=True):
-                row["outcomes"][outcomes.table[int(code)]] += int(many)
+            row["took"] += np.bincount(np.searchsorted(TIME_BUCKETS_US, took[rows]), minlength=len(TIME_BUCKETS_US) + 1)
+            for code, count in zip(*np.unique(outcomes.codes[rows], return_counts=True), strict=True):
+                row["outcomes"][outcomes.table[int(code)]] += int(count)
     names = batch.columns["servers"][1].items
-    for code, many in zip(*np.unique(names.codes, return_counts=True), strict=True):
-        servers[names.table[int(code)]] += int(many)
+    for code, count in zip(*np.unique(names.codes, return_counts=True), strict=True):
+        servers[names.table[int(code)]] += int(count)
 
 
-def _told(row: dict) -> dict:
-    edges, whole = np.append(EDGES, EDGES[-1]), np.cumsum(row["took"])
-    places = {q: np.searchsorted(whole, q / 100 * whole[-1]) for q in (50, 99)}
-    quantiles = {f"p{q}_s": round(float(edges[index]) / 1e6, 4) for q, index in places.items()}
+def _operation_summary(row: dict) -> dict:
+    edges, cumulative = np.append(TIME_BUCKETS_US, TIME_BUCKETS_US[-1]), np.cumsum(row["took"])
+    buckets = {q: np.searchsorted(cumulative, q / 100 * cumulative[-1]) for q in (50, 99)}
+    quantiles = {f"p{q}_s": round(float(edges[bucket]) / 1e6, 4) for q, bucket in buckets.items()}
     return {
         "count": row["count"],
         "value": round(row["value"], 6),
@@ -317,21 +330,21 @@
 # ---- verify and repair ----------------------------------------------------------------------------------------------
 
 
-class Verified(NamedTuple):
-    """`digest`: of all records that can be read, whatever their order and blocks; `last`: the last good record, as
-    (kind, source, seq, unix time)."""
+class VerifyResult(NamedTuple):
+    """The result of `verify`. `digest`: of all readable records, independent of their order and blocks; `last`: the
+    latest readable record, as (kind, source, seq, unix time)."""
 
     records: int
     blocks: int
     damages: list
     last: tuple | None
-    index: str  # "sound", "none" or "other": it is not of this file as it stands
-    missing: dict[str, int]  # by source: records that seq says were there, less those that gaps tell of
+    index: str  # "sound", "none" or "other": it does not describe this file
+    missing: dict[str, int]  # by source: holes in seq, less the records that gaps report as lost
     digest: str
 
 
-def digest_of(batch: Batch) -> int:
-    """The sum of the hashes of a batch's records."""
+def batch_digest(batch: Batch) -> int:
+    """The sum, modulo 2^64, of the hashes of a batch's records."""
     total = 0
     for row in to_rows(batch):
         body = msgspec.msgpack.encode([batch.kind, batch.source, sorted(row.items())])
@@ -339,14 +352,14 @@
     return total & (1 << 64) - 1
 
 
-def verify(path: Path, digest: bool = False) -> Verified:
-    """Looks at every byte of a trace."""
+def verify(path: Path, digest: bool = False) -> VerifyResult:
+    """Reads and checks every block of a trace, without its index; `digest`: also computes the digest of the records."""
     with TraceFile(path) as by_index:
         indexed, size = by_index.indexed, by_index.size
         tail = by_index.read_bytes(max(0, size - 8), 8)
     with TraceFile(path, scan=True) as file:
         records = blocks = total = 0
-        last, seqs = None, defaultdict(lambda: [0, 0, 0, 0])  # least, most, how many, told lost
+        last, seqs = None, defaultdict(lambda: [0, 0, 0, 0])  # lowest, highest, number, reported lost
         for block in file.blocks:
             try:
                 batch = file.read(block)
@@ -355,7 +368,7 @@
                 continue
             records, blocks = records + batch.size, blocks + 1
             if digest:
-                total += digest_of(batch)
+                total += batch_digest(batch)
             if not batch.size or "seq" not in batch.columns:
                 continue
             seq, row = batch.ints("seq"), seqs[batch.source]
@@ -364,13 +377,16 @@
                 continue
             row[0] = int(seq.min()) if not row[2] else min(row[0], int(seq.min()))
             row[1], row[2] = max(row[1], int(seq.max())), row[2] + batch.size
-            place_of = int(np.argmax(seq))
-            if last is None or batch.ints("at")[place_of] >= last[3] * 1e6:
-                last = batch.kind, batch.source, int(seq[place_of]), int(batch.ints("at")[place_of]) / 1e6
-        holes = {source: most - least + 1 - count - told for source, (least, most, count, told) in seqs.items()}
-        missing = {source: hole for source, hole in holes.items() if hole > 0}
+            latest = int(np.argmax(seq))
+            if last is None or batch.ints("at")[latest] >= last[3] * 1e6:
+                last = batch.kind, batch.source, int(seq[latest]), int(batch.ints("at")[latest]) / 1e6
+        missing_counts = {
+            source: max_seq - min_seq + 1 - count - reported_lost
+            for source, (min_seq, max_seq, count, reported_lost) in seqs.items()
+        }
+        missing = {source: count for source, count in missing_counts.items() if count > 0}
         index = "sound" if indexed else "other" if tail == b"DSTREND\n" else "none"
-        return Verified(
+        return VerifyResult(
             records,
             blocks,
             [tuple(damage) for damage in file.damages],
@@ -382,10 +398,11 @@
 
 
 def repair(path: Path, out: Path) -> tuple[int, list]:
-    """Every sound block of a trace in a new one with its index; the records kept, and what was not sound."""
+    """Copies every intact block of a trace to a new file with an index. Returns the number of records kept and the
+    damages as (offset, reason)."""
     records = 0
     with TraceFile(path, scan=True) as file:
-        writer = opened(out, file.about | {"repaired": True}, file.minor)
+        writer = create_trace(out, file.about | {"repaired": True}, file.minor)
         for block in file.blocks:
             try:
                 records += file.read(block).size
@@ -400,35 +417,38 @@
 # ---- convert --------------------------------------------------------------------------------------------------------
 
 
-def to_lines(path: Path, sink: IO[bytes]) -> int:
-    """JSON lines: first what the trace says of itself, then by time each record; before the first record of a shape a
-    line with its columns' types. Bytes are base64."""
-    count, shapes, told = 0, {}, {}
+def to_json_lines(path: Path, sink: IO[bytes]) -> int:
+    """Writes a trace as JSON lines and returns the number of records: first a line with the header, then the records by
+    time. A line with the column types precedes the first record of a kind, and each change of its columns. Bytes are
+    base64."""
+    count, types, last_columns = 0, {}, {}
     with TraceFile(path) as file:
         sink.write(msgspec.json.encode({"trace": file.about, "minor": file.minor}) + b"\n")
         for batch, row in file.records_by_time():
-            if told.get(batch.kind) is not batch.columns:
-                told[batch.kind] = batch.columns
-                shape = {name: kind for name, (kind, _) in batch.columns.items()}
-                if shapes.get(batch.kind) != shape:
-                    shapes[batch.kind] = shape
-                    sink.write(msgspec.json.encode({"types": shape, "kind": batch.kind}) + b"\n")
+            if last_columns.get(batch.kind) is not batch.columns:
+                last_columns[batch.kind] = batch.columns
+                column_types = {name: kind for name, (kind, _) in batch.columns.items()}
+                if types.get(batch.kind) != column_types:
+                    types[batch.kind] = column_types
+                    sink.write(msgspec.json.encode({"types": column_types, "kind": batch.kind}) + b"\n")
             sink.write(msgspec.json.encode({"kind": batch.kind, "source": batch.source, **row}) + b"\n")
             count += 1
     return count
 
 
-def from_lines(lines: Iterable[bytes], out: Path) -> int:
-    """A trace of JSON lines; TraceError names the line that cannot be taken."""
+def from_json_lines(lines: Iterable[bytes], out: Path) -> int:
+    """Writes JSON lines, as from `to_json_lines`, as a trace and returns the number of records. Raises TraceError with
+    the number of the invalid line; `out` is then removed."""
     collector, count = None, 0
     types: dict[str, dict[str, str]] = {}
-    waiting: dict[tuple[str, str], list[dict]] = defaultdict(list)
+    pending: dict[tuple[str, str], list[dict]] = defaultdict(list)
 
     def flush(key: tuple[str, str]) -> None:
-        rows = waiting.pop(key)
-        shape = types[key[0]]
+        rows = pending.pop(key)
+        column_types = types[key[0]]
         columns = {
-            name: (kind, make_column(kind, _plain(kind, [row[name] for row in rows]))) for name, kind in shape.items()
+            name: (kind, make_column(kind, _to_column_values(kind, [row[name] for row in rows])))
+            for name, kind in column_types.items()
         }
         collector.add(compact_invocations(Batch(*key, columns)))
 
@@ -436,27 +456,27 @@
         for number, line in enumerate(lines, 1):
             if not line.strip():
                 continue
-            row = _decoded(line, number)
+            row = _decode_line(line, number)
             if collector is None:
                 if not isinstance(row.get("trace"), dict):
-                    raise TraceError('line 1: {"trace": {...}} is wanted first')
-                collector = BlockCollector(opened(out, row["trace"], _minor(row)))
+                    raise TraceError('line 1: expected {"trace": {...}}')
+                collector = BlockCollector(create_trace(out, row["trace"], _minor_version(row)))
             elif "types" in row:
-                for key in [key for key in waiting if key[0] == row.get("kind")]:
+                for key in [key for key in pending if key[0] == row.get("kind")]:
                     flush(key)
-                types[_text(row, "kind", number)] = _shape(row["types"], number)
+                types[_text_field(row, "kind", number)] = _column_types(row["types"], number)
             else:
-                kind, source = _text(row, "kind", number), _text(row, "source", number)
+                kind, source = _text_field(row, "kind", number), _text_field(row, "source", number)
                 if kind not in types:
                     types[kind] = dict(KINDS.get(kind, {}))
                 row.pop("kind"), row.pop("source")
                 if set(row) != set(types[kind]):
                     raise TraceError(f"line {number}: a record of kind {kind} has the fields {', '.join(types[kind])}")
-                waiting[kind, source].append(row)
+                pending[kind, source].append(row)
                 count += 1
-                if len(waiting[kind, source]) >= RECORDS_PER_BLOCK:
+                if len(pending[kind, source]) >= RECORDS_PER_BLOCK:
                     flush((kind, source))
-        for key in list(waiting):
+        for key in list(pending):
             flush(key)
     except TraceError:
         if collector is not None:
@@ -464,41 +484,41 @@
             out.unlink()
         raise
     if collector is None:
-        raise TraceError("no line at all")
+        raise TraceError("no line in the input")
     collector.close()
     return count
 
 
-def _decoded(line: bytes, number: int) -> dict:
+def _decode_line(line: bytes, number: int) -> dict:
     try:
         return msgspec.json.decode(line, type=dict)
     except msgspec.DecodeError as error:
         raise TraceError(f"line {number}: {error}") from None
 
 
-def _text(row: dict, name: str, number: int) -> str:
+def _text_field(row: dict, name: str, number: int) -> str:
     if not isinstance(row.get(name), str):
-        raise TraceError(f"line {number}: {name} is wanted, a text")
+        raise TraceError(f"line {number}: {name} must be a string")
     return row[name]
 
 
-def _minor(row: dict) -> int:
+def _minor_version(row: dict) -> int:
     minor = row.get("minor", MINOR)
     return minor if isinstance(minor, int) and 0 <= minor < 65536 else MINOR
 
 
-def _shape(shape: object, number: int) -> dict[str, str]:
-    if not isinstance(shape, dict) or not set(map(str, shape.values())) <= set(COLUMN_TYPES):
+def _column_types(types: object, number: int) -> dict[str, str]:
+    if not isinstance(types, dict) or not set(map(str, types.values())) <= set(COLUMN_TYPES):
         raise TraceError(f"line {number}: types are of {', '.join(COLUMN_TYPES)}")
-    return shape
+    return types
 
 
-def _plain(kind: str, column: list) -> list:
+def _to_column_values(column_type: str, column: list) -> list:
     try:
-        if kind == "t":
+        if column_type == "t":
             return [round(value * 1e6) for value in column]
-        if kind == "T":
+        if column_type == "T":
             return [[round(item * 1e6) for item in value] for value in column]
-        return [base64.b64decode(value, validate=True) for value in column] if kind == "b" else column
+        return [base64.b64decode(value, validate=True) for value in column] if column_type == "b" else column
     except (TypeError, ValueError, OverflowError) as error:
-        raise TraceError(f"a value of type {kind}: {error}") from None
+        raise TraceError(f"invalid value of type {column_type}: {error}") from None
