--- a/driftshed/standins/__init__.py
+++ b/driftshed/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for what the users have of their own: servers, a roster that tells late, clients. They meet
-the supervisor and one another through sockets alone, and each runs on the loop it is given. They may import
-`driftshed.net` and, of the core, what reads the API (`messages`, `holding`)."""
+"""Stand-ins for the users' own systems: servers, a delayed roster, clients. They communicate with the supervisor and
+with each other only through sockets, and each runs on the loop that it is given. They may import `driftshed.net` and,
+of the core, the modules that read the API (`messages`, `holding`)."""
--- a/driftshed/standins/client.py
+++ b/driftshed/standins/client.py
@@ -1,4 +1,4 @@
-"""Clients that ask by operation, each proxy's own: arrivals are drawn ahead and do not wait for answers."""
+"""Clients of one proxy. The load is open-loop: arrivals are random and do not wait for answers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from driftshed.net.http import Answer, HttpClient
 from driftshed.net.loop import Loop
 
-PATIENCE = (0.6, 1.0)  # of the integration timeout: when a client gives up
+TIMEOUT_SHARE_RANGE = (0.6, 1.0)  # a client's own timeout, as a share of the integration timeout
 
 
 class ClientStandin:
-    """The clients of one proxy. `work`: by operation, the least and the most seconds of work; `surge` multiplies the
-    rate. A client repeats once by itself what may be repeated: its own doing, told apart by `ask`."""
+    """The clients of one proxy. `work`: by operation, the range of the work of a request in seconds; `rate`: requests
+    per second; `surge`: factor on the rate. A client repeats a failed request once where that is safe; the parameter
+    `ask` of the query numbers its own attempts. `open` False ends the load."""
 
     def __init__(
         self,
@@ -27,8 +28,10 @@
         repeats: bool = True,
         tap=None,
     ) -> None:
+        """Starts the load at once. `shares`: relative frequency of each operation; `repeats`: whether requests are
+        repeated; `tap`: see `HttpClient`."""
         self.loop, self.operations, self.shares, self.work, self.rate = loop, operations, shares, work, rate
-        self.random, self.repeats, self.surge, self.asked, self.open = Random(seed), repeats, 1.0, 0, True
+        self.random, self.repeats, self.surge, self.request_count, self.open = Random(seed), repeats, 1.0, 0, True
         self.name = f"{proxy[0]}"
         self.client = HttpClient(loop, proxy, idle_most=256, tap=tap)
         self._next()
@@ -40,24 +43,27 @@
         if not self.open:
             return
         self._next()
-        place = self.random.choices(range(len(self.operations)), self.shares)[0]
-        self.asked += 1
-        operation = self.operations[place]
-        patience = operation.integration_timeout * self.random.uniform(*PATIENCE)
-        household = int(self.random.paretovariate(0.8)) % 5000  # a few ask far more often than the rest
-        query = f"inv={self.asked}&work={self.random.uniform(*self.work[place]):.4f}&key=household-{household:04d}"
-        self._ask(operation, query, 1, self.loop.clock() + patience)
-
-    def _ask(self, operation: face.Operation, query: str, ask: int, until: float) -> None:
-        began = self.loop.clock()
-
-        def answered(answer: Answer) -> None:
-            if answer.status == 200 or ask > 1 or not self.repeats or not self.open:
+        index = self.random.choices(range(len(self.operations)), self.shares)[0]
+        self.request_count += 1
+        operation = self.operations[index]
+        timeout = operation.integration_timeout * self.random.uniform(*TIMEOUT_SHARE_RANGE)
+        # Heavy-tailed: a few households send far more requests than the rest.
+        household = int(self.random.paretovariate(0.8)) % 5000
+        query = (
+            f"inv={self.request_count}&work={self.random.uniform(*self.work[index]):.4f}&key=household-{household:04d}"
+        )
+        self._send(operation, query, 1, self.loop.clock() + timeout)
+
+    def _send(self, operation: face.Operation, query: str, attempt: int, deadline: float) -> None:
+        started_at = self.loop.clock()
+
+        def on_answer(answer: Answer) -> None:
+            if answer.status == 200 or attempt > 1 or not self.repeats or not self.open:
                 return
-            never = answer.headers.get(b"x-never-ran") == b"1"
-            in_window = operation.repeat_window and self.loop.clock() + 0.05 - began < operation.repeat_window
-            if until - self.loop.clock() > 0.2 and (never or operation.effect == "idempotent" or in_window):
-                self.loop.after(0.05, lambda: self._ask(operation, query, 2, until))
+            never_ran = answer.headers.get(b"x-never-ran") == b"1"
+            within_window = operation.repeat_window and self.loop.clock() + 0.05 - started_at < operation.repeat_window
+            if deadline - self.loop.clock() > 0.2 and (never_ran or operation.effect == "idempotent" or within_window):
+                self.loop.after(0.05, lambda: self._send(operation, query, 2, deadline))
 
-        path = f"/do/{operation.name}?{query}&ask={ask}"
-        self.client.call("POST", path, b"", answered, max(0.01, until - began))
+        path = f"/do/{operation.name}?{query}&ask={attempt}"
+        self.client.call("POST", path, b"", on_answer, max(0.01, deadline - started_at))
--- a/driftshed/standins/roster.py
+++ b/driftshed/standins/roster.py
@@ -1,4 +1,5 @@
-"""A roster that tells late whether processes run: it pushes the list, then its changes, to one supervisor."""
+"""A roster that reports the state of servers with a delay. It pushes the list, then its changes, to one supervisor, or
+lets servers announce themselves in a store."""
 
 from __future__ import annotations
 
@@ -18,73 +19,76 @@
 from driftshed.roster.jute import Close
 from driftshed.roster.membership import Announced
 
-TICK = 0.05  # seconds
-AGAIN = 0.25  # seconds after which an unanswered push is tried again
-CHECK = 0.5  # seconds between looks at what the supervisor holds: one that began anew holds nothing
+TICK_S = 0.05
+RETRY_DELAY_S = 0.25  # after a failed push
+CHECK_INTERVAL_S = 0.5  # between checks of the supervisor's version: a restarted supervisor has lost the list
 
 
 class RosterStandin:
-    """`lag`: seconds from a change to its telling; it may be raised and lowered at any time."""
+    """Pushes the list of servers to one supervisor. `lag`: seconds from a change to its push; it may be changed at any
+    time."""
 
     def __init__(self, loop: Loop, client: HttpClient, lag: float) -> None:
+        """`client`: connected to the supervisor's API. Nothing is sent before `begin`."""
         self.loop, self.client, self.lag = loop, client, lag
-        self.servers: dict[str, ListedServer] = {}  # as told
-        self.waiting: deque[tuple[float, ListedServer]] = deque()  # since when
-        self.pending: list[ListedServer] = []  # due, not yet told
-        self.version, self.whole, self.busy, self.checked_at = 0, True, False, 0.0
+        self.servers: dict[str, ListedServer] = {}  # the list as pushed
+        self.delayed: deque[tuple[float, ListedServer]] = deque()  # with the time of the change
+        self.due_changes: list[ListedServer] = []  # past the lag, not yet pushed
+        self.version, self.send_snapshot, self.in_flight, self.checked_at = 0, True, False, 0.0
 
     def change(self, server: ListedServer) -> None:
-        self.waiting.append((self.loop.clock(), server))
+        """Reports a change of a server after the lag; state "gone" removes it."""
+        self.delayed.append((self.loop.clock(), server))
 
     def begin(self, servers: list[ListedServer]) -> None:
-        """What has been there for long, told at once."""
+        """Pushes the initial list without delay and starts the timer."""
         self.servers = {each.server: each for each in servers}
         self._tick()
 
     def _tick(self) -> None:
-        self.loop.after(TICK, self._tick)
+        self.loop.after(TICK_S, self._tick)
         now = self.loop.clock()
-        while self.waiting and self.waiting[0][0] <= now - self.lag:
-            each = self.waiting.popleft()[1]
-            self.pending.append(each)
+        while self.delayed and self.delayed[0][0] <= now - self.lag:
+            each = self.delayed.popleft()[1]
+            self.due_changes.append(each)
             if each.state == "gone":
                 self.servers.pop(each.server, None)
             else:
                 self.servers[each.server] = each
-        if self.busy:
+        if self.in_flight:
             return
-        if self.whole or self.pending:
+        if self.send_snapshot or self.due_changes:
             self._push()
-        elif now - self.checked_at >= CHECK:
-            self.busy, self.checked_at = True, now
-            self.client.call("GET", "/v1/roster", b"", self._checked, 1.0)
+        elif now - self.checked_at >= CHECK_INTERVAL_S:
+            self.in_flight, self.checked_at = True, now
+            self.client.call("GET", "/v1/roster", b"", self._on_version, 1.0)
 
-    def _checked(self, answer: Answer) -> None:
-        self.busy = False
-        self.whole = answer.status != 200 or msgspec.json.decode(answer.body)["version"] != self.version
+    def _on_version(self, answer: Answer) -> None:
+        self.in_flight = False
+        self.send_snapshot = answer.status != 200 or msgspec.json.decode(answer.body)["version"] != self.version
 
     def _push(self) -> None:
-        self.busy, self.version = True, self.version + 1
-        latest = {each.server: each for each in self.pending}
-        servers = list(self.servers.values()) if self.whole else list(latest.values())
-        whole, self.pending = self.whole, []
-        news = RosterNews(self.version, whole, servers)
-
-        def told(answer: Answer) -> None:
-            self.whole = answer.status != 200
-            if self.whole:  # not there, or begun anew: the whole list, after a while
-                self.loop.after(AGAIN, self._free)
+        self.in_flight, self.version = True, self.version + 1
+        latest = {each.server: each for each in self.due_changes}
+        servers = list(self.servers.values()) if self.send_snapshot else list(latest.values())
+        snapshot, self.due_changes = self.send_snapshot, []
+        update = RosterNews(self.version, snapshot, servers)
+
+        def on_answer(answer: Answer) -> None:
+            self.send_snapshot = answer.status != 200
+            if self.send_snapshot:  # unreachable or restarted: push the full snapshot after a delay
+                self.loop.after(RETRY_DELAY_S, self._allow_push)
             else:
-                self.busy = False
+                self.in_flight = False
 
-        self.client.call("POST", "/v1/roster", encode(news), told, 1.0)
+        self.client.call("POST", "/v1/roster", encode(update), on_answer, 1.0)
 
-    def _free(self) -> None:
-        self.busy = False
+    def _allow_push(self) -> None:
+        self.in_flight = False
 
     @staticmethod
     def unix(clock: float) -> float | None:
-        """The unix time of a moment on the loop's clock."""
+        """The unix time of a moment on the loop's clock; None for minus infinity."""
         return None if clock == float("-inf") else time.time() - time.monotonic() + clock
 
 
@@ -92,21 +96,24 @@
 
 
 class StoreRoster:
-    """Servers that announce themselves by nodes in a store, told of as `RosterStandin` is."""
+    """Servers that announce themselves by nodes in a store. Has the same `begin` and `change` as `RosterStandin`."""
 
     def __init__(
         self, loop: Timers, store: tuple[str, int], timeout: float, seed: int, dial: Callable[..., Stream] = dial
     ) -> None:
+        """`timeout`: of the sessions with the store, in seconds."""
         self.dial = dial
         self.loop, self.store, self.timeout, self.random = loop, store, timeout, Random(f"roster {seed}")
         self.announcers: dict[str, Announcer] = {}
 
     def begin(self, servers: list[ListedServer]) -> None:
+        """Announces the initial servers."""
         for server in servers:
             self.change(server)
 
     def change(self, server: ListedServer) -> None:
-        """A server starts, drains, or is gone: after a drain with a word, else without one."""
+        """A server starts, drains, or is gone. One that was draining leaves properly; another only stops, as in a
+        crash."""
         announcer = self.announcers.get(server.server)
         if server.state == "draining":
             announcer.say("draining")
@@ -126,7 +133,7 @@
             )
 
     def end_session(self, server: str) -> None:
-        """As if it had lapsed: someone else with its number and password closes it."""
+        """Ends a server's session as if it had expired: a second client closes it with its id and password."""
         session = self.announcers[server].client.session
         closer = RosterClient(
             self.loop, [self.store], self.timeout, self.random, lambda state: None, lambda event: None, self.dial
@@ -135,5 +142,6 @@
         closer.ask(Close(), lambda error, result: closer.stop())
 
     def stop(self) -> None:
+        """Stops all announcers."""
         for announcer in self.announcers.values():
             announcer.stop()
--- a/driftshed/trace/__init__.py
+++ b/driftshed/trace/__init__.py
@@ -1,3 +1,3 @@
-"""Traces: what passed and what was decided, in files that outlive the program that wrote them. Columns, framing, clocks
-and replay are free of I/O; `files` and `writer` touch files; nothing here touches sockets. It may import the decisions,
-the core, and numpy, zstandard, xxhash and msgspec."""
+"""Traces: files that record invocations, messages and decisions, and stay readable for later versions. `columns`,
+`framing`, `clocks` and `replay` do no I/O on traces; `files` and `writer` access files; nothing here uses sockets. The
+package may import the decisions, the core, and numpy, zstandard, xxhash and msgspec."""
