--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,5 @@
-"""Traces: the codec on generated records, damage at every byte, versions, clocks, writers on bad disks, replay."""
+"""Tests of traces: encoding of generated records, damage at every byte, format versions, clocks, writers on slow and
+full disks, replay."""
 
 import hashlib
 import json
@@ -45,11 +46,13 @@
     return result.exit_code, result.output
 
 
-def write(path: Path, rows: list, about: dict | None = None, minor: int = 0, size: int = 1000) -> Path:
-    """(kind, source, row)s as a trace, blocks of so many."""
+def write_trace(
+    path: Path, rows: list, about: dict | None = None, minor: int = 0, records_per_block: int = 1000
+) -> Path:
+    """Writes (kind, source, row) tuples as a trace."""
     writer = TraceFileWriter(path, about or {"source": "test"}, minor)
-    for start in range(0, len(rows), size):
-        for batch in to_batches(rows[start : start + size]):
+    for start in range(0, len(rows), records_per_block):
+        for batch in to_batches(rows[start : start + records_per_block]):
             writer.write_batch(batch)
     writer.close()
     return path
@@ -79,12 +82,12 @@
         return [(batch.kind, batch.source, row) for batch in file.batches() for row in to_rows(batch)]
 
 
-# ---- the codec ------------------------------------------------------------------------------------------------------
+# ---- encoding -------------------------------------------------------------------------------------------------------
 
 
 @settings(max_examples=150, suppress_health_check=[HealthCheck.too_slow], deadline=None)
 @given(st.data())
-def test_any_columns_come_back_as_they_went(data):
+def test_any_columns_survive_encoding_and_decoding(data):
     count = data.draw(st.integers(0, 12))
     kinds = data.draw(st.lists(st.sampled_from(sorted(VALUES)), max_size=5))
     plain = {
@@ -93,20 +96,20 @@
     }
     plain["at"] = "t", data.draw(st.lists(INTS, min_size=count, max_size=count))
     batch = Batch("k", "s", {name: (kind, make_column(kind, column)) for name, (kind, column) in plain.items()})
-    back = unpack(pack(batch))
-    assert [(name, kind) for name, (kind, _) in back.columns.items()] == [(n, k) for n, (k, _) in plain.items()]
+    decoded = unpack(pack(batch))
+    assert [(name, kind) for name, (kind, _) in decoded.columns.items()] == [(n, k) for n, (k, _) in plain.items()]
     for name, (kind, column) in plain.items():
-        got = [row[name] for row in to_rows(back)]
+        actual = [row[name] for row in to_rows(decoded)]
         scale = {"t": lambda v: v / 1e6, "T": lambda v: [item / 1e6 for item in v]}.get(kind, lambda v: v)
-        assert got == [scale(value) for value in column]
+        assert actual == [scale(value) for value in column]
     places = data.draw(st.lists(st.integers(0, count - 1), max_size=5) if count else st.just([]))
     rows = np.array(places, dtype=np.int64)
-    assert to_rows(back.select(rows)) == [to_rows(back)[row] for row in rows]
+    assert to_rows(decoded.select(rows)) == [to_rows(decoded)[row] for row in rows]
 
 
 def test_records_come_back_from_a_file_and_by_time(tmp_path):
     rows = [invocation(n, source=f"p{n % 2}") for n in range(2500)]
-    path = write(tmp_path / "a.dst", rows)
+    path = write_trace(tmp_path / "a.dst", rows)
     key = lambda row: (row[1], row[2]["seq"])  # noqa: E731
     assert sorted(rows_of(path), key=key) == sorted(rows, key=key)
     with TraceFile(path) as file:
@@ -115,11 +118,11 @@
 
 def test_equal_times_and_records_out_of_order_keep_all_and_a_steady_order(tmp_path):
     rows = [invocation(n, at=1e9 + (n * 7 % 5) / 10, source=f"p{n % 3}") for n in range(300)]
-    path = write(tmp_path / "a.dst", rows)
+    path = write_trace(tmp_path / "a.dst", rows)
     with TraceFile(path) as file:
         once = [(batch.source, row["seq"]) for batch, row in file.records_by_time()]
         assert once == [(batch.source, row["seq"]) for batch, row in file.records_by_time()] and len(set(once)) == 300
-    same = write(tmp_path / "b.dst", [invocation(n, at=1e9, source=f"p{2 - n % 3}") for n in range(30)])
+    same = write_trace(tmp_path / "b.dst", [invocation(n, at=1e9, source=f"p{2 - n % 3}") for n in range(30)])
     with TraceFile(same) as file:
         shown = [(batch.source, row["seq"]) for batch, row in file.records_by_time()]
     assert shown == sorted(shown)
@@ -127,7 +130,7 @@
 
 @pytest.mark.parametrize("count", [0, 1])
 def test_a_trace_of_no_and_of_one_record_goes_through_every_tool(tmp_path, count):
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(count)])
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(count)])
     for name in ("cut", "anonymise", "repair", "merge"):
         assert run(name, path, tmp_path / f"{name}.dst")[0] == 0
         assert len(rows_of(tmp_path / f"{name}.dst")) == count
@@ -142,64 +145,64 @@
 
 
 def test_a_file_cut_at_every_byte_of_its_last_two_blocks_loses_what_was_cut_and_no_more(tmp_path):
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(60)], size=20)
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(60)], records_per_block=20)
     with TraceFile(path) as file:
         blocks, size = file.blocks, file.size
-    data, cut, mended = path.read_bytes(), tmp_path / "cut.dst", tmp_path / "mended.dst"
+    data, cut, repaired = path.read_bytes(), tmp_path / "cut.dst", tmp_path / "mended.dst"
     for end in range(blocks[1].offset, size):
         cut.write_bytes(data[:end])
-        whole = sum(block.offset + block.length <= end for block in blocks)
-        found = tools.verify(cut)
-        assert found.records == 20 * whole and found.last[2] == 20 * whole - 1 and found.index == "none"
-        mended.unlink(missing_ok=True)
-        assert tools.repair(cut, mended)[0] == 20 * whole
-        with TraceFile(mended) as file:
+        intact = sum(block.offset + block.length <= end for block in blocks)
+        result = tools.verify(cut)
+        assert result.records == 20 * intact and result.last[2] == 20 * intact - 1 and result.index == "none"
+        repaired.unlink(missing_ok=True)
+        assert tools.repair(cut, repaired)[0] == 20 * intact
+        with TraceFile(repaired) as file:
             assert file.indexed
         if end % 7 == 0:
-            assert rows_of(mended) == [invocation(n) for n in range(20 * whole)]
-            assert recover_file(cut)[0] == whole and tools.verify(cut).index == "sound"
+            assert rows_of(repaired) == [invocation(n) for n in range(20 * intact)]
+            assert recover_file(cut)[0] == intact and tools.verify(cut).index == "sound"
 
 
 def test_a_flipped_bit_anywhere_is_found_the_block_named_and_the_rest_read(tmp_path):
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(60)], size=20)
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(60)], records_per_block=20)
     with TraceFile(path) as file:
-        blocks, size, begins = file.blocks, file.size, file.data_start
+        blocks, size, data_start = file.blocks, file.size, file.data_start
     data, broken = path.read_bytes(), tmp_path / "broken.dst"
     for at in range(size):
         broken.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
-        if at < begins:
+        if at < data_start:
             with pytest.raises(TraceError):
                 tools.verify(broken)
             continue
-        found = tools.verify(broken)
+        result = tools.verify(broken)
         hit = [block for block in blocks if block.offset <= at < block.offset + block.length]
-        assert found.records == 60 - 20 * len(hit), at
+        assert result.records == 60 - 20 * len(hit), at
         if hit:
-            assert found.damages[0][0] == hit[0].offset and str(hit[0].offset) in found.damages[0][1]
+            assert result.damages[0][0] == hit[0].offset and str(hit[0].offset) in result.damages[0][1]
         else:
-            assert found.damages or found.index != "sound"
+            assert result.damages or result.index != "sound"
 
 
-def test_an_index_older_than_its_data_is_not_believed(tmp_path):
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(20)])
-    other = write(tmp_path / "b.dst", [invocation(n) for n in range(20, 50)])
+def test_an_index_that_does_not_match_its_file_is_ignored(tmp_path):
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(20)])
+    other = write_trace(tmp_path / "b.dst", [invocation(n) for n in range(20, 50)])
     with TraceFile(other) as file:
-        more = file.read_bytes(file.data_start, file.blocks[0].length)
-    whole = path.read_bytes()
-    path.write_bytes(whole + more)  # written behind the end mark
+        extra_block = file.read_bytes(file.data_start, file.blocks[0].length)
+    original = path.read_bytes()
+    path.write_bytes(original + extra_block)  # a block after the trailer
     assert len(rows_of(path)) == 50 and tools.verify(path).index == "none"
     with TraceFile(other) as file:
-        begins = file.data_start
-    path.write_bytes(whole[:begins] + more + whole[begins:])  # and before what the index tells of
+        data_start = file.data_start
+    path.write_bytes(original[:data_start] + extra_block + original[data_start:])  # a block before those of the index
     assert len(rows_of(path)) == 50 and run("verify", path)[0] == 1
 
 
-def test_the_fuzz_raises_nothing_and_stays_within_its_bound(tmp_path):
-    done = fuzz(tmp_path, 60.0, 1, most=60)  # by files, not by time: a busy machine plays fewer in a second
-    assert done.files > 50 and done.refused > done.files / 2 and done.most_bytes < MAX_MEMORY_BYTES
+def test_the_fuzzer_finds_no_error_and_stays_within_its_memory_limit(tmp_path):
+    result = fuzz(tmp_path, 60.0, 1, most=60)  # limited by files, since a busy machine reads fewer per second
+    assert result.files > 50 and result.refused > result.files / 2 and result.most_bytes < MAX_MEMORY_BYTES
 
 
-def test_a_block_that_claims_or_unpacks_to_too_much_is_refused(tmp_path):
+def test_a_block_that_declares_or_contains_too_much_is_refused(tmp_path):
     with pytest.raises(TraceError, match="more than a block may hold"):
         unpack(pack(Batch("k", "s", {"at": ("t", np.zeros(MAX_RECORDS + 1, dtype=np.int64))})))
     path = tmp_path / "a.dst"
@@ -211,7 +214,7 @@
 
 
 def newer_rows() -> list:
-    """What a newer minor version might write: another kind, and another column of a kind that is known."""
+    """Rows as a newer minor version might write them: an unknown kind, and unknown columns of a known kind."""
     rows = [invocation(n, colour="green", lanes=["x"] * (n % 2)) for n in range(30)]
     return rows + [("weather", "p", {"at": 1e9 + n, "seq": 100 + n, "degrees": 20.5, "sky": b"blue"}) for n in range(5)]
 
@@ -219,12 +222,12 @@
 def test_golden_files_of_this_and_of_a_newer_version_are_read(tmp_path):
     assert rows_of(GOLDEN / "v1.0.dst") == [invocation(n) for n in range(30)]
     assert sorted(map(str, rows_of(GOLDEN / "v1.9.dst"))) == sorted(map(str, newer_rows()))
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(30)])
-    assert path.read_bytes() == (GOLDEN / "v1.0.dst").read_bytes()  # this program writes what it wrote then
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(30)])
+    assert path.read_bytes() == (GOLDEN / "v1.0.dst").read_bytes()  # the encoding has not changed since
 
 
 @pytest.mark.parametrize("tool", ["cut", "merge", "repair", "convert"])
-def test_what_a_newer_minor_version_added_passes_through_an_older_tool_unharmed(tmp_path, tool):
+def test_additions_of_a_newer_minor_version_pass_through_tools_unchanged(tmp_path, tool):
     path, out = GOLDEN / "v1.9.dst", tmp_path / "out.dst"
     if tool == "convert":
         assert run("convert", path, tmp_path / "a.jsonl")[0] == run("convert", tmp_path / "a.jsonl", out)[0] == 0
@@ -237,13 +240,13 @@
         assert file.minor == 9
 
 
-def test_a_newer_major_version_is_refused_in_a_plain_sentence(tmp_path):
+def test_a_newer_major_version_is_refused_with_a_clear_message(tmp_path):
     head = bytearray(header_bytes({}))
     head[8] = MAJOR + 1
     path = tmp_path / "a.dst"
     path.write_bytes(bytes(head))
-    code, said = run("summary", path)
-    assert code == 2 and f"trace format {MAJOR + 1}.0" in said and "use a newer one" in said
+    code, output = run("summary", path)
+    assert code == 2 and f"trace format {MAJOR + 1}.0" in output and "use a newer one" in output
     with pytest.raises(TraceError, match="no trace file"):
         read_header(b"PK\3\4 something else entirely")
 
@@ -255,7 +258,7 @@
     rows = [invocation(n) for n in range(300)]
     gap = ("gap", "p", {"at": 1e9 + 1, "seq": 0, "until": 1e9 + 1.5, "lost": 7, "why": "the disk is too slow"})
     note = ("note", "p", {"at": 1e9 + 1, "seq": 999, "text": "hello"})
-    path = write(tmp_path / "a.dst", [*rows, gap, note], size=50)
+    path = write_trace(tmp_path / "a.dst", [*rows, gap, note], records_per_block=50)
 
     def kept(*flags) -> list:
         out = tmp_path / f"{hashlib.md5(str(flags).encode()).hexdigest()}.dst"
@@ -272,7 +275,7 @@
     posts = [r for r in plain if r["operation"] == "post" and not r["proxy"]]
     assert kept("--operation", "post", "--proxy", 0) == posts
     assert kept("--kind", "note") == [] and kept("--instance", "p") == plain and kept("--instance", "q") == []
-    assert run("cut", path, path)[0] == 2  # nothing is written over
+    assert run("cut", path, path)[0] == 2  # no file is overwritten
 
 
 def test_anonymise_leaves_no_identifier_and_keeps_equal_ones_equal(tmp_path):
@@ -282,47 +285,51 @@
     rows += [("note", "p", {"at": 1e9, "seq": n, "text": f"seen {name}"}) for n, name in enumerate(names)]
     rows += [("gap", "p", {"at": 1e9, "seq": 0, "until": 1e9, "lost": 0, "why": f"no room for {names[0]}"})]
     rows += [("diary", "p", {"at": 1e9, "seq": 1, "of": names[1], "raw": names[2].encode()})]
-    path = write(tmp_path / "a.dst", rows, about={"source": "test", "owner": names[3]})
+    path = write_trace(tmp_path / "a.dst", rows, about={"source": "test", "owner": names[3]})
     for out in ("b.dst", "c.dst"):
-        code, said = run("anonymise", path, tmp_path / out)
-        assert code == 0 and json.loads(said)["dropped"]["note"] == 40
+        code, output = run("anonymise", path, tmp_path / out)
+        assert code == 0 and json.loads(output)["dropped"]["note"] == 40
     with TraceFile(tmp_path / "b.dst") as file:
         layers = [str(file.about).encode(), *(pack(file.read(block)) for block in file.blocks)]
         layers.append((tmp_path / "b.dst").read_bytes())
     for name in names:
         assert not any(name.encode() in layer or name.partition("-")[2].encode() in layer for layer in layers)
     plain = [row["key"] for kind, _, row in rows if kind == "invocation"]
-    hidden = [row["key"] for kind, _, row in rows_of(tmp_path / "b.dst") if kind == "invocation"]
-    assert len(set(zip(plain, hidden, strict=True))) == len(set(plain)) == len(set(hidden))
+    pseudonyms = [row["key"] for kind, _, row in rows_of(tmp_path / "b.dst") if kind == "invocation"]
+    assert len(set(zip(plain, pseudonyms, strict=True))) == len(set(plain)) == len(set(pseudonyms))
     other = [row["key"] for kind, _, row in rows_of(tmp_path / "c.dst") if kind == "invocation"]
-    assert not set(hidden) & set(other)  # another key each time, thrown away
+    assert not set(pseudonyms) & set(other)  # each run uses another random key
     (tmp_path / "key").write_bytes(b"0123456789abcdef")
     for out in ("d.dst", "e.dst"):
         assert run("anonymise", path, tmp_path / out, "--key-file", tmp_path / "key")[0] == 0
     assert rows_of(tmp_path / "d.dst") == rows_of(tmp_path / "e.dst")
-    assert len({len(key) for key in hidden}) == 1 and sorted(set(hidden), key=hidden.index) != sorted(set(hidden))
+    assert len({len(key) for key in pseudonyms}) == 1 and sorted(set(pseudonyms), key=pseudonyms.index) != sorted(
+        set(pseudonyms)
+    )
 
 
-def test_summary_counts_what_is_there(tmp_path):
-    path = write(tmp_path / "a.dst", [invocation(n) for n in range(300)])
-    told = json.loads(run("summary", path)[1])
-    assert told["records"] == 300 and told["kinds"] == {"invocation": 300}
-    assert told["operations"]["look"]["count"] == 150 and told["operations"]["look"]["value"] == 225
-    assert abs(told["operations"]["post"]["p50_s"] - 0.1) < 0.007 and told["operations"]["look"]["tries_each"] == 1.0
-    assert told["from"] == 1e9 and told["to"] == 1e9 + 2.99 and told["servers"] == {"a:1": 200, "b:2": 100}
+def test_summary_counts_records(tmp_path):
+    path = write_trace(tmp_path / "a.dst", [invocation(n) for n in range(300)])
+    result = json.loads(run("summary", path)[1])
+    assert result["records"] == 300 and result["kinds"] == {"invocation": 300}
+    assert result["operations"]["look"]["count"] == 150 and result["operations"]["look"]["value"] == 225
+    assert (
+        abs(result["operations"]["post"]["p50_s"] - 0.1) < 0.007 and result["operations"]["look"]["tries_each"] == 1.0
+    )
+    assert result["from"] == 1e9 and result["to"] == 1e9 + 2.99 and result["servers"] == {"a:1": 200, "b:2": 100}
 
 
-def test_verify_misses_records_that_no_gap_tells_of(tmp_path):
+def test_verify_reports_missing_records_without_a_gap(tmp_path):
     rows = [invocation(n) for n in range(100) if n not in (40, 41)]
-    path = write(tmp_path / "a.dst", rows)
+    path = write_trace(tmp_path / "a.dst", rows)
     assert tools.verify(path).missing == {"p": 2} and run("verify", path)[0] == 1
     gap = ("gap", "p", {"at": 1e9, "seq": 0, "until": 1e9, "lost": 2, "why": "the disk is too slow"})
-    assert run("verify", write(tmp_path / "b.dst", [*rows, gap]))[0] == 0
+    assert run("verify", write_trace(tmp_path / "b.dst", [*rows, gap]))[0] == 0
 
 
-def test_bad_lines_name_themselves_and_leave_nothing(tmp_path):
+def test_invalid_lines_are_reported_by_number_and_leave_no_file(tmp_path):
     first, lines = '{"trace":{}}', tmp_path / "a.jsonl"
-    for text, said in (
+    for text, expected in (
         ("nonsense", "line 1"),
         ('{"kind":"note"}', "line 1"),
         (f"{first}\n[1]", "line 2"),
@@ -333,67 +340,74 @@
     ):
         lines.write_text(text)
         code, output = run("convert", lines, tmp_path / "out.dst")
-        assert code == 2 and said in output and not (tmp_path / "out.dst").exists(), text
+        assert code == 2 and expected in output and not (tmp_path / "out.dst").exists(), text
 
 
 # ---- clocks ---------------------------------------------------------------------------------------------------------
 
 
-def seen(random: Random, offset: float, drift: float, count: int = 400, most: float = 0.02) -> tuple[list, list]:
-    """Messages both ways between two halls; each takes 0.3 ms and more."""
-    forth, back = [], []
+def random_messages(
+    random: Random, offset: float, drift: float, count: int = 400, max_transit: float = 0.02
+) -> tuple[list, list]:
+    """Messages in both directions between two halls; each takes at least 0.3 ms."""
+    forward, backward = [], []
     for n in range(count):
         at = n * 0.5
-        for way in (forth, back):
-            sent, took = at + random.random(), 0.0003 + random.random() ** 3 * most
+        for direction in (forward, backward):
+            sent, transit = at + random.random(), 0.0003 + random.random() ** 3 * max_transit
             clock = lambda t: t + offset + drift * t  # noqa: E731
-            way.append((sent, clock(sent + took)) if way is forth else (clock(sent), sent + took))
-    return forth, back
+            direction.append((sent, clock(sent + transit)) if direction is forward else (clock(sent), sent + transit))
+    return forward, backward
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_an_unknown_offset_and_drift_are_found_within_the_bound_and_no_answer_precedes_its_question(seed):
+def test_offset_and_drift_are_estimated_within_the_bound_and_no_message_arrives_before_it_was_sent(seed):
     random = Random(seed)
     offset, drift = random.uniform(-100, 100), random.uniform(-2e-4, 2e-4)
-    forth, back = seen(random, offset, drift)
-    found = estimate(forth, back)
-    assert isinstance(found, Offset) and abs(found.drift - drift) < 2e-5 and found.messages == (400, 400)
-    for time_ in (0.0, 50.0, 100.0, 200.0):
-        assert abs(found.at(time_) - offset - drift * time_) <= found.bound + 1e-9 < 0.03
-    assert all(received - found.at(sent) >= sent - 1e-9 for sent, received in forth)
-    assert all(received >= sent - found.at(received) - 1e-9 for sent, received in back)
-
-
-def test_what_cannot_be_known_of_clocks_is_not_guessed():
-    forth, back = seen(Random(1), 5.0, 0.0)
-    assert isinstance(estimate([], []), Unknown) and isinstance(estimate(forth, []), Unknown)
-    stepped = [(sent, received + 3.0 * (n > 200)) for n, (sent, received) in enumerate(forth)]
-    stepped_back = [(sent + 3.0 * (n > 200), received) for n, (sent, received) in enumerate(back)]
-    assert "clock" in estimate(stepped, stepped_back).why
-
-
-def halls(folder: Path, offset: float, share: bool = True) -> tuple[Path, Path]:
-    """Two halls' traces of messages and invocations; the second's clock is ahead."""
+    forward, backward = random_messages(random, offset, drift)
+    result = estimate(forward, backward)
+    assert isinstance(result, Offset) and abs(result.drift - drift) < 2e-5 and result.messages == (400, 400)
+    for moment in (0.0, 50.0, 100.0, 200.0):
+        assert abs(result.at(moment) - offset - drift * moment) <= result.bound + 1e-9 < 0.03
+    assert all(received - result.at(sent) >= sent - 1e-9 for sent, received in forward)
+    assert all(received >= sent - result.at(received) - 1e-9 for sent, received in backward)
+
+
+def test_clocks_that_cannot_be_compared_are_reported_as_unknown():
+    forward, backward = random_messages(Random(1), 5.0, 0.0)
+    assert isinstance(estimate([], []), Unknown) and isinstance(estimate(forward, []), Unknown)
+    stepped_forward = [(sent, received + 3.0 * (n > 200)) for n, (sent, received) in enumerate(forward)]
+    stepped_backward = [(sent + 3.0 * (n > 200), received) for n, (sent, received) in enumerate(backward)]
+    assert "clock" in estimate(stepped_forward, stepped_backward).why
+
+
+def write_hall_traces(folder: Path, offset: float, share: bool = True) -> tuple[Path, Path]:
+    """Writes the traces of messages and invocations of two halls; the second clock is ahead by `offset`. Without
+    `share` the traces have no message in common."""
     random, one, two = Random(3), [], []
     for n in range(200):
-        at = 1e9 + n * 0.1
+        sent_at = 1e9 + n * 0.1
         name = f"m{n}" if share else f"only-{n}"
-        there = at + 0.001 + random.random() / 100
-        one.append(("message", "one", {"at": at, "seq": 3 * n, "id": name, "sent": 1}))
-        two.append(("message", "two", {"at": there + offset, "seq": 3 * n, "id": name * share or f"x{n}", "sent": 0}))
-        back = there + 0.002
-        two.append(("message", "two", {"at": back + offset, "seq": 3 * n + 1, "id": f"{name}/b", "sent": 1}))
-        arrives = back + 0.001 + random.random() / 100
-        answered = f"{name}/b" * share or f"y{n}"
-        one.append(("message", "one", {"at": arrives, "seq": 3 * n + 1, "id": answered, "sent": 0}))
-        two.append(invocation(3 * n + 2, at=there + 0.001 + offset, source="two"))
-    return write(folder / "one.dst", one, size=150), write(folder / "two.dst", two, size=150)
+        received_at = sent_at + 0.001 + random.random() / 100
+        one.append(("message", "one", {"at": sent_at, "seq": 3 * n, "id": name, "sent": 1}))
+        two.append(
+            ("message", "two", {"at": received_at + offset, "seq": 3 * n, "id": name * share or f"x{n}", "sent": 0})
+        )
+        replied_at = received_at + 0.002
+        two.append(("message", "two", {"at": replied_at + offset, "seq": 3 * n + 1, "id": f"{name}/b", "sent": 1}))
+        reply_received_at = replied_at + 0.001 + random.random() / 100
+        reply_name = f"{name}/b" * share or f"y{n}"
+        one.append(("message", "one", {"at": reply_received_at, "seq": 3 * n + 1, "id": reply_name, "sent": 0}))
+        two.append(invocation(3 * n + 2, at=received_at + 0.001 + offset, source="two"))
+    return write_trace(folder / "one.dst", one, records_per_block=150), write_trace(
+        folder / "two.dst", two, records_per_block=150
+    )
 
 
 def test_traces_of_two_halls_are_merged_on_one_clock_with_causes_before_effects(tmp_path):
-    one, two = halls(tmp_path, 17.25)
-    code, said = run("merge", one, two, tmp_path / "both.dst")
-    clock = json.loads(said)["clocks"][0]
+    one, two = write_hall_traces(tmp_path, 17.25)
+    code, output = run("merge", one, two, tmp_path / "both.dst")
+    clock = json.loads(output)["clocks"][0]
     assert code == 0 and abs(clock["offset_s"] - 17.25) <= clock["bound_s"] < 0.01
     with TraceFile(tmp_path / "both.dst") as file:
         order = [(row["id"], row["sent"]) for batch, row in file.records_by_time({"message"})]
@@ -403,32 +417,32 @@
 
 
 def test_halls_that_share_nothing_are_not_ordered(tmp_path):
-    one, two = halls(tmp_path, 17.25, share=False)
-    code, said = run("merge", one, two, tmp_path / "both.dst")
-    assert code == 0 and "unknown" in said and "share no message" in said
+    one, two = write_hall_traces(tmp_path, 17.25, share=False)
+    code, output = run("merge", one, two, tmp_path / "both.dst")
+    assert code == 0 and "unknown" in output and "share no message" in output
     with TraceFile(tmp_path / "both.dst") as file:
         sources = [block.meta.source for block in file.blocks]
-    assert sources == sorted(sources)  # one hall after the other
+    assert sources == sorted(sources)  # all blocks of one hall, then those of the other
     assert min(row["at"] for kind, source, row in rows_of(tmp_path / "both.dst") if source == "two") > 1e9 + 17
 
 
 # ---- writers --------------------------------------------------------------------------------------------------------
 
 
-def settle(condition, bound: float = 10.0) -> None:
-    end = time.monotonic() + bound
+def wait_until(condition, timeout: float = 10.0) -> None:
+    deadline = time.monotonic() + timeout
     while not condition():
-        assert time.monotonic() < end, "the condition did not come"
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.01)
 
 
-def test_a_writer_rotates_by_size_and_goes_on_behind_its_last_file(tmp_path):
+def test_a_writer_rotates_by_size_and_continues_after_its_last_file(tmp_path):
     for _ in range(2):
         writer = TraceWriter(tmp_path, "p", max_file_bytes=2000)
         for n in range(40):
             writer.add("note", 1e9 + n, text=f"{n} " + os.urandom(200).hex())
             writer.flush()
-            settle(lambda writer=writer: writer.queue.empty())
+            wait_until(lambda writer=writer: writer.queue.empty())
         assert writer.close() and writer.lost == 0
     files = sorted(tmp_path.glob("*.dst"))
     assert len(files) > 4 and [int(file.stem[-6:]) for file in files] == list(range(1, len(files) + 1))
@@ -436,62 +450,62 @@
     assert all(tools.verify(file).index == "sound" for file in files)
 
 
-class Stuck(TraceFileWriter):
-    """A disk that takes its time, or has no room."""
+class FaultyDisk(TraceFileWriter):
+    """A disk that is slow, or full. `may_write`: None, or a function that delays writes until it returns true."""
 
-    room, slow = True, None
+    has_room, may_write = True, None
 
     def _write(self, data: bytes) -> None:
-        while Stuck.slow and not Stuck.slow():
+        while FaultyDisk.may_write and not FaultyDisk.may_write():
             time.sleep(0.005)
-        if not Stuck.room:
+        if not FaultyDisk.has_room:
             raise OSError(28, "No space left on device")
         super()._write(data)
 
 
-def gaps(folder: Path) -> tuple[int, int]:
+def count_kept_and_lost(folder: Path) -> tuple[int, int]:
     rows = [row for file in folder.glob("*.dst") for row in rows_of(file)]
     return len(rows) - sum(kind == "gap" for kind, _, _ in rows), sum(r["lost"] for kind, _, r in rows if kind == "gap")
 
 
-def test_a_slow_disk_costs_whole_handovers_that_a_gap_tells_of(tmp_path):
-    go = []
-    Stuck.slow = lambda: bool(go)
+def test_a_slow_disk_drops_records_and_a_gap_reports_them(tmp_path):
+    released = []
+    FaultyDisk.may_write = lambda: bool(released)
     try:
-        writer = TraceWriter(tmp_path, "p", opener=Stuck)
+        writer = TraceWriter(tmp_path, "p", opener=FaultyDisk)
         for n in range(3 * MAX_QUEUED_BATCHES):
             writer.add("note", 1e9 + n, text="x")
-            writer.flush()  # never waits
+            writer.flush()  # never blocks
         assert writer.lost >= MAX_QUEUED_BATCHES and len(writer.rows) == 0
-        go.append(1)
-        settle(lambda: writer.queue.empty())
+        released.append(1)
+        wait_until(lambda: writer.queue.empty())
         writer.add("note", 2e9, text="y")
         assert writer.close()
     finally:
-        Stuck.slow = None
-    kept, lost = gaps(tmp_path)
+        FaultyDisk.may_write = None
+    kept, lost = count_kept_and_lost(tmp_path)
     assert lost == writer.lost and kept + lost == 3 * MAX_QUEUED_BATCHES + 1
     assert all(not tools.verify(file).missing for file in tmp_path.glob("*.dst"))
 
 
-def test_a_full_disk_is_a_gap_told_when_there_is_room_again(tmp_path):
+def test_a_full_disk_is_reported_by_a_gap_once_there_is_room(tmp_path):
     try:
-        writer = TraceWriter(tmp_path, "p", opener=Stuck)
+        writer = TraceWriter(tmp_path, "p", opener=FaultyDisk)
         for n in range(30):
-            Stuck.room = not 10 <= n < 20
+            FaultyDisk.has_room = not 10 <= n < 20
             writer.add("note", 1e9 + n, text="x")
             writer.flush()
             before = writer.written + writer.lost
-            settle(lambda before=before: writer.queue.empty() and writer.written + writer.lost >= before)
+            wait_until(lambda before=before: writer.queue.empty() and writer.written + writer.lost >= before)
             time.sleep(0.02)
         assert writer.close() and "No space" in writer.last_error
     finally:
-        Stuck.room = True
-    kept, lost = gaps(tmp_path)
+        FaultyDisk.has_room = True
+    kept, lost = count_kept_and_lost(tmp_path)
     assert (kept, lost) == (20, 10)
 
 
-FULL = """
+FILE_SIZE_LIMIT_PROGRAM = """
 import resource, signal, sys, time
 from pathlib import Path
 from driftshed.trace.writer import TraceWriter
@@ -508,17 +522,21 @@
 """
 
 
-def test_a_file_that_the_system_lets_grow_no_further_stays_readable(tmp_path):
-    lost = int(subprocess.run([sys.executable, "-c", FULL, str(tmp_path)], capture_output=True, text=True).stdout)
-    kept, _ = gaps(tmp_path)
+def test_a_file_at_the_size_limit_of_the_process_stays_readable(tmp_path):
+    lost = int(
+        subprocess.run(
+            [sys.executable, "-c", FILE_SIZE_LIMIT_PROGRAM, str(tmp_path)], capture_output=True, text=True
+        ).stdout
+    )
+    kept, _ = count_kept_and_lost(tmp_path)
     assert lost > 20 and kept + lost == 60 and not tools.verify(next(tmp_path.glob("*.dst"))).damages
 
 
 # ---- replay ---------------------------------------------------------------------------------------------------------
 
 
-def recorded(folder: Path, seconds: float = 12.0, brain=Brain) -> Path:
-    """A recording of an instance; what a writer puts in its file."""
+def record_instance(folder: Path, seconds: float = 12.0, brain=Brain) -> Path:
+    """Records an instance; returns the trace file."""
     instance, holders = joined_instance(brain=brain)
     writer = TraceWriter(folder, "supervisor-0")
     Recording(instance, writer)
@@ -529,8 +547,8 @@
     return folder / "supervisor-0-000001.dst"
 
 
-def verdicts(path: Path, **more) -> list:
-    replay = Replay(**more)
+def replay_verdicts(path: Path, **options) -> list:
+    replay = Replay(**options)
     with TraceFile(path) as file:
         for batch, row in file.records_by_time({"start", "turn"}):
             replay.start(row) if batch.kind == "start" else replay.turn(row)
@@ -538,8 +556,8 @@
 
 
 def test_a_recording_replays_to_the_same_orders(tmp_path):
-    path = recorded(tmp_path)
-    (verdict,) = verdicts(path)
+    path = record_instance(tmp_path)
+    (verdict,) = replay_verdicts(path)
     assert verdict.said == "same" and verdict.turns > 50
     assert run("replay", path)[0] == 0
 
@@ -550,12 +568,12 @@
             orders = super().handle(now, events)
             return [o._replace(weight=o.weight * 2) if isinstance(o, face.SetLine) and now > 3 else o for o in orders]
 
-    (verdict,) = verdicts(recorded(tmp_path), make_brain=Other)
+    (verdict,) = replay_verdicts(record_instance(tmp_path), make_brain=Other)
     assert verdict.said == "differs" and 3 < float(verdict.why.split(" at ")[1].split(" s")[0]) < 7
     assert "weight" in verdict.why
 
 
-def test_a_module_that_raised_raises_again_and_begins_anew(tmp_path):
+def test_a_module_that_raised_raises_again_in_replay_and_restarts(tmp_path):
     class Faulty(Brain):
         def __init__(self, facts, seed, now):
             super().__init__(facts, seed, now)
@@ -566,22 +584,25 @@
                 raise KeyError("broken")
             return super().handle(now, events)
 
-    path = recorded(tmp_path, brain=Faulty)
-    said = verdicts(path, make_brain=Faulty)
-    assert [(v.begin, v.said) for v in said] == [(0, "same"), (1, "same")] and all(v.turns for v in said)
-    assert verdicts(path)[0].said == "differs" and "raised" in verdicts(path)[0].why
+    path = record_instance(tmp_path, brain=Faulty)
+    results = replay_verdicts(path, make_brain=Faulty)
+    assert [(v.begin, v.said) for v in results] == [(0, "same"), (1, "same")] and all(v.turns for v in results)
+    assert replay_verdicts(path)[0].said == "differs" and "raised" in replay_verdicts(path)[0].why
 
 
-def test_replay_does_not_pretend(tmp_path):
-    path = recorded(tmp_path)
-    assert verdicts(path, core="another")[0].said == "unknown" and "core" in verdicts(path, core="another")[0].why
-    assert verdicts(path, core="another", other_core=True)[0].said == "same"
+def test_replay_reports_unknown_where_it_cannot_compare(tmp_path):
+    path = record_instance(tmp_path)
+    assert (
+        replay_verdicts(path, core="another")[0].said == "unknown"
+        and "core" in replay_verdicts(path, core="another")[0].why
+    )
+    assert replay_verdicts(path, core="another", other_core=True)[0].said == "same"
     late = tmp_path / "late.dst"
     tools.cut(path, late, CutFilter(kinds=frozenset({"turn"})))
-    (verdict,) = verdicts(late)
+    (verdict,) = replay_verdicts(late)
     assert verdict.said == "unknown" and "start is not in the trace" in verdict.why
     rows = [row for row in rows_of(path) if row[2].get("turn") not in (20, 21)]
-    (verdict,) = verdicts(write(tmp_path / "holes.dst", rows))
+    (verdict,) = replay_verdicts(write_trace(tmp_path / "holes.dst", rows))
     assert (verdict.said, verdict.turns) == ("unknown", 20) and "turns 20 to 21 are missing" in verdict.why
     assert run("replay", tmp_path / "holes.dst")[0] == 3
 
@@ -592,18 +613,20 @@
     script = tmp_path / "small.toml"
     kill = '\n[[troubles]]\ntype = "kill"\nat = 5.5\ndown = 1.0\n'
     script.write_text(SMALL.replace("seconds = 9", "seconds = 8") + kill)
-    done = subprocess.run(
+    day = subprocess.run(
         [sys.executable, "-m", "driftshed.cli", "day", str(script), "--trace", str(tmp_path / "t")],
         capture_output=True,
         text=True,
         timeout=120,
     )
-    assert done.returncode == 0, done.stdout
+    assert day.returncode == 0, day.stdout
     files = sorted((tmp_path / "t").glob("supervisor-*.dst"))
-    assert len(files) == 2 and tools.verify(files[0]).index == "sound"  # ended by the next start
-    code, said = run("replay", *files)
-    told = [json.loads(line) for line in said.splitlines()]
-    assert code == 0 and [row["said"] for row in told] == ["same", "same"] and all(row["turns"] > 10 for row in told)
+    assert len(files) == 2 and tools.verify(files[0]).index == "sound"  # closed by the next start
+    code, output = run("replay", *files)
+    results = [json.loads(line) for line in output.splitlines()]
+    assert (
+        code == 0 and [row["said"] for row in results] == ["same", "same"] and all(row["turns"] > 10 for row in results)
+    )
     proxies = sorted((tmp_path / "t").glob("proxy-*.dst"))
     kinds = [json.loads(run("summary", file)[1])["kinds"] for file in proxies]
     assert len(proxies) == 4 and sum(each["invocation"] for each in kinds) > 300
