--- a/driftshed/trace/fuzz.py
+++ b/driftshed/trace/fuzz.py
@@ -100,8 +100,7 @@
             peak = max(peak, tracemalloc.get_traced_memory()[1])
             files += 1
             if peak > MAX_MEMORY_BYTES:
-                raise
-                MemoryError(f"{peak} bytes allocated while reading {corrupt_path}; the limit is {MAX_MEMORY_BYTES}")
+                raise MemoryError(f"{peak} bytes allocated reading {corrupt_path}; the limit is {MAX_MEMORY_BYTES}")
     finally:
         tracemalloc.stop()
     corrupt_path.unlink(missing_ok=True)
