--- a/driftshed/standins/emulator.py
+++ b/driftshed/standins/emulator.py
@@ -254,7 +254,8 @@
             return float("inf")
 
     def _already_run(self, request: Request) -> bool:
-        """Whether an invocation with the same mark was started here within `marks_for`; remembers the mark if not."""
+        """Whether an invocation with the same mark was started here within `marks_for`. If not, and
+        if the queue has room for it, its mark is remembered."""
         if not self.machine.marks_for or b"idempotency-key" not in request.headers:
             return False
         now, mark = self.loop.clock(), request.headers[b"idempotency-key"]
--- a/driftshed/trace/writer.py
+++ b/driftshed/trace/writer.py
@@ -77,19 +77,19 @@
         source: str,
         about: dict | None = None,
         max_file_bytes: int = 64 << 20,
-        max_file_age: float = 3600.0,
-        sync_interval: float = 1.0,
+        max_file_age_s: float = 3600.0,
+        sync_interval_s: float = 1.0,
         opener: FileOpener = TraceFileWriter,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Recovers earlier files of this source and starts the thread. `max_file_age` and `sync_interval` are in
-        seconds; `sync_interval` 0 syncs after each write. `about` is added to the header of each file."""
-        self.folder, self.source, self.max_file_bytes, self.max_file_age, self.sync_interval = (
+        """Recovers earlier files of this source and starts the thread. `sync_interval_s` 0 syncs after each
+        write. `about` is added to the header of each file."""
+        self.folder, self.source, self.max_file_bytes, self.max_file_age_s, self.sync_interval_s = (
             folder,
             source,
             max_file_bytes,
-            max_file_age,
-            sync_interval,
+            max_file_age_s,
+            sync_interval_s,
         )
         self.about = {"source": source, "core": core_version(), **(about or {})}
         self.opener, self.clock = opener, clock
@@ -101,7 +101,8 @@
             try:
                 blocks, removed = recover_file(path)
             except TraceError:
-                path.rename(path.with_suffix(".broken"))  # its header is damaged: no records can be recovered
+                # Without a complete header the file has no blocks: nothing can be kept, and no record is lost.
+                path.rename(path.with_suffix(".broken"))
                 self.recovered.append((path.name, 0, path.with_suffix(".broken").stat().st_size))
                 continue
             if removed:
@@ -210,12 +211,12 @@
             return
         now = time.monotonic()
         try:
-            if now - self.synced_at >= self.sync_interval:
+            if now - self.synced_at >= self.sync_interval_s:
                 self.file.sync()
                 self.synced_at = now
         except OSError as error:
             self.last_error = str(error)
-        if self.file.offset >= self.max_file_bytes or now - self.opened_at >= self.max_file_age:
+        if self.file.offset >= self.max_file_bytes or now - self.opened_at >= self.max_file_age_s:
             self._close()
 
     def _close(self) -> None:
