--- a/driftshed/supervisor/__init__.py
+++ b/driftshed/supervisor/__init__.py
@@ -1,2 +1,2 @@
-"""The supervisor as a program: its flags, its API over HTTP, its process. It decides nothing: it hands to the core
-what comes in and sends out what the core publishes. It may import `driftshed.core` and `driftshed.net`."""
+"""The supervisor as a program: its flags, its HTTP API and its process. It makes no decisions: it passes requests to
+the core and sends what the core publishes. It may import `driftshed.core` and `driftshed.net`."""
--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -197,7 +197,7 @@
         log("stopping", signal=signal.Signals(number).name)
         if agent is None:
             service.stop()
-        elif service.leaving:  # told twice: at once
+        elif service.handing_over:  # told twice: at once
             agent.leave()
             service.stop()
         else:
--- a/driftshed/supervisor/service.py
+++ b/driftshed/supervisor/service.py
@@ -1,4 +1,4 @@
-"""The API of a supervisor: HTTP requests in, calls of the core, answers out. Paths and fields: docs/api.md."""
+"""HTTP API of a supervisor: maps requests to calls of the core. Paths and fields: docs/api.md."""
 
 from __future__ import annotations
 
@@ -19,26 +19,27 @@
 STATE_NAMES = {face.READY: "ready", face.DRAINING: "draining"}
 
 
-def refusal(reason: str) -> bytes:
+def error_body(reason: str) -> bytes:
+    """JSON body of an error answer."""
     return encode({"error": reason})
 
 
-class Poll:
-    """What the service holds of one joined proxy: its stream, the connection it is on, the poll that waits."""
+class ProxyStream:
+    """Stream of one joined proxy: its id, the connection that it uses, and the poll that the service holds open."""
 
-    __slots__ = ("stream", "connection", "request", "timer", "record", "living")
+    __slots__ = ("stream_id", "connection", "request", "timer", "record", "announced_supervisors")
 
     def __init__(self, record: Record) -> None:
-        self.record, self.stream = record, record.stream
-        self.living: list[str] = []  # the supervisors that the proxy was told of
+        """`record`: state of the proxy in the hub, which owns it. No poll is held yet."""
+        self.record, self.stream_id = record, record.stream
+        self.announced_supervisors: list[str] = []  # addresses last sent to the proxy
         self.connection: ServerConnection | None = None
         self.request: Request | None = None
         self.timer: Timer | None = None
 
 
 class Service:
-    """Serves one instance. `wait_most`: seconds that a poll is held at the most; `silence`: a stream without a poll
-    for so long has ended. `log(event, **fields)` gets one event a thing that happened."""
+    """HTTP service of one instance: it owns the streams of joined proxies and schedules the turns of the instance."""
 
     def __init__(
         self,
@@ -46,48 +47,51 @@
         instance: Instance,
         address: tuple[str, int],
         log,
-        wait_most: float = 20.0,
+        max_poll_wait: float = 20.0,
         silence: float = 3.0,
         bounds: Bounds = Bounds(),
         transport: Transport = SOCKETS,
     ) -> None:
+        """Listens at `address` at once; raises OSError where it cannot. `max_poll_wait`: longest time in seconds that
+        a poll is held; `silence`: seconds without a poll after which a stream ends; `log(event, **fields)` is called
+        once per event."""
         self.loop, self.instance, self.log = loop, instance, log
-        self.wait_most, self.silence, self.bounds = wait_most, silence, bounds
-        self.polls: dict[int, Poll] = {}
-        self.on_connection: dict[ServerConnection, Poll] = {}
+        self.max_poll_wait, self.silence, self.bounds = max_poll_wait, silence, bounds
+        self.polls: dict[int, ProxyStream] = {}
+        self.stream_by_connection: dict[ServerConnection, ProxyStream] = {}
         self.timer: Timer | None = None
-        self.turn_due = False
-        self.refused, self.leaving = 0, False
-        self.terms: dict[int, int] = {}  # the highest term that each proxy has joined with
-        self.living: Callable[[], list[str]] = lambda: []  # addresses of the supervisors that are there
+        self.turn_scheduled = False
+        self.refused_requests, self.handing_over = 0, False
+        self.highest_terms: dict[int, int] = {}  # highest term of the joins of each proxy
+        self.living: Callable[[], list[str]] = lambda: []  # addresses of the live supervisors
         self.views: dict[str, Callable[[], object]] = {
-            "tables": self._tables,
-            "servers": self._servers,
-            "proxies": self._proxies,
-            "roster": self._roster,
-            "channel": self._channel,
+            "tables": self._view_tables,
+            "servers": self._view_servers,
+            "proxies": self._view_proxies,
+            "roster": self._view_roster,
+            "channel": self._view_channel,
         }
-        # POST /v1/NAME: what a body is decoded as, and what is done with it; a Refused says why not.
+        # POST /v1/NAME: type of the body and handler; the handler raises Refused with a reason.
         self.actions: dict[str, tuple[type, Callable[[object], object]]] = {}
-        self.waits: Callable[[], str] = lambda: ""  # why no proxy is taken yet
-        self.followed = ""  # where the list comes from, unless it is pushed
-        self.began = loop.clock()
-        # Called with each answer to a poll that tells something, and with each poll that says what is applied.
+        self.waits: Callable[[], str] = lambda: ""  # reason why joins are not accepted yet; "" if they are
+        self.followed = ""  # source of the roster; "" if it is pushed
+        self.started_at = loop.clock()
+        # Called with each answer to a poll that carries changes, and with each poll, which acknowledges a version.
         self.on_message: Callable[[float, str, bool], object] | None = None
-        self.http = transport.server(loop, address, self._handle, bounds, refusal)
+        self.http = transport.server(loop, address, self._handle, bounds, error_body)
         self.http.on_connection_end = self._connection_ended
         self.address = self.http.address
         instance.on_log = lambda text: log("decided", text=text)
-        instance.on_fault = self._fault
-        self._schedule()
+        instance.on_fault = self._log_module_fault
+        self._schedule_next_turn()
 
     def hear_overlaid(self, listing: face.Listing) -> None:
-        """What is laid over the list has changed."""
+        """Applies a changed overlay of the roster."""
         self.instance.news.append(listing)
         self.soon()
 
     def hear_roster(self, news: RosterNews) -> None:
-        """News of the list, from whoever tells it. Refused: as the instance has it."""
+        """Applies an update of the roster, from any source. Raises Refused where the instance rejects it."""
         self.instance.hear_roster(news)
         self.log("roster", version=news.version, whole=news.whole, servers=len(news.servers))
         self.soon()
@@ -95,28 +99,28 @@
     # ---- turns ------------------------------------------------------------------------------------------------
 
     def soon(self) -> None:
-        """A turn within the tick, so that what comes in together is heard together."""
-        if not self.turn_due:
-            self.turn_due = True
-            self.loop.after(self.instance.facts.tick, self._turn)
+        """Schedules a turn within one tick, so that events that arrive together are handled in one turn."""
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            self.loop.after(self.instance.facts.tick, self._run_turn)
 
-    def _turn(self) -> None:
-        self.turn_due = False
+    def _run_turn(self) -> None:
+        self.turn_scheduled = False
         for record in self.instance.turn(self.loop.clock()):
-            poll = self.polls.get(record.proxy)
-            if poll is not None and poll.request is not None:
-                self._answer_poll(poll)
-        self._schedule()
+            stream = self.polls.get(record.proxy)
+            if stream is not None and stream.request is not None:
+                self._send_pending_changes(stream)
+        self._schedule_next_turn()
 
-    def _schedule(self) -> None:
-        at = self.instance.next_at()
+    def _schedule_next_turn(self) -> None:
+        due_at = self.instance.next_at()
         if self.timer is not None and self.timer.call is not None:
-            if self.timer.at <= at + 1e-4 and self.timer.at > self.loop.now:
-                return  # it wakes early enough; the next is set then
+            if self.timer.at <= due_at + 1e-4 and self.timer.at > self.loop.now:
+                return  # it fires early enough and schedules the next turn
             self.timer.cancel()
-        self.timer = self.loop.at(at, self._turn)
+        self.timer = self.loop.at(due_at, self._run_turn)
 
-    def _fault(self, fault) -> None:
+    def _log_module_fault(self, fault) -> None:
         turns = [
             {"at": at, "events": [f"{type(e).__name__}{tuple(e)!r}"[:400] for e in events[:50]]}
             for at, events in fault.turns
@@ -129,37 +133,37 @@
         try:
             self._route(request)
         except Refused as error:
-            self.refused += 1
+            self.refused_requests += 1
             self.log("refused", level="debug", path=request.path, status=error.status, reason=error.reason)
-            request.answer(error.status, refusal(error.reason), extra="retry-after: 1\r\n" * (error.status == 503))
+            request.answer(error.status, error_body(error.reason), extra="retry-after: 1\r\n" * (error.status == 503))
         except Exception as error:
             self.log("handler_fault", level="error", path=request.path, error=f"{type(error).__name__}: {error}")
-            request.answer(500, refusal("a fault of the supervisor; it is in its log"))
+            request.answer(500, error_body("a fault of the supervisor; it is in its log"))
 
     def _route(self, request: Request) -> None:
         parts = request.path.strip("/").split("/")
         method = request.method
         if parts[:2] == ["v1", "proxies"] and len(parts) == 4:
-            proxy = self._proxy(parts[2])
+            proxy = self._parse_proxy_number(parts[2])
             if (method, parts[3]) == ("GET", "changes"):
-                return self._changes(request, proxy)
+                return self._handle_poll(request, proxy)
             if (method, parts[3]) == ("POST", "report"):
-                return self._report(request, proxy)
+                return self._handle_report(request, proxy)
             if (method, parts[3]) == ("POST", "join"):
-                return self._join(request, proxy)
+                return self._handle_join(request, proxy)
             if (method, parts[3]) == ("POST", "leave"):
-                return self._leave(request, proxy)
+                return self._handle_leave(request, proxy)
             if parts[3] in ("changes", "report", "join", "leave"):
                 raise Refused(405, f"{method} is not a way to call {request.path}")
         if (method, parts) == ("POST", ["v1", "roster"]):
             if self.followed:
                 raise Refused(409, f"the list is followed at {self.followed}; push none, or leave --roster-connect out")
-            news = self._body(request, RosterNews)
+            news = self._decode_body(request, RosterNews)
             self.hear_roster(news)
             return request.answer(200, encode({"version": news.version}))
         if method == "POST" and len(parts) == 2 and parts[0] == "v1" and parts[1] in self.actions:
-            kind, act = self.actions[parts[1]]
-            return request.answer(200, encode(act(self._body(request, kind))))
+            body_type, action = self.actions[parts[1]]
+            return request.answer(200, encode(action(self._decode_body(request, body_type))))
         if len(parts) == 2 and parts[0] == "v1" and parts[1] in self.views:
             if method != "GET":
                 raise Refused(405, f"{method} is not a way to call {request.path}")
@@ -167,47 +171,47 @@
         raise Refused(404, f"there is nothing at {request.path[:200]}")
 
     @staticmethod
-    def _proxy(text: str) -> int:
+    def _parse_proxy_number(text: str) -> int:
         if not (text.isascii() and text.isdigit() and len(text) < 6 and int(text) < 65536):
             raise Refused(400, f"proxy {text[:64]!r}: a whole number below 65536 is wanted")
         return int(text)
 
     @staticmethod
-    def _body(request: Request, kind: type):
-        given = request.headers.get(b"content-type", b"").split(b";")[0].strip().lower()
-        if given != b"application/json":
+    def _decode_body(request: Request, body_type: type):
+        content_type = request.headers.get(b"content-type", b"").split(b";")[0].strip().lower()
+        if content_type != b"application/json":
             raise Refused(415, "content-type must be application/json")
         try:
-            return (DECODERS.get(kind) or msgspec.json.Decoder(kind)).decode(request.body)
+            return (DECODERS.get(body_type) or msgspec.json.Decoder(body_type)).decode(request.body)
         except msgspec.DecodeError as error:  # ValidationError is one
             raise Refused(400, str(error)) from None
 
-    def _join(self, request: Request, proxy: int) -> None:
-        join = self._body(request, Join)
-        if self.leaving:
+    def _handle_join(self, request: Request, proxy: int) -> None:
+        join = self._decode_body(request, Join)
+        if self.handing_over:
             raise Refused(503, "this supervisor leaves; join another")
-        if why := self.waits():
-            raise Refused(503, why)
+        if reason := self.waits():
+            raise Refused(503, reason)
         try:
             term = int(dict(parse_qsl(request.query)).get("term", "0"))
             if not 0 <= term < 2**32:
                 raise ValueError
         except ValueError:
             raise Refused(400, "term: a whole number below 2^32 is wanted") from None
-        # Guards against a join that was held up on its way: it would replace the stream that the proxy is on now.
-        if term < self.terms.get(proxy, 0):
-            self.refused += 1
-            why = f"term {term} of proxy {proxy} is over: it has joined with {self.terms[proxy]}"
-            return request.answer(409, encode({"error": why, "term": self.terms[proxy]}))
+        # Guards against a delayed join: it would replace the current stream of the proxy.
+        if term < self.highest_terms.get(proxy, 0):
+            self.refused_requests += 1
+            reason = f"term {term} of proxy {proxy} is over: it has joined with {self.highest_terms[proxy]}"
+            return request.answer(409, encode({"error": reason, "term": self.highest_terms[proxy]}))
         record, replaced = self.instance.join(proxy, join, self.loop.now)
-        self.terms[proxy] = term
-        old = self.polls.pop(proxy, None)
-        if old is not None:
-            self._end_poll(old, 409, "replaced by a newer stream of this proxy")
-        poll = self.polls[proxy] = Poll(record)
-        poll.living = self.living()
-        self._listen(poll, request.connection)
-        self._await_poll(poll)
+        self.highest_terms[proxy] = term
+        replaced_stream = self.polls.pop(proxy, None)
+        if replaced_stream is not None:
+            self._end_held_poll(replaced_stream, 409, "replaced by a newer stream of this proxy")
+        stream = self.polls[proxy] = ProxyStream(record)
+        stream.announced_supervisors = self.living()
+        self._attach_connection(stream, request.connection)
+        self._start_silence_timer(stream)
         self.log(
             "joined",
             proxy=proxy,
@@ -222,30 +226,30 @@
             record.stream,
             record.acked,
             list(self.instance.operations),
-            self.wait_most,
+            self.max_poll_wait,
             self.instance.facts.report_period,
-            poll.living,
+            stream.announced_supervisors,
             self.instance.policy,
         )
         request.answer(200, encode(answer))
 
-    def _listen(self, poll: Poll, connection: ServerConnection) -> None:
-        """The stream is on the connection that it was last heard on; when that ends, so does the stream."""
-        if poll.connection is not connection:
-            if self.on_connection.get(poll.connection) is poll:
-                del self.on_connection[poll.connection]
-            poll.connection = connection
-            self.on_connection[connection] = poll
-
-    def _await_poll(self, poll: Poll) -> None:
-        # Guards against a proxy that is cut off without a word: its stream would stand for ever.
-        poll.timer = self.loop.after(self.silence, lambda: self._left(poll, "silent"))
-
-    def _changes(self, request: Request, proxy: int) -> None:
-        asked = dict(parse_qsl(request.query))
-        record = self.instance.record(proxy, asked.get("stream", ""))
+    def _attach_connection(self, stream: ProxyStream, connection: ServerConnection) -> None:
+        """Binds the stream to the connection of its last request; the stream ends with that connection."""
+        if stream.connection is not connection:
+            if self.stream_by_connection.get(stream.connection) is stream:
+                del self.stream_by_connection[stream.connection]
+            stream.connection = connection
+            self.stream_by_connection[connection] = stream
+
+    def _start_silence_timer(self, stream: ProxyStream) -> None:
+        # Guards against a proxy that is cut off without a closed connection: its stream would never end.
+        stream.timer = self.loop.after(self.silence, lambda: self._end_stream(stream, "silent"))
+
+    def _handle_poll(self, request: Request, proxy: int) -> None:
+        query = dict(parse_qsl(request.query))
+        record = self.instance.record(proxy, query.get("stream", ""))
         try:
-            after, wait = int(asked.get("after", "")), float(asked.get("wait", self.wait_most))
+            after, wait = int(query.get("after", "")), float(query.get("wait", self.max_poll_wait))
             if after < 0 or not 0 <= wait < 1e6:
                 raise ValueError
         except ValueError:
@@ -253,87 +257,89 @@
         self.instance.ack(record, after, self.loop.now)
         if self.on_message:
             self.on_message(self.loop.now, f"{record.stream}/{after}/applied", False)
-        poll = self.polls[proxy]
-        if poll.request is not None:
-            self._answer(poll, 409, refusal("another poll of this stream came"))
-        if poll.timer:
-            poll.timer.cancel()
-        self._listen(poll, request.connection)
-        poll.request = request
+        stream = self.polls[proxy]
+        if stream.request is not None:
+            self._answer_held_poll(stream, 409, error_body("another poll of this stream came"))
+        if stream.timer:
+            stream.timer.cancel()
+        self._attach_connection(stream, request.connection)
+        stream.request = request
         if self.instance.news:
             self.soon()
         body = self.instance.hub.news(record, self.loop.clock())
         if body is not None:
-            self._tell(poll, body)
+            self._send_changes(stream, body)
         else:
-            poll.timer = self.loop.after(min(wait, self.wait_most), lambda: self._poll_over(poll))
+            stream.timer = self.loop.after(min(wait, self.max_poll_wait), lambda: self._poll_timed_out(stream))
 
-    def _poll_over(self, poll: Poll) -> None:
-        self._answer(poll, 200, self._with_living(poll, self.instance.hub.no_news(poll.record)))
+    def _poll_timed_out(self, stream: ProxyStream) -> None:
+        self._answer_held_poll(stream, 200, self._add_fleet_fields(stream, self.instance.hub.no_news(stream.record)))
 
-    def _with_living(self, poll: Poll, body: bytes) -> bytes:
-        """Guards against proxies that joined before this supervisor knew the others: they would all dial the same next
-        one when it goes."""
+    def _add_fleet_fields(self, stream: ProxyStream, body: bytes) -> bytes:
+        """Adds the live supervisors, where they have changed since last sent, and the policy version to an answer.
+
+        Guards against proxies that joined before this supervisor knew the others: they would all connect to the same
+        next supervisor when this one stops."""
         living = self.living()
-        if living and living != poll.living:
-            poll.living = living
+        if living and living != stream.announced_supervisors:
+            stream.announced_supervisors = living
             body = body[:-1] + b',"supervisors":' + encode(living) + b"}"
-        # Guards against orders of an older policy: a proxy that has heeded a newer one turns them down by this.
+        # Guards against orders of an older policy: a proxy that has applied a newer one rejects them by this version.
         return body[:-1] + b',"policy":%d}' % self.instance.policy if self.instance.policy else body
 
-    def _answer_poll(self, poll: Poll) -> None:
-        body = self.instance.hub.news(poll.record, self.loop.clock())
+    def _send_pending_changes(self, stream: ProxyStream) -> None:
+        body = self.instance.hub.news(stream.record, self.loop.clock())
         if body is not None:
-            self._tell(poll, body)
+            self._send_changes(stream, body)
 
-    def _tell(self, poll: Poll, body: bytes) -> None:
+    def _send_changes(self, stream: ProxyStream, body: bytes) -> None:
         if self.on_message:
-            self.on_message(self.loop.clock(), f"{poll.stream}/{poll.record.version}/told", True)
-        self._answer(poll, 200, self._with_living(poll, body))
-
-    def _answer(self, poll: Poll, status: int, body: bytes, extra: str = "") -> None:
-        if poll.timer:
-            poll.timer.cancel()
-        request, poll.request = poll.request, None
-        self._await_poll(poll)
+            self.on_message(self.loop.clock(), f"{stream.stream_id}/{stream.record.version}/told", True)
+        self._answer_held_poll(stream, 200, self._add_fleet_fields(stream, body))
+
+    def _answer_held_poll(self, stream: ProxyStream, status: int, body: bytes, extra: str = "") -> None:
+        if stream.timer:
+            stream.timer.cancel()
+        request, stream.request = stream.request, None
+        self._start_silence_timer(stream)
         request.answer(status, body, extra=extra)
 
-    def _end_poll(self, poll: Poll, status: int, reason: str) -> None:
-        if poll.timer:
-            poll.timer.cancel()
-        if self.on_connection.get(poll.connection) is poll:
-            del self.on_connection[poll.connection]
-        request, poll.request = poll.request, None
+    def _end_held_poll(self, stream: ProxyStream, status: int, reason: str) -> None:
+        if stream.timer:
+            stream.timer.cancel()
+        if self.stream_by_connection.get(stream.connection) is stream:
+            del self.stream_by_connection[stream.connection]
+        request, stream.request = stream.request, None
         if request is not None:
-            request.answer(status, refusal(reason))
+            request.answer(status, error_body(reason))
 
-    def _report(self, request: Request, proxy: int) -> None:
-        report = self._body(request, Report)
+    def _handle_report(self, request: Request, proxy: int) -> None:
+        report = self._decode_body(request, Report)
         record = self.instance.record(proxy, report.stream)
         self.instance.report(record, report, self.loop.now)
         request.answer(200, b"{}")
 
-    def _leave(self, request: Request, proxy: int) -> None:
+    def _handle_leave(self, request: Request, proxy: int) -> None:
         self.instance.record(proxy, dict(parse_qsl(request.query)).get("stream", ""))
-        self._left(self.polls[proxy], "said so")
+        self._end_stream(self.polls[proxy], "said so")
         request.answer(200, b"{}")
 
     def _connection_ended(self, connection: ServerConnection, reason: str) -> None:
-        poll = self.on_connection.pop(connection, None)
-        if poll is not None:
-            self._left(poll, reason)
+        stream = self.stream_by_connection.pop(connection, None)
+        if stream is not None:
+            self._end_stream(stream, reason)
 
-    def _left(self, poll: Poll, reason: str) -> None:
-        proxy = poll.record.proxy
+    def _end_stream(self, stream: ProxyStream, reason: str) -> None:
+        proxy = stream.record.proxy
         del self.polls[proxy]
-        self._end_poll(poll, 409, f"the stream has ended: {reason}")
+        self._end_held_poll(stream, 409, f"the stream has ended: {reason}")
         self.instance.leave(proxy)
         self.log("left", proxy=proxy, reason=reason)
         self.soon()
 
     # ---- views ------------------------------------------------------------------------------------------------
 
-    def _tables(self) -> dict:
+    def _view_tables(self) -> dict:
         hub = self.instance.hub
         levels: dict[int, list] = {}
         for level in hub.levels.values():
@@ -342,26 +348,31 @@
             "run": hub.run,
             "tables": {t: {server: line.weight for server, line in lines.items()} for t, lines in hub.tables.items()},
             "levels": {
-                table: {list(self.instance.operations)[level.operation]: [level.level, level.tries] for level in each}
-                for table, each in levels.items()
+                table: {
+                    list(self.instance.operations)[level.operation]: [level.level, level.tries]
+                    for level in table_levels
+                }
+                for table, table_levels in levels.items()
             },
             "out": sorted(hub.out),
             "proxies": {table: list(users) for table, users in hub.users.items()},
         }
 
-    def _servers(self) -> list[dict]:
-        """Every listed server: its lines, and why it has none or is out."""
+    def _view_servers(self) -> list[dict]:
+        """Every listed server: its lines, and the reason why it has none or is withdrawn."""
         hub, roster, now = self.instance.hub, self.instance.roster, self.loop.now
         rows = []
         for entry in roster.entries.values():
             name = server_name(entry.server)
-            lines = {table: each[name].weight for table, each in hub.tables.items() if name in each}
-            said = self.instance.why.get(name)
+            lines = {
+                table: table_lines[name].weight for table, table_lines in hub.tables.items() if name in table_lines
+            }
+            last_reason = self.instance.why.get(name)
             why = ""
             if entry.state != face.READY:
                 why = f"listed as {STATE_NAMES[entry.state]}"
             elif name in hub.out:
-                why = f"{now - said[0]:.1f} s ago: {said[1]}" if said else "withdrawn"
+                why = f"{now - last_reason[0]:.1f} s ago: {last_reason[1]}" if last_reason else "withdrawn"
             elif not lines:
                 why = "listed, and no line ordered yet"
             elif entry.started is not None and now - entry.started < self.instance.facts.warm_within:
@@ -378,7 +389,7 @@
             )
         return rows
 
-    def _proxies(self) -> list[dict]:
+    def _view_proxies(self) -> list[dict]:
         return [
             {
                 "proxy": record.proxy,
@@ -391,10 +402,10 @@
             for record in self.instance.hub.records.values()
         ]
 
-    def _roster(self) -> dict:
+    def _view_roster(self) -> dict:
         return {"version": self.instance.roster.version, "servers": len(self.instance.roster.entries)}
 
-    def _channel(self) -> dict:
+    def _view_channel(self) -> dict:
         hub = self.instance.hub
         return {
             "waiting": hub.channel.waiting,
@@ -404,32 +415,35 @@
             "joined": len(self.polls),
             "connections": len(self.http.connections),
             "faults": self.instance.faults,
-            "refused": self.refused,
-            "up": self.loop.clock() - self.began,
+            "refused": self.refused_requests,
+            "up": self.loop.clock() - self.started_at,
             "cpu": time.process_time(),
         }
 
-    def hand_over(self, pause: Callable[[int], float], done: Callable[[], object]) -> None:
-        """Takes no more proxies and sends those that it has elsewhere, one after the other; `pause(lines)`: seconds
-        until the next, where the largest tables held are of so many lines. `done()` once none is left."""
-        self.leaving = True
-        largest = max((len(poll.record.held) for poll in self.polls.values()), default=0)
+    def hand_over(self, pause: Callable[[int], float], on_done: Callable[[], object]) -> None:
+        """Rejects joins and redirects the joined proxies to other supervisors, one after the other. `pause(lines)`:
+        seconds until the next proxy, given the number of lines of the largest tables held. Calls `on_done()` once no
+        proxy is left."""
+        self.handing_over = True
+        largest = max((len(stream.record.held) for stream in self.polls.values()), default=0)
 
-        def one() -> None:
+        def hand_over_next() -> None:
             if not self.polls:
-                done()
+                on_done()
                 return
-            poll = next((poll for poll in self.polls.values() if poll.request is not None), None)
-            if poll is not None:
-                self._answer(poll, 503, refusal("the supervisor leaves; dial another"), "retry-after: 0\r\n")
-            self.loop.after(pause(largest), one)
+            stream = next((stream for stream in self.polls.values() if stream.request is not None), None)
+            if stream is not None:
+                self._answer_held_poll(
+                    stream, 503, error_body("the supervisor leaves; dial another"), "retry-after: 0\r\n"
+                )
+            self.loop.after(pause(largest), hand_over_next)
 
-        one()
+        hand_over_next()
 
     def stop(self) -> None:
-        """Owes an answer to every poll that waits: it is told that the supervisor stops; then all ends."""
+        """Answers every held poll with 503, then closes the server and stops the loop."""
         self.http.closing = True
-        for poll in list(self.polls.values()):
-            if poll.request is not None:
-                self._answer(poll, 503, refusal("the supervisor stops; dial again"))
+        for stream in list(self.polls.values()):
+            if stream.request is not None:
+                self._answer_held_poll(stream, 503, error_body("the supervisor stops; dial again"))
         self.loop.soon(lambda: (self.http.close(), self.loop.stop()))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -29,7 +29,7 @@
 from driftshed.proxy.tables import Tables, TurnedDown
 from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
 from tests.test_net import Raw, until
-from tests.test_service import Rig
+from tests.test_service import ServiceRig
 
 # ---- picks ----------------------------------------------------------------------------------------------------------
 
@@ -650,7 +650,7 @@
 # ---- following ------------------------------------------------------------------------------------------------------
 
 
-class Followed(Rig):
+class Followed(ServiceRig):
     """A supervisor's service, and a follower of it."""
 
     def follow(self, *before: tuple[str, int]) -> Follower:
@@ -681,16 +681,16 @@
 
 
 def test_a_follower_joins_is_put_on_a_table_and_acknowledges(followed):
-    followed.roster(1, True, 1, 2, 3)
+    followed.push_roster(1, True, 1, 2, 3)
     followed.follow()
     until(followed.loop, lambda: len(followed.held.servers()) == 3)
-    followed.roster(2, False, 2, state="draining")
+    followed.push_roster(2, False, 2, state="draining")
     until(followed.loop, lambda: len(followed.held.servers()) == 2)
     until(followed.loop, lambda: not followed.instance.hub.records[3].marks)
 
 
 def test_a_follower_keeps_its_tables_while_every_supervisor_is_away_and_counts_what_it_drops(followed):
-    followed.roster(1, True, 1, 2, 3)
+    followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
     until(followed.loop, lambda: len(followed.held.servers()) == 3)
     followed.service.http.close()
@@ -702,14 +702,14 @@
 
 
 def test_a_follower_takes_no_tables_of_other_operations(followed):
-    followed.roster(1, True, 1, 2, 3)
+    followed.push_roster(1, True, 1, 2, 3)
     followed.follow().sums.operations = ["look"]
     until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.told))
     assert "--operation" in dict(followed.told)["turned_down"]["why"] and not followed.held.held
 
 
 def test_a_follower_goes_to_another_supervisor_when_the_first_does_not_answer(followed):
-    followed.roster(1, True, 1, 2)
+    followed.push_roster(1, True, 1, 2)
     silent = Listener(followed.loop, ("127.0.0.1", 0), lambda stream: None)
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -720,7 +720,7 @@
 
 
 def test_a_follower_turns_down_what_cannot_be_and_asks_for_the_whole(followed):
-    followed.roster(1, True, 1, 2, 3)
+    followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
     until(followed.loop, lambda: len(followed.held.servers()) == 3)
     whole = dict(followed.held.held)
@@ -734,25 +734,25 @@
 
 
 def test_a_follower_that_began_anew_joins_above_the_terms_that_it_had(followed):
-    followed.roster(1, True, 1, 2)
-    followed.service.terms[3] = 41
+    followed.push_roster(1, True, 1, 2)
+    followed.service.highest_terms[3] = 41
     follower = followed.follow()
     until(followed.loop, lambda: len(followed.held.servers()) == 2)
-    assert follower.term == 42 and followed.service.terms[3] == 42
+    assert follower.term == 42 and followed.service.highest_terms[3] == 42
 
 
 def test_a_follower_learns_of_the_living_and_gives_a_silent_one_up_for_them(followed):
-    followed.roster(1, True, 1, 2)
+    followed.push_roster(1, True, 1, 2)
     silent = Listener(followed.loop, ("127.0.0.1", 0), lambda stream: None)
     name = "{}:{}".format(*silent.address)
     followed.service.living = lambda: [name, "no address", "{}:{}".format(*followed.service.address)]
     follower, hung = followed.follow(), []
     follower.poll, follower.grace = 0.3, 0.1
-    answer = followed.service._changes
-    followed.service._changes = lambda request, proxy: hung.append(request)
+    answer = followed.service._handle_poll
+    followed.service._handle_poll = lambda request, proxy: hung.append(request)
     until(followed.loop, lambda: hung)
     assert follower.addresses == [followed.service.address, silent.address] and follower.at == 0
-    followed.service._changes = answer
+    followed.service._handle_poll = answer
     until(followed.loop, lambda: follower.at == 1)  # given up at once for the next, which does not answer a join either
     until(followed.loop, lambda: follower.stream, 20.0)
     assert follower.addresses[follower.at] == followed.service.address
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The supervisor's API over real sockets, in process and as a process of its own."""
+"""The supervisor's HTTP API over real sockets, in the test process and as a process of its own."""
 
 import json
 import os
@@ -21,42 +21,42 @@
 from tests.test_core import FACTS, news
 from tests.test_net import Raw, until
 
-NEWS = msgspec.json.Decoder(Changes)
+CHANGES_DECODER = msgspec.json.Decoder(Changes)
 OPERATION = "look:objective=0.5,timeout=1.5,value=1,effect=idempotent"
 
 
-class Rig:
-    """A service and the calls of its peers."""
+class ServiceRig:
+    """A service and HTTP clients that call it."""
 
-    def __init__(self, **more) -> None:
+    def __init__(self, **options) -> None:
         self.loop, self.logged = Loop(), []
         self.instance = Instance(FACTS._replace(lines_per_second=20000.0), 7, "run", self.loop.clock())
-        self.service = Service(self.loop, self.instance, ("127.0.0.1", 0), self._log, **more)
+        self.service = Service(self.loop, self.instance, ("127.0.0.1", 0), self._log, **options)
         self.client = HttpClient(self.loop, self.service.address)
 
     def _log(self, event: str, **fields) -> None:
         self.logged.append((event, fields))
 
-    def send(self, method: str, path: str, body=None, client=None, kind: str = "application/json") -> list:
-        """The list that the answer will be put in."""
+    def send(self, method: str, path: str, body=None, client=None, content_type: str = "application/json") -> list:
+        """Sends a request; returns the list to which the answer will be appended."""
         answers: list = []
         data = body if isinstance(body, bytes) else b"" if body is None else msgspec.json.encode(body)
-        (client or self.client).call(method, path, data, answers.append, 10.0, kind=kind)
+        (client or self.client).call(method, path, data, answers.append, 10.0, kind=content_type)
         return answers
 
-    def call(self, *args, **more):
-        answers = self.send(*args, **more)
+    def call(self, *args, **options):
+        answers = self.send(*args, **options)
         until(self.loop, lambda: answers)
         return answers[0].status, msgspec.json.decode(answers[0].body)
 
-    def roster(self, version: int, whole: bool, *numbers: int, **more) -> None:
-        assert self.call("POST", "/v1/roster", news(version, whole, *numbers, **more))[0] == 200
+    def push_roster(self, version: int, whole: bool, *numbers: int, **options) -> None:
+        assert self.call("POST", "/v1/roster", news(version, whole, *numbers, **options))[0] == 200
 
-    def join(self, number: int = 3, zone: str = "east", **more):
-        """A stream on a connection of its own, and the join's answer."""
+    def join(self, number: int = 3, zone: str = "east", **fields):
+        """Joins a proxy on a connection of its own; returns the client and the answer."""
         client = HttpClient(self.loop, self.service.address)
         status, answer = self.call(
-            "POST", f"/v1/proxies/{number}/join", {"zone": zone, "rate": 5.0, **more}, client=client
+            "POST", f"/v1/proxies/{number}/join", {"zone": zone, "rate": 5.0, **fields}, client=client
         )
         assert status == 200
         return client, answer
@@ -72,39 +72,39 @@
 
 @pytest.fixture
 def rig():
-    rig = Rig()
+    rig = ServiceRig()
     yield rig
     rig.close()
 
 
 def test_a_proxy_joins_polls_and_is_sent_first_the_whole_then_changes(rig):
-    rig.roster(1, True, 1, 2, 3, 4)
+    rig.push_roster(1, True, 1, 2, 3, 4)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], joined["version"])
     until(rig.loop, lambda: first)
-    told = NEWS.decode(first[0].body)
-    assert told.whole and sum(isinstance(change, Line) for change in told.changes) == 4
-    second = rig.poll(client, joined["stream"], told.version)
-    rig.roster(2, False, 2, state="draining")
+    snapshot = CHANGES_DECODER.decode(first[0].body)
+    assert snapshot.whole and sum(isinstance(change, Line) for change in snapshot.changes) == 4
+    second = rig.poll(client, joined["stream"], snapshot.version)
+    rig.push_roster(2, False, 2, state="draining")
     until(rig.loop, lambda: second)
-    change = NEWS.decode(second[0].body)
-    assert (change.since, change.whole) == (told.version, False)
-    assert change.changes == [Line(0, "10.0.0.2:80", 0.0)]
+    delta = CHANGES_DECODER.decode(second[0].body)
+    assert (delta.since, delta.whole) == (snapshot.version, False)
+    assert delta.changes == [Line(0, "10.0.0.2:80", 0.0)]
     servers = {row["server"]: row for row in rig.call("GET", "/v1/servers")[1]}
     assert servers["10.0.0.2:80"]["why"] == "listed as draining" and not servers["10.0.0.2:80"]["lines"]
     assert rig.call("GET", "/v1/tables")[1]["proxies"] == {"0": [3]}
 
 
-def test_a_poll_without_news_is_held_and_answered_empty(rig):
+def test_a_poll_without_changes_is_held_and_answered_empty(rig):
     client, joined = rig.join()
-    began = time.monotonic()
+    started_at = time.monotonic()
     answers = rig.poll(client, joined["stream"], 0, wait=0.2)
     until(rig.loop, lambda: answers)
-    assert NEWS.decode(answers[0].body).changes == [] and time.monotonic() - began >= 0.2
+    assert CHANGES_DECODER.decode(answers[0].body).changes == [] and time.monotonic() - started_at >= 0.2
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "body", "kind", "status"),
+    ("method", "path", "body", "content_type", "status"),
     [
         ("GET", "/v1/nothing", None, "", 404),
         ("PUT", "/v1/tables", b"", "", 405),
@@ -141,22 +141,22 @@
         ("POST", "/v1/roster", b"x" * 60000, "application/json", 413),
     ],
 )
-def test_bad_input_gets_a_4xx_with_a_plain_reason_and_nothing_is_disturbed(method, path, body, kind, status):
-    rig = Rig(bounds=Bounds(body_bytes=50000))
-    rig.roster(1, True, 1, 2, 3)
+def test_bad_input_gets_a_4xx_with_a_plain_reason_and_nothing_is_disturbed(method, path, body, content_type, status):
+    rig = ServiceRig(bounds=Bounds(body_bytes=50000))
+    rig.push_roster(1, True, 1, 2, 3)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
     until(rig.loop, lambda: first)
-    version = NEWS.decode(first[0].body).version
+    version = CHANGES_DECODER.decode(first[0].body).version
     held = rig.poll(client, joined["stream"], version)
     path = path.replace("STREAM", joined["stream"])
     body = body.replace(b"STREAM", joined["stream"].encode()) if body else body
-    got, answer = rig.call(method, path, body, kind=kind)
-    assert got == status and len(answer["error"]) > 10
+    actual_status, answer = rig.call(method, path, body, content_type=content_type)
+    assert actual_status == status and len(answer["error"]) > 10
     assert not held and rig.instance.hub.records[3].joined and list(rig.service.polls) == [3]
-    rig.roster(2, False, 3, state="draining")
+    rig.push_roster(2, False, 3, state="draining")
     until(rig.loop, lambda: held)
-    assert NEWS.decode(held[0].body).changes == [Line(0, "10.0.0.3:80", 0.0)]
+    assert CHANGES_DECODER.decode(held[0].body).changes == [Line(0, "10.0.0.3:80", 0.0)]
     rig.close()
 
 
@@ -166,97 +166,101 @@
     raw.sock.sendall(head + b'{"ver')
     rig.loop.turn(time.monotonic() + 0.05)
     raw.sock.close()
-    rig.roster(1, True, 1)
+    rig.push_roster(1, True, 1)
     assert rig.instance.roster.version == 1
 
 
-def left(rig, proxy: int = 3) -> bool:
+def has_left(rig, proxy: int = 3) -> bool:
     return not rig.instance.hub.records[proxy].joined
 
 
-@pytest.mark.parametrize("how", ["ended", "reset", "silent", "leave"])
-def test_a_stream_that_ends_is_left_and_the_proxy_resumes_by_version(how):
-    rig = Rig(silence=0.3)
-    rig.roster(1, True, 1, 2, 3)
+@pytest.mark.parametrize("ending", ["ended", "reset", "silent", "leave"])
+def test_a_stream_that_ends_is_left_and_the_proxy_resumes_by_version(ending):
+    rig = ServiceRig(silence=0.3)
+    rig.push_roster(1, True, 1, 2, 3)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
     until(rig.loop, lambda: first)
-    version = NEWS.decode(first[0].body).version
-    if how in ("ended", "reset"):
+    version = CHANGES_DECODER.decode(first[0].body).version
+    if ending in ("ended", "reset"):
         rig.poll(client, joined["stream"], version)
         rig.loop.turn(time.monotonic() + 0.05)
-        next(iter(client.all)).stream.abort("x", hard=how == "reset")
-    elif how == "leave":
+        next(iter(client.all)).stream.abort("x", hard=ending == "reset")
+    elif ending == "leave":
         assert rig.call("POST", f"/v1/proxies/3/leave?stream={joined['stream']}", b"")[0] == 200
-    until(rig.loop, lambda: left(rig))
-    rig.roster(2, False, 1, state="draining")
-    client, again = rig.join(run="run", version=version, fresh=False)
-    assert again["version"] == version and again["stream"] != joined["stream"]
-    answers = rig.poll(client, again["stream"], version)
+    until(rig.loop, lambda: has_left(rig))
+    rig.push_roster(2, False, 1, state="draining")
+    client, rejoined = rig.join(run="run", version=version, fresh=False)
+    assert rejoined["version"] == version and rejoined["stream"] != joined["stream"]
+    answers = rig.poll(client, rejoined["stream"], version)
     until(rig.loop, lambda: answers)
-    delta = NEWS.decode(answers[0].body)
-    assert not delta.whole and delta.changes == [Line(0, "10.0.0.1:80", 0.0)]  # what it missed, and no more
+    delta = CHANGES_DECODER.decode(answers[0].body)
+    assert not delta.whole and delta.changes == [Line(0, "10.0.0.1:80", 0.0)]  # only the changes that it missed
     rig.close()
 
 
 def test_a_second_stream_replaces_the_first_and_the_older_one_is_told(rig):
-    rig.roster(1, True, 1, 2)
+    rig.push_roster(1, True, 1, 2)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
     until(rig.loop, lambda: first)
-    held = rig.poll(client, joined["stream"], NEWS.decode(first[0].body).version)
+    held = rig.poll(client, joined["stream"], CHANGES_DECODER.decode(first[0].body).version)
     rig.loop.turn(time.monotonic() + 0.05)
     _, newer = rig.join()
     until(rig.loop, lambda: held)
     assert held[0].status == 409 and b"replaced" in held[0].body
-    late = rig.poll(client, joined["stream"], 0)
-    until(rig.loop, lambda: late)
-    assert late[0].status == 409 and rig.instance.hub.records[3].stream == newer["stream"]
+    late_poll = rig.poll(client, joined["stream"], 0)
+    until(rig.loop, lambda: late_poll)
+    assert late_poll[0].status == 409 and rig.instance.hub.records[3].stream == newer["stream"]
     assert [fields["replaced"] for event, fields in rig.logged if event == "joined"] == [False, True]
-    client.close()  # the end of the older one is nothing to the newer
+    client.close()  # the end of the older stream's connection does not end the newer stream
     rig.loop.turn(time.monotonic() + 0.05)
-    assert not left(rig)
+    assert not has_left(rig)
 
 
 def test_a_stream_is_on_the_connection_of_its_last_poll(rig):
-    rig.roster(1, True, 1, 2)
+    rig.push_roster(1, True, 1, 2)
     client, joined = rig.join()
     other = HttpClient(rig.loop, rig.service.address)
     first = rig.poll(other, joined["stream"], 0)
     until(rig.loop, lambda: first)
-    held = rig.poll(other, joined["stream"], NEWS.decode(first[0].body).version)
-    client.close()  # the connection that it joined on
+    held = rig.poll(other, joined["stream"], CHANGES_DECODER.decode(first[0].body).version)
+    client.close()  # the connection that the proxy joined on
     rig.loop.turn(time.monotonic() + 0.05)
-    rig.roster(2, False, 1, state="draining")
+    rig.push_roster(2, False, 1, state="draining")
     until(rig.loop, lambda: held)
-    assert held[0].status == 200 and not left(rig)
+    assert held[0].status == 200 and not has_left(rig)
     other.close()
-    until(rig.loop, lambda: left(rig))
+    until(rig.loop, lambda: has_left(rig))
 
 
 def test_reports_reach_the_module_summed_by_zone(rig):
-    rig.roster(1, True, 1, 2)
-    heard = []
-    rig.instance.on_turn = lambda now, events, orders: heard.extend(events)
+    rig.push_roster(1, True, 1, 2)
+    module_events = []
+    rig.instance.on_turn = lambda now, events, orders: module_events.extend(events)
     for number, zone in ((0, "east"), (1, "east"), (2, "west")):
         _, joined = rig.join(number, zone)
-        met = {"server": "10.0.0.1:80", "tries": 4, "errored": 1, "latency": 0.2}
+        server_report = {"server": "10.0.0.1:80", "tries": 4, "errored": 1, "latency": 0.2}
         report = {
             "stream": joined["stream"],
-            "servers": [met],
+            "servers": [server_report],
             "operations": [{"operation": rig.instance.facts.operations[0].name, "arrived": 5}],
         }
         assert rig.call("POST", f"/v1/proxies/{number}/report", report)[0] == 200
-    until(rig.loop, lambda: sum(type(event).__name__ == "Heard" for event in heard) == 2)
-    sums = sorted((e.zone, e.tries, e.errored, round(e.latency, 6)) for e in heard if type(e).__name__ == "Heard")
+    until(rig.loop, lambda: sum(type(event).__name__ == "Heard" for event in module_events) == 2)
+    sums = sorted(
+        (event.zone, event.tries, event.errored, round(event.latency, 6))
+        for event in module_events
+        if type(event).__name__ == "Heard"
+    )
     assert sums == [(0, 8, 2, 0.2), (1, 4, 1, 0.2)]
-    assert sorted(e.proxy for e in heard if type(e).__name__ == "Demand") == [0, 1, 2]
+    assert sorted(event.proxy for event in module_events if type(event).__name__ == "Demand") == [0, 1, 2]
 
 
-# ---- the process --------------------------------------------------------------------------------------------------
+# ---- the supervisor as a process ------------------------------------------------------------------------------------
 
 
-def run(*arguments: str, env: dict | None = None):
+def run_supervise(*arguments: str, env: dict | None = None):
     return subprocess.run(
         [sys.executable, "-m", "driftshed.cli", "supervise", *arguments],
         capture_output=True,
@@ -267,7 +271,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "said"),
+    ("arguments", "expected"),
     [
         ([], "--operation"),
         (["--operation", "look"], "NAME:objective"),
@@ -281,15 +285,15 @@
         (["--operation", OPERATION, "--own-number", "3"], "must be below --supervisors"),
     ],
 )
-def test_a_bad_flag_is_named_with_its_remedy(arguments, said):
+def test_a_bad_flag_is_named_with_its_remedy(arguments, expected):
     from click.testing import CliRunner
 
     result = CliRunner().invoke(main, ["supervise", *arguments])
-    assert result.exit_code == 2 and said in " ".join(result.output.split())
+    assert result.exit_code == 2 and expected in " ".join(result.output.split())
 
 
 def test_flags_come_from_the_environment_too():
-    result = run(env={"DRIFTSHED_OPERATION": f"{OPERATION};pay:objective=1,timeout=0.5,value=1"})
+    result = run_supervise(env={"DRIFTSHED_OPERATION": f"{OPERATION};pay:objective=1,timeout=0.5,value=1"})
     assert result.returncode == 2 and "timeout must be above objective" in " ".join(result.stderr.split())
     assert read_operation(OPERATION).effect == "idempotent"
 
@@ -310,11 +314,11 @@
         stream = msgspec.json.decode(answers[0].body)["stream"]
         client.call("GET", f"/v1/proxies/1/changes?stream={stream}&after=0", b"", answers.append, 9.0)
         loop.turn(time.monotonic() + 0.2)
-        began = time.monotonic()
+        started_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
         until(loop, lambda: len(answers) == 2)
-        assert answers[1].status == 503  # the poll that it owed
-        assert process.wait(10) == 0 and time.monotonic() - began < 5.0
+        assert answers[1].status == 503  # the held poll
+        assert process.wait(10) == 0 and time.monotonic() - started_at < 5.0
         events = [json.loads(line)["event"] for line in process.stderr.read().splitlines()]
         assert events[0] == "listening" and events[-1] == "stopped" and "joined" in events
     finally:
@@ -325,7 +329,7 @@
 
 
 def test_a_join_that_was_held_up_does_not_replace_the_present_stream(rig):
-    """What is told of the term lets a proxy that began anew go on above it."""
+    """The term in the rejection lets a restarted proxy continue above it."""
     body = {"zone": "east", "rate": 5.0}
     path = "/v1/proxies/3/join?term="
     assert rig.call("POST", path + "7", body)[0] == 200
@@ -339,7 +343,7 @@
         assert rig.call("POST", path + bad, body)[0] == 400
 
 
-def test_answers_to_joins_name_the_living(rig):
+def test_answers_to_joins_name_the_live_supervisors(rig):
     rig.service.living = lambda: ["127.0.0.1:7001", "127.0.0.1:7002"]
     assert rig.join()[1]["supervisors"] == ["127.0.0.1:7001", "127.0.0.1:7002"]
 
@@ -350,33 +354,33 @@
     until(rig.loop, lambda: polled)
     assert "supervisors" not in msgspec.json.decode(polled[0].body)
     rig.service.living = lambda: ["127.0.0.1:7001"]
-    for told in (["127.0.0.1:7001"], None):  # once
+    for expected in (["127.0.0.1:7001"], None):  # sent only once
         polled = rig.poll(client, joined["stream"], 0, wait=0.05)
         until(rig.loop, lambda polled=polled: polled)
-        assert msgspec.json.decode(polled[0].body).get("supervisors") == told
+        assert msgspec.json.decode(polled[0].body).get("supervisors") == expected
 
 
 def test_proxies_are_handed_over_one_by_one_and_none_is_taken_meanwhile(rig):
-    rows, done = [], []
+    clients, done = [], []
     for number in range(3):
         client, joined = rig.join(number)
         answers = rig.poll(client, joined["stream"], 0, number)
-        rows.append((client, answers))
+        clients.append((client, answers))
     until(rig.loop, lambda: all(poll.request for poll in rig.service.polls.values()))
-    paused = []
-    rig.service.hand_over(lambda lines: paused.append(lines) or 0.05, lambda: done.append(1))
+    pauses = []
+    rig.service.hand_over(lambda lines: pauses.append(lines) or 0.05, lambda: done.append(1))
     assert rig.call("POST", "/v1/proxies/9/join", {"zone": "east", "rate": 5.0})[0] == 503
-    left = []
+    disconnected = []
     while not done:
-        for client, answers in rows:
-            if answers and client not in left:
+        for client, answers in clients:
+            if answers and client not in disconnected:
                 assert answers[0].status == 503 and answers[0].headers[b"retry-after"] == b"0"
-                left.append(client)
+                disconnected.append(client)
                 client.close()
         rig.loop.turn(rig.loop.clock() + 0.01)
-    assert len(left) == 3 <= len(paused) and not rig.service.polls
+    assert len(disconnected) == 3 <= len(pauses) and not rig.service.polls
 
 
-def test_the_pace_of_a_parting_leaves_each_channel_time_for_one_proxys_tables():
+def test_the_pace_of_a_hand_over_leaves_each_channel_time_for_one_proxys_tables():
     assert apart(30, 3000.0, 2) == pytest.approx(0.005)
-    assert apart(0, 1000.0, 0) == pytest.approx(0.001)  # never at once
+    assert apart(0, 1000.0, 0) == pytest.approx(0.001)  # never without a pause
