--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -1,4 +1,4 @@
-"""`driftshed supervise`: one supervisor as a process."""
+"""`driftshed supervise`: runs one supervisor as a process."""
 
 from __future__ import annotations
 
@@ -25,34 +25,66 @@
 
 
 @click.command()
-@option("listen", type=click.STRING, default="127.0.0.1:0", help="address:port; port 0 takes a free one")
-@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="of the instance's chance")
+@option("listen", type=click.STRING, default="127.0.0.1:0", help="address:port; port 0 selects a free one")
+@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="seed of the instance's random numbers")
 @option("wait-most", type=click.FloatRange(0.1, 600), default=20.0, help="seconds that a poll is held")
 @option("silence", type=click.FloatRange(0.1, 600), default=3.0, help="seconds without a poll that end a stream")
-@option("connections", type=click.IntRange(1, 100000), default=16384, help="connections taken at the most")
-@option("body-bytes", type=click.IntRange(1024, 1 << 28), default=1 << 20, help="the largest body taken")
+@option("connections", type=click.IntRange(1, 100000), default=16384, help="most connections accepted")
+@option("body-bytes", type=click.IntRange(1024, 1 << 28), default=1 << 20, help="largest body accepted")
 @option("log-form", type=click.Choice(["json", "console"]), default="json", help="how logs are written")
-@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
+@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="lowest level that is logged")
 @option("trace", type=click.Path(file_okay=False, path_type=Path), help="record events and orders in this folder")
-@option("trace-size", type=click.FloatRange(0.01, 100000), default=64.0, help="megabytes of a trace file, about")
+@option("trace-size", type=click.FloatRange(0.01, 100000), default=64.0, help="approximate megabytes of a trace file")
 @option("trace-age", type=click.FloatRange(1, 864000), default=3600.0, help="seconds after which a new file begins")
 @option("trace-fsync", type=click.FloatRange(0, 3600), default=1.0, help="seconds between syncs; 0: after each block")
-@option("roster-connect", "connect", default="", help="127.0.0.1:PORT,... of a store whose nodes are the list")
-@option("roster-root", "root", default="/driftshed/servers", help="path that the nodes lie under")
-@option("session-timeout", type=click.FloatRange(0.1, 60), default=6.0, help="seconds of silence that lapse a session")
-@option("lapse-hold", type=click.FloatRange(0, 3600), default=4.0, help="seconds that a lapsed server is held")
-@option("lapse-hold-most", type=click.FloatRange(0, 86400), default=60.0, help="seconds that a mass lapse is held")
-@option("fleet-connect", default="", help="127.0.0.1:PORT,... of a store by which supervisors know each other")
-@option("fleet-root", default="/driftshed/fleet", help="path that the fleet's nodes lie under")
-@option("advertise", default="", help="address:port that proxies of others are told; that of --listen unless given")
+@option("roster-connect", "connect", default="", help="127.0.0.1:PORT,... of a store whose nodes are the roster")
+@option("roster-root", "root", default="/driftshed/servers", help="parent path of the roster's nodes")
+@option(
+    "session-timeout",
+    type=click.FloatRange(0.1, 60),
+    default=6.0,
+    help="seconds of silence after which a session expires",
+)
+@option(
+    "lapse-hold",
+    type=click.FloatRange(0, 3600),
+    default=4.0,
+    help="seconds that a server stays listed after its session expired",
+)
+@option(
+    "lapse-hold-most",
+    type=click.FloatRange(0, 86400),
+    default=60.0,
+    help="the same after many sessions expired at once",
+)
+@option(
+    "fleet-connect", default="", help="127.0.0.1:PORT,... of the store through which supervisors discover each other"
+)
+@option("fleet-root", default="/driftshed/fleet", help="parent path of the fleet's nodes")
+@option(
+    "advertise", default="", help="address:port announced to proxies of other supervisors; default: that of --listen"
+)
 @option("name", default="", help="this supervisor's name in the fleet, the same at each start")
-@option("expected", default="", help="NAME,... of all supervisors of the fleet, this one's among them")
-@option("fleet-timeout", type=click.FloatRange(0.1, 60), default=6.0, help="seconds of silence that end its session")
-@option("tiers", type=click.Path(dir_okay=False, path_type=Path), help="file of a fleet in tiers, of which it is one")
+@option("expected", default="", help="NAME,... of all supervisors of the fleet, including this one")
+@option(
+    "fleet-timeout",
+    type=click.FloatRange(0.1, 60),
+    default=6.0,
+    help="seconds of silence after which its session expires",
+)
+@option(
+    "tiers",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="file that describes a fleet in tiers, to which this supervisor belongs",
+)
 @option("leave-zones", is_flag=True, default=False, help="leave zones that fail and return to them, as a fleet")
 @option("zone-limits", default="", help="lasting=4,pace=2,step=0.5,trickle=0.1,rest=10,rest_most=160,ceiling=0.5")
-@option("regions", default="", help="REGION=ZONE+ZONE,...: zones that are left as one where they fail as one")
-@option("policy-folder", type=click.Path(file_okay=False, path_type=Path), help="go by the fleet's policy, kept here")
+@option("regions", default="", help="REGION=ZONE+ZONE,...: zones that are left together if they fail together")
+@option(
+    "policy-folder",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="follow the fleet's policy and store it in this folder",
+)
 @fact_options
 def supervise(
     listen: str,
@@ -85,12 +117,12 @@
     policy_folder: Path | None,
     **given: object,
 ) -> None:
-    """Runs a supervisor until SIGTERM or SIGINT. Its first line on standard output says where it listens."""
+    """Runs a supervisor until SIGTERM or SIGINT. The first line on standard output is its listening address."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise click.BadParameter(f"{listen!r}: write address:port, such as 127.0.0.1:7000", param_hint="--listen")
     if not host.startswith("127."):
-        raise click.BadParameter(f"{host!r}: loopback alone is served; take an address of 127.", param_hint="--listen")
+        raise click.BadParameter(f"{host!r}: loopback alone is served; use an address of 127.", param_hint="--listen")
     facts = start_facts(given)
     log = make_log(log_form, log_level)
     loop = Loop()
@@ -108,7 +140,9 @@
             Bounds(body_bytes=body_bytes, connections=connections),
         )
     except OSError as error:
-        raise click.BadParameter(f"{listen}: {error.strerror}; take a free port, or 0", param_hint="--listen") from None
+        raise click.BadParameter(
+            f"{listen}: {error.strerror}; choose a free port, or 0", param_hint="--listen"
+        ) from None
 
     if connect:
         if lapse_hold_most < lapse_hold:
@@ -129,12 +163,12 @@
         service.followed, instance.on_answered = connect, follower.answered
 
     agent = None
-    if tiers is not None:  # Not imported else: a supervisor by itself needs nothing of it.
+    if tiers is not None:  # Imported only here: a standalone supervisor does not need it.
         from driftshed.coordination.taking_part import leave, take_part, tiers_of
 
         for flag, given_too in (("fleet-connect", fleet_connect), ("expected", expected), ("leave-zones", leave_zones)):
             if given_too:
-                text = f"--{flag} does not go with it: the file says who is there; zones are left by a flat fleet alone"
+                text = f"--{flag} does not go with it: the file names the members; only a flat fleet leaves zones"
                 raise click.BadParameter(text, param_hint="--tiers")
         agent = take_part(loop, service, [], "", name, "", fleet_timeout, log, advertise, tiers=tiers_of(name, tiers))
     elif fleet_connect:
@@ -153,7 +187,9 @@
         )
     if leave_zones:
         if agent is None:
-            raise click.BadParameter("zones are left as a fleet: give --fleet-connect too", param_hint="--leave-zones")
+            raise click.BadParameter(
+                "only a fleet can leave zones: give --fleet-connect too", param_hint="--leave-zones"
+            )
         from driftshed.evacuation.part import Evacuation
         from driftshed.evacuation.places import read_regions
         from driftshed.evacuation.stages import read_limits
@@ -166,7 +202,7 @@
 
     if policy_folder is not None:
         if agent is None:
-            text = "a policy is a fleet's: give --fleet-connect or --tiers too"
+            text = "only a fleet has a policy: give --fleet-connect or --tiers too"
             raise click.BadParameter(text, param_hint="--policy-folder")
         from driftshed.policy.keep import BadKeep, Keep
         from driftshed.policy.part import PolicyPart
@@ -183,21 +219,21 @@
             source, size = f"supervisor-{facts.own_number}", int(trace_size * 1e6)
             writer = TraceWriter(trace, source, {"run": run}, size, trace_age, trace_fsync)
         except OSError as error:
-            text = f"{trace}: {error.strerror}; name a folder that can be written"
+            text = f"{trace}: {error.strerror}; name a writable folder"
             raise click.BadParameter(text, param_hint="--trace") from None
-        for name, blocks, taken in writer.recovered:
-            log("trace_recovered", file=name, blocks=blocks, bytes_cut_off=taken)
+        for name, blocks, bytes_cut_off in writer.recovered:
+            log("trace_recovered", file=name, blocks=blocks, bytes_cut_off=bytes_cut_off)
         recording = Recording(instance, writer)
         service.on_message = recording.message
         if leave_zones:
             agent.evacuation.on_decided = recording.decided
         tend_trace(loop, writer, log)
 
-    def stop(number: int) -> None:
-        log("stopping", signal=signal.Signals(number).name)
+    def stop(signal_number: int) -> None:
+        log("stopping", signal=signal.Signals(signal_number).name)
         if agent is None:
             service.stop()
-        elif service.handing_over:  # told twice: at once
+        elif service.handing_over:  # second signal: stop without a hand-over
             agent.leave()
             service.stop()
         else:
@@ -209,6 +245,6 @@
     loop.run()
     loop.close()
     if writer is not None and not writer.close(0.5):
-        log("trace_unfinished", level="warning", why="the disk did not take it in time")
+        log("trace_unfinished", level="warning", why="the disk did not accept the data in time")
     log("stopped")
     sys.stderr.flush()
