--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -21,7 +21,7 @@
 )
 from driftshed.net.http import SOCKETS, Answer, Transport
 from driftshed.net.loop import Loop
-from driftshed.proxy.tables import Tables, TurnedDown
+from driftshed.proxy.tables import ChangesRejected, Tables
 
 CHANGES, JOINED = msgspec.json.Decoder(Changes), msgspec.json.Decoder(JoinAnswer)
 HEARS_WITHIN, GRACE_SHARE = 12.0, 1 / 6  # seconds until a silent supervisor is given up; of them its answer may be late
@@ -220,7 +220,7 @@
                 self.tables.take(changes, self.loop.now)
             self.tables.check_policy(changes.policy)
             self.tables.policy = changes.policy
-        except (msgspec.DecodeError, TurnedDown) as error:
+        except (msgspec.DecodeError, ChangesRejected) as error:
             # Guards against a table that cannot be: the last good one is held, and the whole asked for anew.
             self.turned_down += 1
             self.log("turned_down", level="warning", why=str(error))
--- a/driftshed/proxy/forward.py
+++ b/driftshed/proxy/forward.py
@@ -10,7 +10,16 @@
 from driftshed.net.http import SOCKETS, Answer, Bounds, Call, HttpClient, Request, Transport
 from driftshed.net.loop import Loop
 from driftshed.proxy.follow import Sums
-from driftshed.proxy.retry import Outcome, Proof, Rules, Tried, may_follow, may_take, proves, time_for
+from driftshed.proxy.retry import (
+    FinishedTry,
+    Outcome,
+    Proof,
+    RetryRules,
+    may_follow,
+    may_receive,
+    proof_of,
+    try_timeout,
+)
 from driftshed.proxy.tables import Tables
 
 # Headers of one connection alone, and those that are made anew.
@@ -52,7 +61,7 @@
 
     def __init__(self, request: Request, place: int, began: float, due: float, headers: str) -> None:
         self.request, self.place, self.began, self.due, self.headers = request, place, began, due, headers
-        self.tried: list[Tried] = []
+        self.tried: list[FinishedTry] = []
         self.tries: list[tuple[float, float, str]] = []  # for a trace: began after `began`, took, what came
         self.call: Call | None = None
         self.server, self.try_began = "", 0.0
@@ -81,7 +90,7 @@
         self.tag = tag  # tells the marks of this run from those of any other
         self.operations = {operation.name: place for place, operation in enumerate(facts.operations)}
         self.rules = [
-            Rules(o.effect, o.repeat_window, o.repeat_scope, facts.full_may_have_run, 2 * limits.connect_timeout)
+            RetryRules(o.effect, o.repeat_window, o.repeat_scope, facts.full_may_have_run, 2 * limits.connect_timeout)
             for o in facts.operations
         ]
         self.clients: dict[str, HttpClient] = {}
@@ -108,9 +117,9 @@
             self._refuse(request, 503, "too many invocations under way", back=1.0)
             return
         gate = self.tables.gates[place]
-        if not gate.admits(now):
+        if not gate.admit(now):
             inv = Invocation(request, place, now, now, "")
-            self._refuse(request, 503, "level", back=gate.back_in(now))
+            self._refuse(request, 503, "level", back=gate.retry_after(now))
             self._note(inv, "rate-limited")
             return
         try:
@@ -149,14 +158,14 @@
         now, server = self.loop.clock(), None
         but = [tried.server for tried in inv.tried]
         while (server := self.tables.pick(inv.place, but, self.out)) is not None:
-            if self._has_room(server) and may_take(rules, inv.tried, server, "", -1):
+            if self._has_room(server) and may_receive(rules, inv.tried, server, "", -1):
                 break
             but.append(server)
         if server is None:
             self._finish_without(inv, "bare" if not but else "no server has room")
             return
-        mode = self.tables.tries_of(inv.place)
-        within = time_for(now, inv.due, operation.latency_objective, mode, len(inv.tried), self.facts.try_objectives)
+        mode = self.tables.try_mode(inv.place)
+        within = try_timeout(now, inv.due, operation.latency_objective, mode, len(inv.tried), self.facts.try_objectives)
         if within < SHORTEST:
             self._finish_without(inv, "no time is left")
             return
@@ -207,7 +216,7 @@
         outcome = outcome_of(answer)
         took = now - inv.try_began
         self.sums.tried(server, took if outcome is Outcome.ANSWERED else None, self._load(answer))
-        inv.tried.append(Tried(server, "", -1, inv.try_began, outcome))
+        inv.tried.append(FinishedTry(server, "", -1, inv.try_began, outcome))
         inv.tries.append((inv.try_began - inv.began, took, answer.error or str(answer.status)))
         if inv.request.answered:  # the client has gone
             self._over(inv, "errored")
@@ -219,7 +228,7 @@
             in_time = now - inv.began <= self.facts.operations[inv.place].latency_objective
             self._over(inv, "succeeded" if in_time else "late")
             return
-        if may_follow(self.rules[inv.place], self.tables.tries_of(inv.place), inv.tried, now):
+        if may_follow(self.rules[inv.place], self.tables.try_mode(inv.place), inv.tried, now):
             self._count("tried again")
             self._try(inv)
             return
@@ -238,7 +247,7 @@
     def _finish_without(self, inv: Invocation, reason: str) -> None:
         """The final answer to an invocation that got none: 503 where surely nothing ran, 504 where time is up, 502
         else."""
-        proofs = [proves(tried.outcome, self.facts.full_may_have_run) for tried in inv.tried]
+        proofs = [proof_of(tried.outcome, self.facts.full_may_have_run) for tried in inv.tried]
         never = all(proof is Proof.SURE for proof in proofs)
         late = bool(inv.tried) and inv.tried[-1].outcome is Outcome.LATE
         status = 503 if never else 504 if late else 502
--- a/driftshed/proxy/limits.py
+++ b/driftshed/proxy/limits.py
@@ -1,40 +1,43 @@
-"""What a proxy lets in. Free of I/O."""
+"""Admission control of a proxy. Free of I/O."""
 
 from __future__ import annotations
 
 from random import Random
 
-BURST = 0.5  # seconds of a rate that may come at once
+BURST_S = 0.5  # capacity of the token bucket, in seconds of its rate
 
 
 class Gate:
-    """Admission of one operation: by share, at random, or by rate, from a bucket that fills at it."""
+    """Admission control of one operation: by share, at random, or by rate, with a token bucket."""
 
-    def __init__(self, form: str, random: Random) -> None:
-        self.form, self.random = form, random
+    def __init__(self, level_form: str, random: Random) -> None:
+        """`level_form`: "share" (the level is the admitted share), "rate" (invocations per second) or "off". Admits
+        everything until a level is set."""
+        self.level_form, self.random = level_form, random
         self.level, self.tokens, self.filled_at = float("inf"), 0.0, 0.0
-        self.let_in = self.kept_out = 0
+        self.admitted_count = self.rejected_count = 0
 
     def set(self, level: float, now: float) -> None:
-        """A new level; what the bucket holds stays, up to what the new one holds at most."""
+        """Sets a new level; tokens in the bucket stay, up to its new capacity."""
         self._fill(now)
         if self.level == float("inf"):
-            self.tokens = max(1.0, level * BURST)
+            self.tokens = max(1.0, level * BURST_S)
         self.level = level
-        self.tokens = min(self.tokens, self._most())
+        self.tokens = min(self.tokens, self._capacity())
 
-    def _most(self) -> float:
-        return max(1.0, self.level * BURST)
+    def _capacity(self) -> float:
+        return max(1.0, self.level * BURST_S)
 
     def _fill(self, now: float) -> None:
         if self.level < float("inf"):
-            self.tokens = min(self._most(), self.tokens + max(0.0, now - self.filled_at) * self.level)
+            self.tokens = min(self._capacity(), self.tokens + max(0.0, now - self.filled_at) * self.level)
         self.filled_at = now
 
-    def admits(self, now: float) -> bool:
-        if self.form == "off":
+    def admit(self, now: float) -> bool:
+        """Decides on one invocation at time `now` in seconds, consumes a token where it is admitted, and counts it."""
+        if self.level_form == "off":
             admitted = True
-        elif self.form == "share":
+        elif self.level_form == "share":
             admitted = self.level >= 1 or self.random.random() < self.level
         elif self.level == 0:
             admitted = False
@@ -42,12 +45,12 @@
             self._fill(now)
             admitted = self.level == float("inf") or self.tokens >= 1
             self.tokens -= admitted and self.level < float("inf")
-        self.let_in += admitted
-        self.kept_out += not admitted
+        self.admitted_count += admitted
+        self.rejected_count += not admitted
         return admitted
 
-    def back_in(self, now: float) -> float:
-        """Seconds after which asking again is worth it."""
-        if self.form == "rate" and 0 < self.level < float("inf"):
+    def retry_after(self, now: float) -> float:
+        """Seconds after which a rejected client should try again."""
+        if self.level_form == "rate" and 0 < self.level < float("inf"):
             return max(0.0, (1 - self.tokens) / self.level)
         return 1.0
--- a/driftshed/proxy/pick.py
+++ b/driftshed/proxy/pick.py
@@ -1,4 +1,4 @@
-"""Picking a line of a table. Free of I/O; chance comes from the `random.Random` that is handed in."""
+"""Selection of a line of a table. Free of I/O; randomness comes from the `random.Random` passed in."""
 
 from __future__ import annotations
 
@@ -7,173 +7,185 @@
 
 
 class Weights:
-    """Weighted lines under dense indices, summed in a binary indexed tree: a change of one line and a draw each cost
-    O(log n), and nothing else is built anew.
+    """Weighted lines in dense slots, summed in a binary indexed (Fenwick) tree: a change of one line and a draw each
+    cost O(log n), and nothing else is rebuilt.
 
-    Guards against drift: what a tree of floats sums up to wanders with every change, so weights are kept as whole
-    numbers of `UNIT`ths, which sum up exactly, whatever comes and goes."""
+    Guards against drift: the sums in a tree of floats accumulate rounding errors with every change, so weights are
+    stored as integer multiples of `UNIT`, whose sums are exact after any sequence of changes."""
 
     UNIT = 2.0**-30
-    MOST = 2**40  # of one line, in units: weights above are taken for it
+    MAX_UNITS = 2**40  # of one line, in units: larger weights are clamped to it
 
     def __init__(self) -> None:
+        """Starts without lines."""
         self.place: dict[str, int] = {}
         self.names: list[str | None] = []
         self.units: list[int] = []
         self.tree: list[int] = [0]
-        self.free: list[int] = []
-        self.top = 1  # the largest power of two that is not above the number of places
+        self.free_slots: list[int] = []
+        self.highest_step = 1  # largest power of two that is not above the number of slots
         self.total = 0
 
     def __len__(self) -> int:
         return len(self.place)
 
     def weight(self, name: str) -> float:
-        place = self.place.get(name)
-        return 0.0 if place is None else self.units[place] * self.UNIT
+        """Weight as stored, a multiple of `UNIT`; 0.0 for an unknown name."""
+        slot = self.place.get(name)
+        return 0.0 if slot is None else self.units[slot] * self.UNIT
 
     def set(self, name: str, weight: float) -> None:
-        """0 removes the line. A weight above 0 counts for one unit at least."""
-        place = self.place.get(name)
+        """Sets the weight of a line; 0 removes it. A weight above 0 counts as at least one unit."""
+        slot = self.place.get(name)
         if weight <= 0:
-            if place is not None:
-                self._add(place, -self.units[place])
-                self.units[place], self.names[place] = 0, None
+            if slot is not None:
+                self._add_units(slot, -self.units[slot])
+                self.units[slot], self.names[slot] = 0, None
                 del self.place[name]
-                self.free.append(place)
+                self.free_slots.append(slot)
             return
-        if place is None:
-            place = self.place[name] = self._room()
-            self.names[place] = name
-        units = min(self.MOST, max(1, round(weight / self.UNIT)))
-        self._add(place, units - self.units[place])
-        self.units[place] = units
-
-    def _room(self) -> int:
-        if self.free:
-            return self.free.pop()
+        if slot is None:
+            slot = self.place[name] = self._allocate_slot()
+            self.names[slot] = name
+        units = min(self.MAX_UNITS, max(1, round(weight / self.UNIT)))
+        self._add_units(slot, units - self.units[slot])
+        self.units[slot] = units
+
+    def _allocate_slot(self) -> int:
+        if self.free_slots:
+            return self.free_slots.pop()
         self.names.append(None)
         self.units.append(0)
-        index = len(self.units)
-        # A new node of the tree sums up the nodes that it covers.
-        covered, low = 0, index - (index & -index)
-        below = index - 1
-        while below > low:
-            covered += self.tree[below]
-            below -= below & -below
+        node = len(self.units)
+        # A new node of the tree is the sum of the nodes that it covers.
+        covered, lower_bound = 0, node - (node & -node)
+        child = node - 1
+        while child > lower_bound:
+            covered += self.tree[child]
+            child -= child & -child
         self.tree.append(covered)
-        if self.top * 2 <= index:
-            self.top *= 2
-        return index - 1
+        if self.highest_step * 2 <= node:
+            self.highest_step *= 2
+        return node - 1
 
-    def _add(self, place: int, units: int) -> None:
+    def _add_units(self, slot: int, units: int) -> None:
         self.total += units
-        index = place + 1
-        while index < len(self.tree):
-            self.tree[index] += units
-            index += index & -index
-
-    def at(self, units: int) -> int:
-        """The place whose stretch of all units holds this one, 0 <= units < total."""
-        index, step = 0, self.top
+        node = slot + 1
+        while node < len(self.tree):
+            self.tree[node] += units
+            node += node & -node
+
+    def slot_at(self, units: int) -> int:
+        """Slot whose interval of the cumulative units contains `units`, 0 <= units < total."""
+        node, step = 0, self.highest_step
         while step:
-            above = index + step
-            if above < len(self.tree) and self.tree[above] <= units:
-                index, units = above, units - self.tree[above]
+            candidate = node + step
+            if candidate < len(self.tree) and self.tree[candidate] <= units:
+                node, units = candidate, units - self.tree[candidate]
             step >>= 1
-        return index
+        return node
 
     def draw(self, random: Random) -> str | None:
-        return self.names[self.at(random.randrange(self.total))] if self.total else None
-
-    def draw_but(self, random: Random, but: list[str]) -> str | None:
-        """A draw among the lines that are not named, by their weights: their stretches are cut out of the whole."""
-        cut = sorted({self.place[name] for name in but if name in self.place})
-        left = self.total - sum(self.units[place] for place in cut)
-        if left <= 0:
+        """Random line, by weight; None where there are no lines."""
+        return self.names[self.slot_at(random.randrange(self.total))] if self.total else None
+
+    def draw_excluding(self, random: Random, excluded: list[str]) -> str | None:
+        """Random line by weight among those not in `excluded`, whose intervals are cut out; None where none is left."""
+        excluded_slots = sorted({self.place[name] for name in excluded if name in self.place})
+        remaining = self.total - sum(self.units[slot] for slot in excluded_slots)
+        if remaining <= 0:
             return None
-        units = random.randrange(left)
-        for place in cut:
-            if units >= self._before(place):
-                units += self.units[place]
-        return self.names[self.at(units)]
-
-    def _before(self, place: int) -> int:
-        """The units of all places before this one."""
-        units, index = 0, place
-        while index > 0:
-            units += self.tree[index]
-            index -= index & -index
+        units = random.randrange(remaining)
+        for slot in excluded_slots:
+            if units >= self._units_before(slot):
+                units += self.units[slot]
+        return self.names[self.slot_at(units)]
+
+    def _units_before(self, slot: int) -> int:
+        """Sum of the units of all slots before this one."""
+        units, node = 0, slot
+        while node > 0:
+            units += self.tree[node]
+            node -= node & -node
         return units
 
 
 class Weighted:
-    """At random, by weight."""
+    """Picks a line at random, by weight."""
 
     def __init__(self, weights: Weights, random: Random) -> None:
+        """`weights` is shared with the caller, who reports each change by `on_weight_changed`."""
         self.weights, self.random = weights, random
 
-    def pick(self, but: list[str], out: dict[str, int]) -> str | None:
-        return self.weights.draw_but(self.random, but) if but else self.weights.draw(self.random)
+    def pick(self, excluded: list[str], in_flight: dict[str, int]) -> str | None:
+        """A server not in `excluded`, None where there is none. `in_flight`: own invocations under way by server."""
+        return self.weights.draw_excluding(self.random, excluded) if excluded else self.weights.draw(self.random)
 
-    def changed(self, name: str) -> None:
+    def on_weight_changed(self, name: str) -> None:
+        """Called after the weight of a line has changed, including its addition and removal."""
         pass
 
 
 class Two(Weighted):
-    """Two drawn by weight; the one with fewer of this proxy's own invocations out, the first where they are even."""
+    """Picks the better of two lines drawn by weight: the one with fewer of this proxy's own invocations under way, the
+    first one on a tie."""
 
-    def pick(self, but: list[str], out: dict[str, int]) -> str | None:
-        first, second = super().pick(but, out), super().pick(but, out)
-        if first is None or out.get(first, 0) <= out.get(second, 0):
+    def pick(self, excluded: list[str], in_flight: dict[str, int]) -> str | None:
+        """As `Weighted.pick`; compares the two by `in_flight`."""
+        first, second = super().pick(excluded, in_flight), super().pick(excluded, in_flight)
+        if first is None or in_flight.get(first, 0) <= in_flight.get(second, 0):
             return first
         return second
 
 
 class Round(Weighted):
-    """Evenly by weight: each line comes again after a stretch in proportion to 1 / weight. The lines stand in a heap by
-    when they are due; a line that comes in or is changed starts at a random part of its stretch, so that proxies do not
-    all begin with the same server."""
+    """Weighted round robin: each line is picked again after an interval of virtual time proportional to 1 / weight.
+
+    A heap orders the lines by their next time. A new or changed line starts at a random point of its interval, so that
+    proxies do not all begin with the same server."""
 
     def __init__(self, weights: Weights, random: Random) -> None:
+        """Schedules all lines that `weights` has."""
         super().__init__(weights, random)
         self.heap: list[tuple[float, int, str]] = []
-        self.due: dict[str, int] = {}  # which entry of the heap stands for a line: older ones are passed over
-        self.entries, self.now = 0, 0.0
+        self.current_entry: dict[str, int] = {}  # by line: number of its valid heap entry; older ones are skipped
+        self.entry_count, self.virtual_time = 0, 0.0
         for name in weights.place:
-            self.changed(name)
+            self.on_weight_changed(name)
 
-    def changed(self, name: str) -> None:
+    def on_weight_changed(self, name: str) -> None:
+        """Reschedules the line at a random point of its new interval, or removes it."""
         weight = self.weights.weight(name)
         if weight > 0:
-            self._stand(name, self.now + self.random.random() / weight)
+            self._schedule(name, self.virtual_time + self.random.random() / weight)
         else:
-            self.due.pop(name, None)
-        if len(self.heap) > 64 + 4 * len(self.due):  # too many that are passed over
-            self.heap = [row for row in self.heap if self.due.get(row[2]) == row[1]]
+            self.current_entry.pop(name, None)
+        if len(self.heap) > 64 + 4 * len(self.current_entry):  # too many outdated entries
+            self.heap = [row for row in self.heap if self.current_entry.get(row[2]) == row[1]]
             heapify(self.heap)
 
-    def _stand(self, name: str, at: float) -> None:
-        self.entries += 1
-        self.due[name] = self.entries
-        heappush(self.heap, (at, self.entries, name))
+    def _schedule(self, name: str, at: float) -> None:
+        self.entry_count += 1
+        self.current_entry[name] = self.entry_count
+        heappush(self.heap, (at, self.entry_count, name))
 
-    def pick(self, but: list[str], out: dict[str, int]) -> str | None:
-        passed, found = [], None
+    def pick(self, excluded: list[str], in_flight: dict[str, int]) -> str | None:
+        """The next line not in `excluded`; excluded lines keep their time. `in_flight` is not used."""
+        skipped, found = [], None
         while self.heap:
             row = heappop(self.heap)
-            if self.due.get(row[2]) != row[1]:
+            if self.current_entry.get(row[2]) != row[1]:
                 continue
-            if row[2] in but:
-                passed.append(row)
+            if row[2] in excluded:
+                skipped.append(row)
                 continue
             found = row[2]
-            self.now = max(self.now, row[0])
-            self._stand(found, row[0] + 1 / self.weights.weight(found))
+            self.virtual_time = max(self.virtual_time, row[0])
+            self._schedule(found, row[0] + 1 / self.weights.weight(found))
             break
-        for row in passed:
+        for row in skipped:
             heappush(self.heap, row)
         return found
 
 
-PICKS = {"weighted": Weighted, "two": Two, "round": Round}
+PICKERS = {"weighted": Weighted, "two": Two, "round": Round}
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: picks by statistics, retries by a model of all that can happen, limits, tables, and the process's parts on
+"""The proxy: statistics of the pickers, a model check of retries, limits and tables, and forwarding and following over
 real sockets."""
 
 import itertools
@@ -23,10 +23,20 @@
 from driftshed.net.stream import Listener
 from driftshed.proxy.follow import KEPT_REPORTS, Follower, Sums
 from driftshed.proxy.forward import Forwarder, Limits
-from driftshed.proxy.limits import BURST, Gate
-from driftshed.proxy.pick import PICKS, Weights
-from driftshed.proxy.retry import FURTHER, Outcome, Proof, Rules, Tried, may_follow, may_take, proves, time_for
-from driftshed.proxy.tables import Tables, TurnedDown
+from driftshed.proxy.limits import BURST_S, Gate
+from driftshed.proxy.pick import PICKERS, Weights
+from driftshed.proxy.retry import (
+    MAX_FURTHER_TRIES,
+    FinishedTry,
+    Outcome,
+    Proof,
+    RetryRules,
+    may_follow,
+    may_receive,
+    proof_of,
+    try_timeout,
+)
+from driftshed.proxy.tables import ChangesRejected, Tables
 from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
 from tests.test_net import Raw, until
 from tests.test_service import ServiceRig
@@ -42,38 +52,38 @@
 
 
 def bound(lines: int) -> float:
-    """What chi-square stays under in all but about one of a million draws (Wilson and Hilferty)."""
+    """Bound that chi-square exceeds in about one of a million samples (approximation of Wilson and Hilferty)."""
     free = lines - 1
     return free * (1 - 2 / (9 * free) + 4.75 * (2 / (9 * free)) ** 0.5) ** 3
 
 
-@pytest.mark.parametrize("kind", sorted(PICKS))
+@pytest.mark.parametrize("kind", sorted(PICKERS))
 def test_the_spread_is_that_of_the_weights(kind):
     random, weights = Random(1), Weights()
     lines = {f"s{n}": random.uniform(0.5, 2) for n in range(118)}
     for name, weight in lines.items():
         weights.set(name, weight)
-    picker = PICKS[kind](weights, random)
+    picker = PICKERS[kind](weights, random)
     counts = Counter(picker.pick([], {}) for _ in range(PICKED))
     assert set(counts) == set(lines) and chi_square(counts, lines) < bound(118)
     apart = sum(abs(counts[n] / PICKED - w / sum(lines.values())) for n, w in lines.items()) / 2
     assert apart < 0.02
 
 
-@pytest.mark.parametrize("kind", sorted(PICKS))
+@pytest.mark.parametrize("kind", sorted(PICKERS))
 def test_the_spread_is_that_of_the_weights_after_a_thousand_changes(kind):
     random, weights = Random(2), Weights()
-    picker, lines = PICKS[kind](weights, random), {}
+    picker, lines = PICKERS[kind](weights, random), {}
     for _ in range(1000):
         name = f"s{random.randrange(140)}"
         weight = random.choice([0.0, random.uniform(0.2, 3)])
         weights.set(name, weight)
-        picker.changed(name)
+        picker.on_weight_changed(name)
         lines[name] = weight
         if random.random() < 0.2:
             picker.pick([], {})
-        # After each change every line has exactly its own stretch of the whole, one behind the other.
-        begins, at = [weights._before(place) for place in range(len(weights.units) + 1)], 0
+        # After each change the intervals of all lines are exact and adjacent.
+        begins, at = [weights._units_before(place) for place in range(len(weights.units) + 1)], 0
         for place, units in enumerate(weights.units):
             assert begins[place] == at
             at += units
@@ -93,16 +103,16 @@
         weights.set(name, weight)
     but = random.sample(sorted(lines), random.randrange(1, 19))
     rest = {name: weight for name, weight in lines.items() if name not in but}
-    counts = Counter(weights.draw_but(random, but) for _ in range(20000))
+    counts = Counter(weights.draw_excluding(random, but) for _ in range(20000))
     assert set(counts) <= set(rest) and (len(rest) < 2 or chi_square(counts, rest) < bound(len(rest)))
-    assert weights.draw_but(random, list(lines)) is None and Weights().draw(random) is None
+    assert weights.draw_excluding(random, list(lines)) is None and Weights().draw(random) is None
 
 
 def test_two_takes_the_one_with_less_out():
     weights = Weights()
     for name in "ab":
         weights.set(name, 1.0)
-    picker = PICKS["two"](weights, Random(1))
+    picker = PICKERS["two"](weights, Random(1))
     counts = Counter(picker.pick([], {"a": 5}) for _ in range(4000))
     assert 0.22 < counts["a"] / 4000 < 0.28  # only where both draws are a
 
@@ -127,7 +137,7 @@
 
 # ---- retries --------------------------------------------------------------------------------------------------------
 
-# What a server may have done where a try came out so: ran it or not.
+# Whether the server may have run the invocation, by outcome of the try.
 TRUTH = {
     Outcome.ANSWERED: (True,),
     Outcome.UNSENT: (False,),
@@ -143,44 +153,46 @@
 
 
 def test_no_sequence_of_outcomes_leads_to_a_second_effect():
-    """Every interleaving of up to three tries: outcome, what the server truly did, how long each took, and for a
-    fingerprinted one whether the server still knows it."""
+    """Every sequence of up to three tries: outcome, whether the server ran the invocation, duration, and for a
+    fingerprinted invocation whether the server still knows it."""
     states = repeats = 0
     spans = (0.0, 0.3, 0.85, 0.95, 1.2)
     for effect, mode, full in itertools.product(("idempotent", "fingerprinted", "side-effecting"), range(4), (0, 1)):
-        rules = Rules(effect, WINDOW if effect == "fingerprinted" else None, "all", bool(full), MARGIN)
+        rules = RetryRules(effect, WINDOW if effect == "fingerprinted" else None, "all", bool(full), MARGIN)
         truth = TRUTH | ({Outcome.NEVER_RAN: (True, False)} if full else {})
-        frontier = [((), 0.0, ())]  # tries, now, effects: when a server took effect
+        frontier = [((), 0.0, ())]  # tries, now, times at which servers ran it
         while frontier:
             tried, now, ran = frontier.pop()
             states += 1
             if tried and not may_follow(rules, mode, list(tried), now):
                 continue
-            assert len(tried) <= FURTHER[mode]
+            assert len(tried) <= MAX_FURTHER_TRIES[mode]
             repeats += bool(tried)
             for outcome, span in itertools.product(Outcome, spans):
                 for took_effect in truth[outcome]:
                     effects = ran
                     if took_effect:
-                        # It reaches its server within the margin; that drops what it knows from within the window.
+                        # It reaches its server within the margin; the server drops repeats within the window.
                         arrives = now + min(span, MARGIN)
-                        doubtful = [t.began for t in tried if proves(t.outcome, rules.full_may_have_run) is Proof.NONE]
+                        doubtful = [
+                            t.started_at for t in tried if proof_of(t.outcome, rules.full_may_have_run) is Proof.NONE
+                        ]
                         known = effect == "fingerprinted" and ran and arrives < doubtful[0] + WINDOW
                         assert effect == "idempotent" or not ran or known, (rules, mode, tried, outcome)
                         effects = (*ran, arrives) if not known else ran
-                    begun = Tried(f"s{len(tried)}", "", -1, now, outcome)
+                    begun = FinishedTry(f"s{len(tried)}", "", -1, now, outcome)
                     frontier.append(((*tried, begun), now + span, effects))
     assert repeats > 1000 and states == 900_044
 
 
 def test_the_proof_table_says_each_outcome():
-    sure = {outcome for outcome in Outcome if proves(outcome, False) is Proof.SURE}
+    sure = {outcome for outcome in Outcome if proof_of(outcome, False) is Proof.SURE}
     assert sure == {Outcome.UNSENT, Outcome.NEVER_RAN}
-    assert {outcome for outcome in Outcome if proves(outcome, True) is Proof.SURE} == {Outcome.UNSENT}
+    assert {outcome for outcome in Outcome if proof_of(outcome, True) is Proof.SURE} == {Outcome.UNSENT}
 
 
 def test_a_fingerprinted_invocation_in_doubt_goes_where_its_mark_is_known():
-    tried = [Tried("a", "east", 1, 0.0, Outcome.CLOSED)]
+    tried = [FinishedTry("a", "east", 1, 0.0, Outcome.CLOSED)]
     for scope, zone, cell, allowed in (
         ("all", "west", 9, True),
         ("zone", "east", 9, True),
@@ -189,18 +201,18 @@
         ("cell", "east", 2, False),
         ("zone", "", -1, False),
     ):
-        rules = Rules("fingerprinted", 1.0, scope, False, 0.1)
-        assert may_take(rules, tried, "b", zone, cell) is allowed
-        assert not may_take(rules, tried, "a", zone, cell)  # never the same server
-    sure = [Tried("a", "east", 1, 0.0, Outcome.UNSENT)]
-    assert may_take(Rules("fingerprinted", 1.0, "cell", False, 0.1), sure, "b", "west", 3)
+        rules = RetryRules("fingerprinted", 1.0, scope, False, 0.1)
+        assert may_receive(rules, tried, "b", zone, cell) is allowed
+        assert not may_receive(rules, tried, "a", zone, cell)  # never the same server
+    sure = [FinishedTry("a", "east", 1, 0.0, Outcome.UNSENT)]
+    assert may_receive(RetryRules("fingerprinted", 1.0, "cell", False, 0.1), sure, "b", "west", 3)
 
 
 def test_a_try_waits_the_objectives_only_where_another_may_follow():
-    assert time_for(0.0, 2.0, 0.5, face.ONE_AFTER_PROOF, 0, 1.0) == 2.0
-    assert time_for(0.0, 2.0, 0.5, face.ONE_AFTER_ANY, 0, 1.0) == 0.5
-    assert time_for(0.6, 2.0, 0.5, face.ONE_AFTER_ANY, 1, 1.0) == 1.4
-    assert time_for(1.8, 2.0, 0.5, face.TWO_AFTER_ANY, 1, 1.0) == pytest.approx(0.2)
+    assert try_timeout(0.0, 2.0, 0.5, face.ONE_AFTER_PROOF, 0, 1.0) == 2.0
+    assert try_timeout(0.0, 2.0, 0.5, face.ONE_AFTER_ANY, 0, 1.0) == 0.5
+    assert try_timeout(0.6, 2.0, 0.5, face.ONE_AFTER_ANY, 1, 1.0) == 1.4
+    assert try_timeout(1.8, 2.0, 0.5, face.TWO_AFTER_ANY, 1, 1.0) == pytest.approx(0.2)
 
 
 # ---- limits and tables ----------------------------------------------------------------------------------------------
@@ -209,13 +221,13 @@
 def test_a_gate_lets_in_its_share_and_its_rate():
     share = Gate("share", Random(1))
     share.set(0.3, 0.0)
-    assert abs(sum(share.admits(0.0) for _ in range(20000)) / 20000 - 0.3) < 0.015
+    assert abs(sum(share.admit(0.0) for _ in range(20000)) / 20000 - 0.3) < 0.015
     rate = Gate("rate", Random(1))
     rate.set(20.0, 0.0)
-    let_in = [now for now in (k / 1000 for k in range(10_000)) if rate.admits(now)]
-    assert 20 * 10 - 1 <= len(let_in) <= 20 * (10 + BURST) + 1
+    let_in = [now for now in (k / 1000 for k in range(10_000)) if rate.admit(now)]
+    assert 20 * 10 - 1 <= len(let_in) <= 20 * (10 + BURST_S) + 1
     rate.set(0.0, 10.0)
-    assert not rate.admits(20.0) and Gate("off", Random(1)).admits(0.0)
+    assert not rate.admit(20.0) and Gate("off", Random(1)).admit(0.0)
 
 
 def changes(since: int, version: int, *rows, whole: bool = False, run: str = "r") -> Changes:
@@ -233,12 +245,12 @@
 
 def test_tables_follow_line_by_line_and_heed_what_is_out():
     held = tables(standing=[C])
-    assert held.pick(0, [], {}) == C and held.tries_of(0) == 0
+    assert held.pick(0, [], {}) == C and held.try_mode(0) == 0
     held.take(changes(0, 1, Use(0, 0), Use(1, 1), Line(0, A, 1.0), Line(0, B, 1.0), Line(1, B, 1.0), whole=True), 0.0)
     assert {held.pick(0, [], {}) for _ in range(50)} == {A, B} and held.pick(1, [], {}) == B
     held.take(changes(1, 2, Out(B), Level(0, 0, 0.5, 1)), 0.0)
     assert {held.pick(0, [], {}) for _ in range(20)} == {A} and held.pick(1, [], {}) is None
-    assert held.gates[0].level == 0.5 and held.tries_of(0) == 1 and held.servers() == {A}
+    assert held.gates[0].level == 0.5 and held.try_mode(0) == 1 and held.servers() == {A}
     held.take(changes(2, 3, In(B), Line(0, A, 0.0), Level(face.EVERY_TABLE, 0, 0.2, 0)), 0.0)
     assert {held.pick(0, [], {}) for _ in range(20)} == {B} and held.gates[0].level == 0.2
 
@@ -264,7 +276,7 @@
     held = tables()
     held.take(changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
     before = dict(held.held)
-    with pytest.raises(TurnedDown):
+    with pytest.raises(ChangesRejected):
         held.take(bad, 0.0)
     assert held.held == before and held.version == 1
     assert {held.pick(0, [], {}) for _ in range(40)} == {A, B}
