--- a/driftshed/proxy/__init__.py
+++ b/driftshed/proxy/__init__.py
@@ -1,3 +1,3 @@
-"""The proxy: forwards invocations to servers as the published tables say. `pick`, `retry`, `limits` and `tables` decide
-and are free of I/O; `forward` and `command` have the sockets. It may import `driftshed.core`'s messages and holding,
-`driftshed.net`, and `driftshed.trace` to record."""
+"""The proxy: forwards invocations to servers according to the published tables. `pick`, `retry`, `limits` and `tables`
+decide and are free of I/O; `forward`, `follow` and `command` do the I/O. It may import messages and holding of
+`driftshed.core`, `driftshed.net`, and `driftshed.trace` to record."""
--- a/driftshed/proxy/command.py
+++ b/driftshed/proxy/command.py
@@ -1,4 +1,4 @@
-"""`driftshed proxy`: one proxy as a process."""
+"""`driftshed proxy`: runs one proxy as a process."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 def addresses(texts: tuple[str, ...], flag: str) -> list[tuple[str, int]]:
-    """ "address:port"s; click.BadParameter names the flag."""
+    """Parses texts "address:port" on loopback; raises click.BadParameter that names the flag."""
     found = []
     for text in texts:
-        try:  # port 0 stands for a free one
+        try:  # port 0 selects a free one
             server_id(text.removesuffix(":0") + ":1" if text.endswith(":0") else text)
         except BadName as error:
             raise click.BadParameter(f"{error}; such as 127.0.0.1:7000", param_hint=f"--{flag}") from None
         host, _, port = text.rpartition(":")
         if not host.startswith("127."):
-            raise click.BadParameter(f"{host!r}: loopback alone; take an address of 127.", param_hint=f"--{flag}")
+            raise click.BadParameter(f"{host!r}: loopback alone; use an address of 127.", param_hint=f"--{flag}")
         found.append((host, int(port)))
     return found
 
@@ -40,22 +40,24 @@
 @click.command()
 @option("listen", type=click.STRING, default="127.0.0.1:8080", help="address:port for clients")
 @option("shared", is_flag=True, help="several proxies may listen at this address (SO_REUSEPORT)")
-@option("number", type=click.IntRange(0, 65535), required=True, help="this proxy's number, its own at all supervisors")
-@option("zone", type=click.STRING, required=True, help="the zone that it is in, one of --zones")
-@option("rate", type=click.FloatRange(0, 1e9), default=10.0, help="invocations a second that usually come")
-@option("supervisor", "follows", multiple=True, required=True, help="address:port; several in the order of choice")
+@option("number", type=click.IntRange(0, 65535), required=True, help="this proxy's number, unique at all supervisors")
+@option("zone", type=click.STRING, required=True, help="zone of this proxy, one of --zones")
+@option("rate", type=click.FloatRange(0, 1e9), default=10.0, help="usual invocations per second")
+@option("supervisor", "follows", multiple=True, required=True, help="address:port; several in order of preference")
 @option("standing", multiple=True, help="address:port of a server to start with; several")
 @option("source", type=click.STRING, default=None, help="address that connections are made from")
-@option("hears-within", type=click.FloatRange(0.5, 600), default=HEARS_WITHIN, help="seconds to give a silent one up")
-@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="of this proxy's chance")
+@option(
+    "hears-within", type=click.FloatRange(0.5, 600), default=HEARS_WITHIN, help="seconds until a silent one is given up"
+)
+@option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="seed of this proxy's random numbers")
 @option("clients", type=click.IntRange(1, 100000), default=8192, help="connections of clients")
-@option("invocations", type=click.IntRange(1, 1000000), default=10000, help="under way at the most")
-@option("body-bytes", type=click.IntRange(1, 1 << 28), default=1 << 20, help="the largest body taken")
+@option("invocations", type=click.IntRange(1, 1000000), default=10000, help="most under way at a time")
+@option("body-bytes", type=click.IntRange(1, 1 << 28), default=1 << 20, help="largest body accepted")
 @option("server-connections", type=click.IntRange(1, 10000), default=64, help="to one server")
-@option("connecting", type=click.IntRange(1, 10000), default=8, help="connects to one server under way")
+@option("connecting", type=click.IntRange(1, 10000), default=8, help="connection attempts to one server at a time")
 @option("trace", type=click.Path(file_okay=False, path_type=Path), help="record invocations in this folder")
 @option("log-form", type=click.Choice(["json", "console"]), default="json", help="how logs are written")
-@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="the least that is logged")
+@option("log-level", type=click.Choice(list(LEVELS)), default="info", help="lowest level that is logged")
 @fact_options
 def proxy(
     listen: str,
@@ -78,7 +80,7 @@
     log_level: str,
     **given: object,
 ) -> None:
-    """Forwards clients' invocations to servers as supervisors say. Its first line says where it listens."""
+    """Forwards clients' invocations to servers of the tables. The first line of output is the listening address."""
     facts = start_facts(given)
     if zone not in facts.zones:
         raise click.BadParameter(f"{zone!r}: one of {', '.join(facts.zones)}", param_hint="--zone")
@@ -91,20 +93,20 @@
     limits = Limits(invocations, server_connections, connecting)
     bounds = Bounds(body_bytes=body_bytes, connections=clients)
     try:
-        whole = Proxy(loop, place, facts, seed, log, os.urandom(4).hex(), limits, bounds, shared)
+        running = Proxy(loop, place, facts, seed, log, os.urandom(4).hex(), limits, bounds, shared)
     except OSError as error:
-        raise click.BadParameter(f"{listen}: {error.strerror}; take a free port", param_hint="--listen") from None
-    forwarder, follower = whole.forwarder, whole.follower
+        raise click.BadParameter(f"{listen}: {error.strerror}; choose a free port", param_hint="--listen") from None
+    forwarder, follower = running.forwarder, running.follower
     writer = None
     if trace is not None:
         writer, wall = TraceWriter(trace, f"proxy-{number}"), time.time() - loop.clock()
         tend_trace(loop, writer, log)
         forwarder.trace = lambda kind, at, **fields: writer.add(kind, at + wall, **fields)
-        follower.message = lambda at, name, sent: writer.add("message", at + wall, id=name, sent=int(sent))
+        follower.on_message = lambda at, name, sent: writer.add("message", at + wall, id=name, sent=int(sent))
 
     def stop(signal_number: int) -> None:
         log("stopping", signal=signal.Signals(signal_number).name, under_way=forwarder.under_way)
-        whole.stop(loop.stop)
+        running.stop(loop.stop)
 
     loop.on_signals((signal.SIGTERM, signal.SIGINT), stop)
     log("listening", address=f"{forwarder.address[0]}:{forwarder.address[1]}", number=number)
@@ -113,5 +115,5 @@
     loop.close()
     if writer is not None:
         writer.close(1.0)
-    log("stopped", **{"counts": forwarder.counts, "reports_dropped": whole.sums.dropped})
+    log("stopped", **{"counts": forwarder.counts, "reports_dropped": running.sums.dropped_tries})
     sys.stderr.flush()
--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -1,4 +1,4 @@
-"""Following supervisors: joining one, polling, acknowledging, reporting; another one when it is away."""
+"""Client of the supervisors: joins one, polls, acknowledges and reports; fails over to another one."""
 
 from __future__ import annotations
 
@@ -23,68 +23,74 @@
 from driftshed.net.loop import Loop
 from driftshed.proxy.tables import ChangesRejected, Tables
 
-CHANGES, JOINED = msgspec.json.Decoder(Changes), msgspec.json.Decoder(JoinAnswer)
-HEARS_WITHIN, GRACE_SHARE = 12.0, 1 / 6  # seconds until a silent supervisor is given up; of them its answer may be late
-GRACE, JOIN_WITHIN = 2.0, 2.0  # seconds: an answer may be late, a join takes at most
-AGAIN, AGAIN_MOST = 0.1, 2.0  # seconds before dialling again: doubling, each drawn up to double
-MOST_SUPERVISORS = 64  # that are known at a time
-KEPT_REPORTS = 20  # periods whose sums are kept while nobody listens
-MOST_SERVERS = 4096  # in one report
+CHANGES_DECODER, JOINED = msgspec.json.Decoder(Changes), msgspec.json.Decoder(JoinAnswer)
+HEARS_WITHIN, GRACE_SHARE = (
+    12.0,
+    1 / 6,
+)  # seconds until a silent supervisor is given up; share of them that an answer may be late
+REPORT_TIMEOUT_S, JOIN_TIMEOUT_S = 2.0, 2.0  # of a request to report, and of a join
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 2.0  # doubles up to the maximum; jitter of up to double
+MAX_SUPERVISORS = 64  # taken from one announced list
+MAX_UNSENT_PERIODS = 20  # report periods whose counts are kept without a supervisor
+MAX_REPORTED_SERVERS = 4096  # in one report
 
-TERM = re.compile(rb'"term":(\d{1,10})')
+TERM_PATTERN = re.compile(rb'"term":(\d{1,10})')
 
 Log = Callable[..., object]
 
 
 class Sums:
-    """What was met and what came since the last report. Bounded: with nobody to tell for long, all of it is dropped and
-    counted."""
+    """Counts of tries by server and of invocations by operation since the last report. Bounded: without a supervisor
+    for `MAX_UNSENT_PERIODS` periods the counts are dropped, and the dropped tries counted."""
 
     def __init__(self, operations: list[str]) -> None:
-        self.operations, self.periods, self.dropped = operations, 0, 0
-        self._empty()
+        """`operations`: names, in the order of the tables."""
+        self.operations, self.unsent_periods, self.dropped_tries = operations, 0, 0
+        self._clear()
 
-    def _empty(self) -> None:
-        self.met: dict[str, list] = {}  # tries, errored, seconds of the good, load
-        self.came = [[0, 0] for _ in self.operations]
+    def _clear(self) -> None:
+        self.by_server: dict[str, list] = {}  # tries, errored, total seconds of the others, load
+        self.by_operation = [[0, 0] for _ in self.operations]  # arrived, errored
 
-    def tried(self, server: str, took: float | None, load: list[float] | None) -> None:
-        """One try; `took`: seconds, None without a good answer."""
-        row = self.met.get(server)
+    def add_try(self, server: str, duration: float | None, load: list[float] | None) -> None:
+        """Counts one try; `duration`: seconds, None where it errored."""
+        row = self.by_server.get(server)
         if row is None:
-            if len(self.met) >= MOST_SERVERS:
-                self.dropped += 1
+            if len(self.by_server) >= MAX_REPORTED_SERVERS:
+                self.dropped_tries += 1
                 return
-            row = self.met[server] = [0, 0, 0.0, None]
+            row = self.by_server[server] = [0, 0, 0.0, None]
         row[0] += 1
-        row[1] += took is None
-        row[2] += took or 0.0
+        row[1] += duration is None
+        row[2] += duration or 0.0
         row[3] = load or row[3]
 
-    def take(self, stream: str) -> Report:
-        met = [
-            ServerReport(name, tries, errored, took / (tries - errored) if tries > errored else None, load)
-            for name, (tries, errored, took, load) in self.met.items()
+    def make_report(self, stream: str) -> Report:
+        """Report of the counts for `stream`; the counts start again from zero."""
+        servers = [
+            ServerReport(name, tries, errored, seconds / (tries - errored) if tries > errored else None, load)
+            for name, (tries, errored, seconds, load) in self.by_server.items()
         ]
-        came = [OperationReport(name, *row) for name, row in zip(self.operations, self.came, strict=True)]
-        self._empty()
-        self.periods = 0
-        return Report(stream, met, came)
-
-    def keep(self) -> int:
-        """Nobody listened this period; how many tries were dropped for it."""
-        self.periods += 1
-        if self.periods < KEPT_REPORTS:
+        operations = [OperationReport(name, *row) for name, row in zip(self.operations, self.by_operation, strict=True)]
+        self._clear()
+        self.unsent_periods = 0
+        return Report(stream, servers, operations)
+
+    def keep_unsent(self) -> int:
+        """Ends a period in which no report could be sent; returns the number of tries dropped."""
+        self.unsent_periods += 1
+        if self.unsent_periods < MAX_UNSENT_PERIODS:
             return 0
-        lost = sum(row[0] for row in self.met.values())
-        self.dropped += lost
-        self._empty()
-        self.periods = 0
-        return lost
+        dropped = sum(row[0] for row in self.by_server.values())
+        self.dropped_tries += dropped
+        self._clear()
+        self.unsent_periods = 0
+        return dropped
 
 
 class Follower:
-    """Keeps `tables` as the supervisors say. `on_tables()` after each change; `message(at, name, sent)` for a trace."""
+    """Keeps `tables` up to date with a supervisor. Calls `on_tables_changed()` after each change and, for a trace,
+    `on_message(at, name, sent)`."""
 
     def __init__(
         self,
@@ -98,158 +104,165 @@
         random: Random,
         log: Log,
         source: str | None = None,
-        period: float = 0.5,
+        report_period: float = 0.5,
         transport: Transport = SOCKETS,
-        hears_within: float = HEARS_WITHIN,
+        supervisor_timeout: float = HEARS_WITHIN,
     ) -> None:
-        self.poll = hears_within * (1 - GRACE_SHARE)  # seconds that a poll waits
-        self.grace = hears_within - self.poll
-        self.given, self.term = supervisors, 0  # the term rises with each join, wherever it goes
+        """Joins the first of `supervisors` at once. `rate`: usual invocations per second; `report_period` and
+        `supervisor_timeout` are in seconds."""
+        self.poll_wait = supervisor_timeout * (1 - GRACE_SHARE)  # seconds
+        self.poll_grace = supervisor_timeout - self.poll_wait
+        self.configured, self.term = supervisors, 0  # the term rises with each join, at whichever supervisor
         self.loop, self.number, self.zone, self.rate = loop, number, zone, rate
         self.addresses, self.tables, self.sums, self.random, self.log = supervisors, tables, sums, random, log
-        self.source, self.period, self.transport = source, period, transport
-        self.on_tables: Callable[[], object] = lambda: None
-        self.message: Callable[[float, str, bool], object] | None = None
-        self.at, self.failed, self.stream, self.turned_down, self.stopped = 0, 0, "", 0, False
+        self.source, self.report_period, self.transport = source, report_period, transport
+        self.on_tables_changed: Callable[[], object] = lambda: None
+        self.on_message: Callable[[float, str, bool], object] | None = None
+        self.current, self.failures, self.stream, self.rejected_changes, self.stopped = 0, 0, "", 0, False
         self._dial()
-        loop.after(period * random.random(), self._report)
+        loop.after(report_period * random.random(), self._report)
 
     def _dial(self) -> None:
         if self.stopped:
             return
-        address = self.addresses[self.at]
-        self.control = self.transport.client(self.loop, address, self.source, idle_most=1)
-        self.reports = self.transport.client(self.loop, address, self.source, idle_most=1)
+        address = self.addresses[self.current]
+        self.control_client = self.transport.client(self.loop, address, self.source, idle_most=1)
+        self.report_client = self.transport.client(self.loop, address, self.source, idle_most=1)
         fresh = self.tables.run is None
         self.term += 1
         join = Join(self.zone, self.rate, fresh, self.tables.run, self.tables.version)
-        # Not in the body: supervisors of before would turn down a field that they do not know.
+        # Not in the body: older supervisors would reject an unknown field.
         path = f"/v1/proxies/{self.number}/join?term={self.term}"
-        self.control.call("POST", path, encode(join), self._joined, JOIN_WITHIN)
+        self.control_client.call("POST", path, encode(join), self._handle_join_answer, JOIN_TIMEOUT_S)
 
-    def _again(self, why: str, elsewhere: bool = False, sent_on: bool = False) -> None:
-        """Dials again after a while: another supervisor if there is one, since this one did not answer; at once
-        `elsewhere` where this one stops or is silent, since a connection that is merely broken may stand again. One
-        that leaves has `sent_on` its proxies one by one: nobody else dials now, and orders are not to have a gap."""
+    def _reconnect(self, reason: str, use_next: bool = False, redirected: bool = False) -> None:
+        """Joins again after a random delay that doubles with each failure: the same supervisor after the first failure,
+        since a broken connection may be re-established, then the next ones. With `use_next` it is the next one after
+        the first failure too: this one stops or is silent. With `redirected` there is no delay after the first failure:
+        a supervisor hands over its proxies one by one, so no other proxy joins now, and orders must not pause."""
         if self.stopped:
             return
         if self.stream:
-            self.log("stream_ended", why=why)
+            self.log("stream_ended", why=reason)
         self.stream = ""
-        self.control.close()
-        self.reports.close()
-        wait = min(AGAIN_MOST, AGAIN * 2**self.failed) * self.random.uniform(1, 2)
-        self.failed += 1
-        if self.failed > 1 or elsewhere:
-            self.at = (self.at + 1) % len(self.addresses)
-        if sent_on and self.failed == 1 and len(self.addresses) > 1:
+        self.control_client.close()
+        self.report_client.close()
+        delay = min(MAX_RECONNECT_DELAY_S, RECONNECT_DELAY_S * 2**self.failures) * self.random.uniform(1, 2)
+        self.failures += 1
+        if self.failures > 1 or use_next:
+            self.current = (self.current + 1) % len(self.addresses)
+        if redirected and self.failures == 1 and len(self.addresses) > 1:
             self._dial()
         else:
-            self.loop.after(wait, self._dial)
+            self.loop.after(delay, self._dial)
 
-    def _joined(self, answer: Answer) -> None:
-        over = TERM.search(answer.body) if answer.status == 409 else None
-        if over:  # we began anew, and what we were had joined there more often
-            self.term = int(over[1])
+    def _handle_join_answer(self, answer: Answer) -> None:
+        outdated = TERM_PATTERN.search(answer.body) if answer.status == 409 else None
+        if outdated:  # this proxy has restarted; its predecessor had joined there with a higher term
+            self.term = int(outdated[1])
         elif answer.status == 409:
-            self.tables.run, self.tables.version = None, 0  # what it holds is not known there
+            self.tables.run, self.tables.version = None, 0  # the supervisor does not know our version
         if answer.status != 200:
-            self._again(answer.error or f"join: {answer.status}", answer.error == "late" or answer.status == 503)
+            self._reconnect(answer.error or f"join: {answer.status}", answer.error == "late" or answer.status == 503)
             return
         try:
             joined = JOINED.decode(answer.body)
         except msgspec.DecodeError as error:
-            self._again(f"join: {error}")
+            self._reconnect(f"join: {error}")
             return
         if joined.operations != self.sums.operations:
-            # Guards against tables whose operations mean others here: places in a list are all that they say.
+            # Guards against tables of other operations: tables refer to operations by index only.
             why = f"the supervisor's operations are {joined.operations}, not {self.sums.operations}"
-            self.log("turned_down", level="error", why=f"{why}: give both the same --operation flags, in one order")
-            self._again("its operations are others")
+            self.log(
+                "turned_down", level="error", why=f"{why}: give both the same --operation flags, in the same order"
+            )
+            self._reconnect("its operations differ")
             return
         if joined.policy < self.tables.policy:
             self.log(
                 "turned_down",
                 level="warning",
-                why=f"it goes by policy {joined.policy}; {self.tables.policy} was heeded",
+                why=f"its policy {joined.policy} is older than {self.tables.policy}, which was applied",
             )
-            self._again("its policy is older", elsewhere=True)
+            self._reconnect("its policy is older", use_next=True)
             return
         if joined.run != self.tables.run:
             self.tables.run, self.tables.version = joined.run, joined.version
-        self._learn(joined.supervisors)
+        self._update_supervisors(joined.supervisors)
         self.stream = joined.stream
         self.log("joined", run=joined.run, version=joined.version)
         self._poll()
 
-    def _learn(self, told: list[str]) -> None:
-        """Whom else to dial, as the one that answers says; the one that it is on stays the first."""
-        if not told:
+    def _update_supervisors(self, announced: list[str]) -> None:
+        """Replaces the addresses by the announced and the configured ones; the current supervisor stays the first."""
+        if not announced:
             return
-        here, others = self.addresses[self.at], []
-        for text in told[:MOST_SUPERVISORS]:
+        here, others = self.addresses[self.current], []
+        for text in announced[:MAX_SUPERVISORS]:
             try:
                 server_id(text)
             except BadName:
                 continue
             host, _, port = text.rpartition(":")
             others.append((host, int(port)))
-        others = [each for each in dict.fromkeys([*others, *self.given]) if each != here]
-        self.random.shuffle(others)  # Guards against all that lose one supervisor dialling the same next one.
-        self.addresses, self.at = [here, *others], 0
+        others = [address for address in dict.fromkeys([*others, *self.configured]) if address != here]
+        self.random.shuffle(others)  # Guards against all proxies of a failed supervisor joining the same next one.
+        self.addresses, self.current = [here, *others], 0
 
     def _poll(self) -> None:
         version = self.tables.version
-        if self.message:
-            self.message(self.loop.clock(), f"{self.stream}/{version}/applied", True)
-        path = f"/v1/proxies/{self.number}/changes?stream={self.stream}&after={version}&wait={self.poll}"
-        self.control.call("GET", path, b"", self._told, self.poll + self.grace)
+        if self.on_message:
+            self.on_message(self.loop.clock(), f"{self.stream}/{version}/applied", True)
+        path = f"/v1/proxies/{self.number}/changes?stream={self.stream}&after={version}&wait={self.poll_wait}"
+        self.control_client.call("GET", path, b"", self._handle_poll_answer, self.poll_wait + self.poll_grace)
 
-    def _told(self, answer: Answer) -> None:
+    def _handle_poll_answer(self, answer: Answer) -> None:
         if answer.status != 200:
-            away = answer.status == 503
-            self._again(
+            stopping = answer.status == 503
+            self._reconnect(
                 answer.error or f"poll: {answer.status}",
-                away or answer.error == "late",
-                away and answer.headers.get(b"retry-after") == b"0",
+                stopping or answer.error == "late",
+                stopping and answer.headers.get(b"retry-after") == b"0",
             )
             return
         try:
-            changes = CHANGES.decode(answer.body)
+            changes = CHANGES_DECODER.decode(answer.body)
             if changes.version != self.tables.version or changes.changes:
                 self.tables.take(changes, self.loop.now)
             self.tables.check_policy(changes.policy)
             self.tables.policy = changes.policy
         except (msgspec.DecodeError, ChangesRejected) as error:
-            # Guards against a table that cannot be: the last good one is held, and the whole asked for anew.
-            self.turned_down += 1
+            # Guards against invalid tables: the last valid ones are kept, and a full snapshot is requested.
+            self.rejected_changes += 1
             self.log("turned_down", level="warning", why=str(error))
             self.tables.run, self.tables.version = None, 0
-            self._again("its tables were turned down")
+            self._reconnect("its tables were rejected")
             return
-        self.failed = 0
-        self._learn(changes.supervisors)
+        self.failures = 0
+        self._update_supervisors(changes.supervisors)
         if changes.changes:
-            if self.message:
-                self.message(self.loop.clock(), f"{self.stream}/{changes.version}/told", False)
-            self.on_tables()
+            if self.on_message:
+                self.on_message(self.loop.clock(), f"{self.stream}/{changes.version}/told", False)
+            self.on_tables_changed()
         self._poll()
 
     def _report(self) -> None:
         if self.stopped:
             return
-        self.loop.after(self.period, self._report)
+        self.loop.after(self.report_period, self._report)
         if not self.stream:
-            lost = self.sums.keep()
-            if lost:
-                self.log("reports_dropped", level="warning", tries=lost, in_all=self.sums.dropped)
+            dropped = self.sums.keep_unsent()
+            if dropped:
+                self.log("reports_dropped", level="warning", tries=dropped, in_all=self.sums.dropped_tries)
             return
-        body = encode(self.sums.take(self.stream))
-        self.reports.call("POST", f"/v1/proxies/{self.number}/report", body, lambda answer: None, GRACE)
+        body = encode(self.sums.make_report(self.stream))
+        self.report_client.call(
+            "POST", f"/v1/proxies/{self.number}/report", body, lambda answer: None, REPORT_TIMEOUT_S
+        )
 
     def leave(self) -> None:
-        """Says goodbye, and follows no more."""
+        """Leaves the supervisor and stops following."""
         self.stopped = True
         if self.stream:
             path = f"/v1/proxies/{self.number}/leave?stream={self.stream}"
-            self.reports.call("POST", path, b"", lambda answer: None, 0.5)
+            self.report_client.call("POST", path, b"", lambda answer: None, 0.5)
--- a/driftshed/proxy/forward.py
+++ b/driftshed/proxy/forward.py
@@ -1,4 +1,4 @@
-"""Forwarding: a client's request to a server of the tables, and its answer back."""
+"""Forwarding: sends a client's request to a server of the tables and returns its answer."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 from driftshed.proxy.tables import Tables
 
-# Headers of one connection alone, and those that are made anew.
-HOP = {
+# Headers that belong to one connection (hop-by-hop), and those that the proxy sets itself.
+HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -39,36 +39,54 @@
     b"x-timeout",
     b"x-operation",
 }
-MARK = b"idempotency-key"  # the mark of a fingerprinted invocation
-NEVER = b"x-never-ran"
-SHORTEST = 0.005  # seconds: a try that has less is not made
+IDEMPOTENCY_KEY = b"idempotency-key"  # by which servers recognize repeats of a fingerprinted invocation
+NEVER_RAN_HEADER = b"x-never-ran"
+MIN_TRY_S = 0.005  # a try with a shorter timeout is not made
 
 
 class Limits(NamedTuple):
-    """What one proxy holds at the most."""
+    """Upper limits of one proxy, and the timeouts of its connections in seconds."""
 
-    invocations: int = 10000
+    invocations: int = 10000  # under way at a time
     connections: int = 64  # to one server
-    connecting: int = 8  # to one server at a time
-    idle_for: float = 12.0  # seconds; a little under the servers' own
+    connecting: int = 8  # connection attempts to one server at a time
+    idle_for: float = 12.0  # seconds until an idle connection is closed; a little below the servers' own
     connect_timeout: float = 0.25
 
 
 class Invocation:
-    """One client's request under way."""
-
-    __slots__ = ("request", "place", "began", "due", "tried", "call", "server", "tries", "headers", "try_began")
-
-    def __init__(self, request: Request, place: int, began: float, due: float, headers: str) -> None:
-        self.request, self.place, self.began, self.due, self.headers = request, place, began, due, headers
-        self.tried: list[FinishedTry] = []
-        self.tries: list[tuple[float, float, str]] = []  # for a trace: began after `began`, took, what came
+    """A client's request that is under way."""
+
+    __slots__ = (
+        "request",
+        "operation",
+        "started_at",
+        "deadline",
+        "finished_tries",
+        "call",
+        "server",
+        "trace_rows",
+        "headers",
+        "try_started_at",
+    )
+
+    def __init__(self, request: Request, operation: int, started_at: float, deadline: float, headers: str) -> None:
+        """`operation`: its index in the facts; `started_at` and `deadline`: loop times; `headers`: lines to forward."""
+        self.request, self.operation, self.started_at, self.deadline, self.headers = (
+            request,
+            operation,
+            started_at,
+            deadline,
+            headers,
+        )
+        self.finished_tries: list[FinishedTry] = []
+        self.trace_rows: list[tuple[float, float, str]] = []  # seconds after `started_at`, duration, result
         self.call: Call | None = None
-        self.server, self.try_began = "", 0.0
+        self.server, self.try_started_at = "", 0.0
 
 
 class Forwarder:
-    """Serves clients at an address by `tables`. `trace(kind, at, **fields)` is told of each invocation."""
+    """Serves clients at an address according to `tables`. `trace(kind, at, **fields)` is called for each invocation."""
 
     def __init__(
         self,
@@ -85,100 +103,116 @@
         transport: Transport = SOCKETS,
         tag: str = "",
     ) -> None:
+        """Listens at `address` at once; raises OSError where it cannot. `source`: local address of connections to
+        servers; `shared`: other processes may listen at the same address."""
         self.loop, self.number, self.facts, self.tables, self.sums = loop, number, facts, tables, sums
         self.limits, self.source, self.transport = limits, source, transport
-        self.tag = tag  # tells the marks of this run from those of any other
-        self.operations = {operation.name: place for place, operation in enumerate(facts.operations)}
+        self.tag = tag  # makes the idempotency keys of this run distinct from those of any other
+        self.operations = {operation.name: index for index, operation in enumerate(facts.operations)}
         self.rules = [
             RetryRules(o.effect, o.repeat_window, o.repeat_scope, facts.full_may_have_run, 2 * limits.connect_timeout)
             for o in facts.operations
         ]
         self.clients: dict[str, HttpClient] = {}
         self.retired: dict[HttpClient, None] = {}
-        self.out: dict[str, int] = {}  # own invocations out, by server
-        self.under_way, self.marks = 0, 0
+        self.in_flight: dict[str, int] = {}  # own invocations under way, by server
+        self.under_way, self.keys_made = 0, 0
         self.counts: dict[str, int] = {}
         self.trace: Callable[..., object] | None = None
         self.on_idle: Callable[[], object] | None = None
-        self.http = transport.server(loop, address, self._ask, bounds, shared=shared)
+        self.http = transport.server(loop, address, self._handle_request, bounds, shared=shared)
         self.address = self.http.address
 
-    # ---- a client asks ----------------------------------------------------------------------------------------
+    # ---- requests of clients ----------------------------------------------------------------------------------
 
-    def _ask(self, request: Request) -> None:
+    def _handle_request(self, request: Request) -> None:
         name = request.headers.get(b"x-operation", b"").decode("latin-1") or request.path.rpartition("/")[2]
-        place = self.operations.get(name)
-        if place is None:
+        index = self.operations.get(name)
+        if index is None:
             self._refuse(request, 404, f"operation {name[:64]!r} is not known here")
             return
-        now, operation = self.loop.now, self.facts.operations[place]
-        self.sums.came[place][0] += 1
+        now, operation = self.loop.now, self.facts.operations[index]
+        self.sums.by_operation[index][0] += 1
         if self.under_way >= self.limits.invocations:
-            self._refuse(request, 503, "too many invocations under way", back=1.0)
+            self._refuse(request, 503, "too many invocations under way", retry_after=1.0)
             return
-        gate = self.tables.gates[place]
+        gate = self.tables.gates[index]
         if not gate.admit(now):
-            inv = Invocation(request, place, now, now, "")
-            self._refuse(request, 503, "level", back=gate.retry_after(now))
-            self._note(inv, "rate-limited")
+            invocation = Invocation(request, index, now, now, "")
+            self._refuse(request, 503, "level", retry_after=gate.retry_after(now))
+            self._record_outcome(invocation, "rate-limited")
             return
         try:
-            patience = min(operation.integration_timeout, float(request.headers.get(b"x-timeout", b"inf")))
+            timeout = min(operation.integration_timeout, float(request.headers.get(b"x-timeout", b"inf")))
         except ValueError:
             self._refuse(request, 400, "x-timeout: seconds are wanted")
             return
-        inv = Invocation(request, place, now, now + patience, self._headers(request, operation))
+        invocation = Invocation(request, index, now, now + timeout, self._forwarded_headers(request, operation))
         self.under_way += 1
-        request.on_gone = lambda: self._gone(inv)
-        self._try(inv)
-
-    def _headers(self, request: Request, operation: face.Operation) -> str:
-        named = request.headers.get(b"connection", b"").lower().replace(b" ", b"").split(b",")
-        kept = {name: value for name, value in request.headers.items() if name not in HOP and name not in named}
-        lines = [name + b": " + value for name, value in kept.items()]
-        if operation.effect == "fingerprinted" and MARK not in request.headers:
-            self.marks += 1
-            lines.append(MARK + f": {self.number}-{self.tag}-{self.marks}".encode())
+        request.on_gone = lambda: self._cancel_try(invocation)
+        self._start_try(invocation)
+
+    def _forwarded_headers(self, request: Request, operation: face.Operation) -> str:
+        connection_options = request.headers.get(b"connection", b"").lower().replace(b" ", b"").split(b",")
+        forwarded = {
+            name: value
+            for name, value in request.headers.items()
+            if name not in HOP_BY_HOP_HEADERS and name not in connection_options
+        }
+        lines = [name + b": " + value for name, value in forwarded.items()]
+        if operation.effect == "fingerprinted" and IDEMPOTENCY_KEY not in request.headers:
+            self.keys_made += 1
+            lines.append(IDEMPOTENCY_KEY + f": {self.number}-{self.tag}-{self.keys_made}".encode())
         return "".join(line.decode("latin-1") + "\r\n" for line in lines)
 
-    def _refuse(self, request: Request, status: int, reason: str, back: float | None = None) -> None:
+    def _refuse(self, request: Request, status: int, reason: str, retry_after: float | None = None) -> None:
         self._count(f"{status} {reason.split(' ')[0]}")
         extra = f"x-reason: {reason}\r\nx-never-ran: 1\r\n"
-        if back is not None:
-            extra += f"retry-after: {max(1, round(back))}\r\n"
+        if retry_after is not None:
+            extra += f"retry-after: {max(1, round(retry_after))}\r\n"
         request.answer(status, reason.encode(), "text/plain", extra)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, key: str) -> None:
+        self.counts[key] = self.counts.get(key, 0) + 1
 
     # ---- tries ------------------------------------------------------------------------------------------------
 
-    def _try(self, inv: Invocation) -> None:
-        operation, rules = self.facts.operations[inv.place], self.rules[inv.place]
+    def _start_try(self, invocation: Invocation) -> None:
+        operation, rules = (
+            self.facts.operations[invocation.operation],
+            self.rules[invocation.operation],
+        )
         now, server = self.loop.clock(), None
-        but = [tried.server for tried in inv.tried]
-        while (server := self.tables.pick(inv.place, but, self.out)) is not None:
-            if self._has_room(server) and may_receive(rules, inv.tried, server, "", -1):
+        excluded = [finished.server for finished in invocation.finished_tries]
+        while (server := self.tables.pick(invocation.operation, excluded, self.in_flight)) is not None:
+            if self._has_room(server) and may_receive(rules, invocation.finished_tries, server, "", -1):
                 break
-            but.append(server)
+            excluded.append(server)
         if server is None:
-            self._finish_without(inv, "bare" if not but else "no server has room")
+            self._answer_failure(invocation, "bare" if not excluded else "no server has room")
             return
-        mode = self.tables.try_mode(inv.place)
-        within = try_timeout(now, inv.due, operation.latency_objective, mode, len(inv.tried), self.facts.try_objectives)
-        if within < SHORTEST:
-            self._finish_without(inv, "no time is left")
+        mode = self.tables.try_mode(invocation.operation)
+        timeout = try_timeout(
+            now,
+            invocation.deadline,
+            operation.latency_objective,
+            mode,
+            len(invocation.finished_tries),
+            self.facts.try_objectives,
+        )
+        if timeout < MIN_TRY_S:
+            self._answer_failure(invocation, "no time is left")
             return
-        inv.server, inv.try_began = server, now
-        self.out[server] = self.out.get(server, 0) + 1
-        request, query = inv.request, f"?{inv.request.query}" if inv.request.query else ""
-        extra = f"{inv.headers}x-timeout: {inv.due - now:.3f}\r\n"
-        inv.call = self._client(server).call(
+        invocation.server, invocation.try_started_at = server, now
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
+        request, query = invocation.request, f"?{invocation.request.query}" if invocation.request.query else ""
+        extra = f"{invocation.headers}x-timeout: {invocation.deadline - now:.3f}\r\n"
+        invocation.call = self._client(server).call(
             request.method,
             request.path + query,
             request.body,
-            lambda answer: self._tried(inv, answer),
-            within,
+            lambda answer: self._handle_answer(invocation, answer),
+            timeout,
             extra,
             request.headers.get(b"content-type", b"application/octet-stream").decode("latin-1"),
         )
@@ -189,7 +223,7 @@
             return True
         if len(client.all) >= self.limits.connections:
             return False
-        # Guards against hammering a server that takes no connections: a few at a time.
+        # Guards against flooding a server that accepts no connections: only a few attempts at a time.
         connecting = sum(connection.stream.connecting for connection in client.all)
         return connecting < self.limits.connecting
 
@@ -207,34 +241,43 @@
             self.clients[server] = client
         return client
 
-    def _tried(self, inv: Invocation, answer: Answer) -> None:
-        now, server = self.loop.clock(), inv.server
-        inv.call = None
-        self.out[server] -= 1
-        if not self.out[server]:
-            del self.out[server]
+    def _handle_answer(self, invocation: Invocation, answer: Answer) -> None:
+        now, server = self.loop.clock(), invocation.server
+        invocation.call = None
+        self.in_flight[server] -= 1
+        if not self.in_flight[server]:
+            del self.in_flight[server]
         outcome = outcome_of(answer)
-        took = now - inv.try_began
-        self.sums.tried(server, took if outcome is Outcome.ANSWERED else None, self._load(answer))
-        inv.tried.append(FinishedTry(server, "", -1, inv.try_began, outcome))
-        inv.tries.append((inv.try_began - inv.began, took, answer.error or str(answer.status)))
-        if inv.request.answered:  # the client has gone
-            self._over(inv, "errored")
+        duration = now - invocation.try_started_at
+        self.sums.add_try(server, duration if outcome is Outcome.ANSWERED else None, self._parse_load(answer))
+        invocation.finished_tries.append(FinishedTry(server, "", -1, invocation.try_started_at, outcome))
+        invocation.trace_rows.append(
+            (invocation.try_started_at - invocation.started_at, duration, answer.error or str(answer.status))
+        )
+        if invocation.request.answered:  # the client has disconnected
+            self._finish(invocation, "errored")
             return
         if outcome is Outcome.ANSWERED:
             kind = answer.headers.get(b"content-type", b"application/octet-stream").decode("latin-1")
-            kept = (n + b": " + v for n, v in answer.headers.items() if n not in HOP)
-            inv.request.answer(answer.status, answer.body, kind, "".join(f"{h.decode('latin-1')}\r\n" for h in kept))
-            in_time = now - inv.began <= self.facts.operations[inv.place].latency_objective
-            self._over(inv, "succeeded" if in_time else "late")
+            forwarded = (n + b": " + v for n, v in answer.headers.items() if n not in HOP_BY_HOP_HEADERS)
+            invocation.request.answer(
+                answer.status, answer.body, kind, "".join(f"{h.decode('latin-1')}\r\n" for h in forwarded)
+            )
+            in_time = now - invocation.started_at <= self.facts.operations[invocation.operation].latency_objective
+            self._finish(invocation, "succeeded" if in_time else "late")
             return
-        if may_follow(self.rules[inv.place], self.tables.try_mode(inv.place), inv.tried, now):
+        if may_follow(
+            self.rules[invocation.operation],
+            self.tables.try_mode(invocation.operation),
+            invocation.finished_tries,
+            now,
+        ):
             self._count("tried again")
-            self._try(inv)
+            self._start_try(invocation)
             return
-        self._finish_without(inv, answer.error or f"server: {answer.status}")
+        self._answer_failure(invocation, answer.error or f"server: {answer.status}")
 
-    def _load(self, answer: Answer) -> list[float] | None:
+    def _parse_load(self, answer: Answer) -> list[float] | None:
         fields = len(self.facts.load_fields)
         if not fields or b"x-load" not in answer.headers:
             return None
@@ -244,84 +287,84 @@
             return None
         return load if len(load) == fields else None
 
-    def _finish_without(self, inv: Invocation, reason: str) -> None:
-        """The final answer to an invocation that got none: 503 where surely nothing ran, 504 where time is up, 502
-        else."""
-        proofs = [proof_of(tried.outcome, self.facts.full_may_have_run) for tried in inv.tried]
-        never = all(proof is Proof.SURE for proof in proofs)
-        late = bool(inv.tried) and inv.tried[-1].outcome is Outcome.LATE
-        status = 503 if never else 504 if late else 502
-        extra = f"x-reason: {reason}\r\n" + ("x-never-ran: 1\r\nretry-after: 1\r\n" if never else "")
+    def _answer_failure(self, invocation: Invocation, reason: str) -> None:
+        """Answers an invocation that no server answered: 503 where it certainly never ran, 504 where the last try timed
+        out, else 502."""
+        proofs = [proof_of(finished.outcome, self.facts.full_may_have_run) for finished in invocation.finished_tries]
+        never_ran = all(proof is Proof.SURE for proof in proofs)
+        late = bool(invocation.finished_tries) and invocation.finished_tries[-1].outcome is Outcome.LATE
+        status = 503 if never_ran else 504 if late else 502
+        extra = f"x-reason: {reason}\r\n" + ("x-never-ran: 1\r\nretry-after: 1\r\n" if never_ran else "")
         self._count(f"{status} {reason.split(' ')[0]}")
-        inv.request.answer(status, reason.encode(), "text/plain", extra)
-        self.sums.came[inv.place][1] += bool(inv.tried)
-        self._over(inv, "rate-limited" if never else "errored")
+        invocation.request.answer(status, reason.encode(), "text/plain", extra)
+        self.sums.by_operation[invocation.operation][1] += bool(invocation.finished_tries)
+        self._finish(invocation, "rate-limited" if never_ran else "errored")
 
-    def _gone(self, inv: Invocation) -> None:
-        """Guards against work for nobody: the client has gone, and so does the try."""
-        if inv.call is not None:
-            inv.call.cancel()
+    def _cancel_try(self, invocation: Invocation) -> None:
+        """Cancels the try of a client that has disconnected, so that no server works for it in vain."""
+        if invocation.call is not None:
+            invocation.call.cancel()
 
-    def _over(self, inv: Invocation, outcome: str) -> None:
+    def _finish(self, invocation: Invocation, outcome: str) -> None:
         self.under_way -= 1
-        self._note(inv, outcome)
+        self._record_outcome(invocation, outcome)
         if self.retired:
-            self._let_go()
+            self._close_retired()
         if not self.under_way and self.on_idle:
             self.on_idle()
 
-    def _note(self, inv: Invocation, outcome: str) -> None:
+    def _record_outcome(self, invocation: Invocation, outcome: str) -> None:
         if not self.trace:
             return
-        operation = self.facts.operations[inv.place]
+        operation = self.facts.operations[invocation.operation]
         value = {"succeeded": 1.0, "late": operation.late_share}.get(outcome, 0.0) * operation.billed_value
-        key = dict(parse_qsl(inv.request.query)).get("key", "")
-        began, spans, outcomes = ([each[k] for each in inv.tries] for k in range(3))
+        key = dict(parse_qsl(invocation.request.query)).get("key", "")
+        starts, spans, outcomes = ([each[k] for each in invocation.trace_rows] for k in range(3))
         self.trace(
             "invocation",
-            inv.began,
+            invocation.started_at,
             proxy=self.number,
             operation=operation.name,
             key=key,
-            took=self.loop.clock() - inv.began,
+            took=self.loop.clock() - invocation.started_at,
             outcome=outcome,
             value=value,
-            servers=[tried.server for tried in inv.tried],
-            began=began,
+            servers=[finished.server for finished in invocation.finished_tries],
+            began=starts,
             spans=spans,
             outcomes=outcomes,
         )
 
-    # ---- tables change ----------------------------------------------------------------------------------------
+    # ---- changes of tables ------------------------------------------------------------------------------------
 
-    def follow(self) -> None:
-        """The tables have changed: connections to servers that left them end, those in use after their answer."""
+    def close_removed_servers(self) -> None:
+        """Closes connections to servers that are no longer in the tables, those in use after their answer."""
         for server in sorted(self.clients.keys() - self.tables.servers()):
             self.retired[self.clients.pop(server)] = None
-        self._let_go()
+        self._close_retired()
 
-    def _let_go(self) -> None:
+    def _close_retired(self) -> None:
         for client in list(self.retired):
             for connection in list(client.idle):
                 connection.stream.abort("left the tables")
             if not client.all:
                 del self.retired[client]
 
-    def stop(self, done: Callable[[], object], within: float) -> None:
-        """Takes nothing new; `done()` once what is out is answered, or the time is over."""
+    def stop(self, on_done: Callable[[], object], timeout: float) -> None:
+        """Accepts no more requests; calls `on_done()` once all under way are answered, or after `timeout` seconds."""
         self.http.close(now=False)
-        self.on_idle = lambda: self.loop.soon(done)
+        self.on_idle = lambda: self.loop.soon(on_done)
         if not self.under_way:
-            self.loop.soon(done)
+            self.loop.soon(on_done)
         else:
-            self.loop.after(within, done)
+            self.loop.after(timeout, on_done)
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """What came of a try, by what passed on its connection."""
+    """Outcome of a try, by what was sent and received on its connection."""
     if answer.status:
         if answer.status == 503:
-            return Outcome.NEVER_RAN if answer.headers.get(NEVER) == b"1" else Outcome.FULL
+            return Outcome.NEVER_RAN if answer.headers.get(NEVER_RAN_HEADER) == b"1" else Outcome.FULL
         return Outcome.ERRORED if answer.status >= 500 else Outcome.ANSWERED
     if not answer.sent:
         return Outcome.UNSENT
--- a/driftshed/proxy/whole.py
+++ b/driftshed/proxy/whole.py
@@ -1,4 +1,4 @@
-"""One proxy put together, on any loop and transport: what follows supervisors and what forwards by their tables."""
+"""A complete proxy on any loop and transport: it connects the follower, the tables and the forwarder."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class Place(NamedTuple):
-    """Who a proxy is: its number and zone, the invocations a second that usually come, where it listens, the
-    supervisors in the order of choice, the servers to start with, and the address that it connects from."""
+    """Settings of one proxy: its number and zone, its usual invocations per second, its listening address, the
+    supervisors in order of preference, the initial servers, and the local address of its connections."""
 
     number: int
     zone: str
@@ -28,7 +28,7 @@
 
 
 class Proxy:
-    """`tag` tells the marks of this run from those of any other. OSError where it cannot listen."""
+    """One proxy: it owns its tables, follower and forwarder."""
 
     def __init__(
         self,
@@ -43,6 +43,8 @@
         shared: bool = False,
         transport: Transport = SOCKETS,
     ) -> None:
+        """Listens and joins at once; raises OSError where it cannot listen. `tag` makes the idempotency keys of this
+        run distinct from those of any other."""
         random = Random(seed)
         self.place, self.facts = place, facts
         self.tables = Tables(
@@ -79,9 +81,10 @@
             transport,
             place.hears_within,
         )
-        self.follower.on_tables = self.forwarder.follow
+        self.follower.on_tables_changed = self.forwarder.close_removed_servers
 
-    def stop(self, done) -> None:
-        """Says goodbye and takes nothing new; `done()` once what is out is answered or given up."""
+    def stop(self, on_done) -> None:
+        """Leaves the supervisor and accepts no more requests; calls `on_done()` once all under way are answered or have
+        timed out."""
         self.follower.leave()
-        self.forwarder.stop(done, max(operation.integration_timeout for operation in self.facts.operations))
+        self.forwarder.stop(on_done, max(operation.integration_timeout for operation in self.facts.operations))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,7 +21,7 @@
 from driftshed.net.http import Bounds, HttpClient, HttpServer
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Listener
-from driftshed.proxy.follow import KEPT_REPORTS, Follower, Sums
+from driftshed.proxy.follow import MAX_UNSENT_PERIODS, Follower, Sums
 from driftshed.proxy.forward import Forwarder, Limits
 from driftshed.proxy.limits import BURST_S, Gate
 from driftshed.proxy.pick import PICKERS, Weights
@@ -43,18 +43,20 @@
 
 # ---- picks ----------------------------------------------------------------------------------------------------------
 
-PICKED = 1_000_000
+SAMPLES = 1_000_000
 
 
 def chi_square(counts: Counter, weights: dict[str, float]) -> float:
     total, picked = sum(weights.values()), sum(counts.values())
-    return sum((counts[n] - picked * w / total) ** 2 / (picked * w / total) for n, w in weights.items())
+    return sum(
+        (counts[name] - picked * weight / total) ** 2 / (picked * weight / total) for name, weight in weights.items()
+    )
 
 
 def bound(lines: int) -> float:
     """Bound that chi-square exceeds in about one of a million samples (approximation of Wilson and Hilferty)."""
-    free = lines - 1
-    return free * (1 - 2 / (9 * free) + 4.75 * (2 / (9 * free)) ** 0.5) ** 3
+    degrees = lines - 1
+    return degrees * (1 - 2 / (9 * degrees) + 4.75 * (2 / (9 * degrees)) ** 0.5) ** 3
 
 
 @pytest.mark.parametrize("kind", sorted(PICKERS))
@@ -64,10 +66,10 @@
     for name, weight in lines.items():
         weights.set(name, weight)
     picker = PICKERS[kind](weights, random)
-    counts = Counter(picker.pick([], {}) for _ in range(PICKED))
+    counts = Counter(picker.pick([], {}) for _ in range(SAMPLES))
     assert set(counts) == set(lines) and chi_square(counts, lines) < bound(118)
-    apart = sum(abs(counts[n] / PICKED - w / sum(lines.values())) for n, w in lines.items()) / 2
-    assert apart < 0.02
+    distance = sum(abs(counts[n] / SAMPLES - w / sum(lines.values())) for n, w in lines.items()) / 2
+    assert distance < 0.02
 
 
 @pytest.mark.parametrize("kind", sorted(PICKERS))
@@ -91,7 +93,7 @@
         for name, weight in lines.items():
             assert abs(weights.weight(name) - weight) <= Weights.UNIT
     lines = {name: weight for name, weight in lines.items() if weight}
-    counts = Counter(picker.pick([], {}) for _ in range(PICKED))
+    counts = Counter(picker.pick([], {}) for _ in range(SAMPLES))
     assert set(counts) <= set(lines) and chi_square(counts, lines) < bound(len(lines))
 
 
@@ -101,9 +103,9 @@
     lines = {f"s{n}": random.uniform(0.5, 2) for n in range(20)}
     for name, weight in lines.items():
         weights.set(name, weight)
-    but = random.sample(sorted(lines), random.randrange(1, 19))
-    rest = {name: weight for name, weight in lines.items() if name not in but}
-    counts = Counter(weights.draw_excluding(random, but) for _ in range(20000))
+    excluded = random.sample(sorted(lines), random.randrange(1, 19))
+    rest = {name: weight for name, weight in lines.items() if name not in excluded}
+    counts = Counter(weights.draw_excluding(random, excluded) for _ in range(20000))
     assert set(counts) <= set(rest) and (len(rest) < 2 or chi_square(counts, rest) < bound(len(rest)))
     assert weights.draw_excluding(random, list(lines)) is None and Weights().draw(random) is None
 
@@ -138,7 +140,7 @@
 # ---- retries --------------------------------------------------------------------------------------------------------
 
 # Whether the server may have run the invocation, by outcome of the try.
-TRUTH = {
+MAY_HAVE_RUN = {
     Outcome.ANSWERED: (True,),
     Outcome.UNSENT: (False,),
     Outcome.NEVER_RAN: (False,),
@@ -159,7 +161,7 @@
     spans = (0.0, 0.3, 0.85, 0.95, 1.2)
     for effect, mode, full in itertools.product(("idempotent", "fingerprinted", "side-effecting"), range(4), (0, 1)):
         rules = RetryRules(effect, WINDOW if effect == "fingerprinted" else None, "all", bool(full), MARGIN)
-        truth = TRUTH | ({Outcome.NEVER_RAN: (True, False)} if full else {})
+        may_have_run = MAY_HAVE_RUN | ({Outcome.NEVER_RAN: (True, False)} if full else {})
         frontier = [((), 0.0, ())]  # tries, now, times at which servers ran it
         while frontier:
             tried, now, ran = frontier.pop()
@@ -169,7 +171,7 @@
             assert len(tried) <= MAX_FURTHER_TRIES[mode]
             repeats += bool(tried)
             for outcome, span in itertools.product(Outcome, spans):
-                for took_effect in truth[outcome]:
+                for took_effect in may_have_run[outcome]:
                     effects = ran
                     if took_effect:
                         # It reaches its server within the margin; the server drops repeats within the window.
@@ -230,56 +232,58 @@
     assert not rate.admit(20.0) and Gate("off", Random(1)).admit(0.0)
 
 
-def changes(since: int, version: int, *rows, whole: bool = False, run: str = "r") -> Changes:
+def make_changes(since: int, version: int, *rows, whole: bool = False, run: str = "r") -> Changes:
     return Changes(run, since, version, whole, list(rows))
 
 
-def tables(standing=(), pick: str = "weighted") -> Tables:
-    made = Tables(2, pick, "share", 0, list(standing), Random(1))
-    made.run = "r"
-    return made
+def make_tables(standing=(), pick: str = "weighted") -> Tables:
+    tables = Tables(2, pick, "share", 0, list(standing), Random(1))
+    tables.run = "r"
+    return tables
 
 
 A, B, C = "127.0.0.1:81", "127.0.0.1:82", "127.0.0.1:83"
 
 
 def test_tables_follow_line_by_line_and_heed_what_is_out():
-    held = tables(standing=[C])
-    assert held.pick(0, [], {}) == C and held.try_mode(0) == 0
-    held.take(changes(0, 1, Use(0, 0), Use(1, 1), Line(0, A, 1.0), Line(0, B, 1.0), Line(1, B, 1.0), whole=True), 0.0)
-    assert {held.pick(0, [], {}) for _ in range(50)} == {A, B} and held.pick(1, [], {}) == B
-    held.take(changes(1, 2, Out(B), Level(0, 0, 0.5, 1)), 0.0)
-    assert {held.pick(0, [], {}) for _ in range(20)} == {A} and held.pick(1, [], {}) is None
-    assert held.gates[0].level == 0.5 and held.try_mode(0) == 1 and held.servers() == {A}
-    held.take(changes(2, 3, In(B), Line(0, A, 0.0), Level(face.EVERY_TABLE, 0, 0.2, 0)), 0.0)
-    assert {held.pick(0, [], {}) for _ in range(20)} == {B} and held.gates[0].level == 0.2
+    tables = make_tables(standing=[C])
+    assert tables.pick(0, [], {}) == C and tables.try_mode(0) == 0
+    tables.take(
+        make_changes(0, 1, Use(0, 0), Use(1, 1), Line(0, A, 1.0), Line(0, B, 1.0), Line(1, B, 1.0), whole=True), 0.0
+    )
+    assert {tables.pick(0, [], {}) for _ in range(50)} == {A, B} and tables.pick(1, [], {}) == B
+    tables.take(make_changes(1, 2, Out(B), Level(0, 0, 0.5, 1)), 0.0)
+    assert {tables.pick(0, [], {}) for _ in range(20)} == {A} and tables.pick(1, [], {}) is None
+    assert tables.gates[0].level == 0.5 and tables.try_mode(0) == 1 and tables.servers() == {A}
+    tables.take(make_changes(2, 3, In(B), Line(0, A, 0.0), Level(face.EVERY_TABLE, 0, 0.2, 0)), 0.0)
+    assert {tables.pick(0, [], {}) for _ in range(20)} == {B} and tables.gates[0].level == 0.2
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        changes(0, 2, Line(0, A, 1.0)),
-        changes(1, 2, Line(0, A, float("nan"))),
-        changes(1, 2, Line(0, A, float("inf"))),
-        changes(1, 2, Line(0, A, -1.0)),
-        changes(1, 2, Line(0, "nowhere", 1.0)),
-        changes(1, 2, Level(0, 9, 1.0, 1)),
-        changes(1, 2, Level(0, 0, float("nan"), 1)),
-        changes(1, 2, Use(7, 0)),
-        changes(1, 0, Line(0, A, 1.0)),
-        changes(1, 2, Line(0, B, 2.0), Line(0, A, -1.0)),
-        changes(1, 2, Line(0, A, 2.0), run="other"),
-        changes(1, 5, Use(0, 3), whole=True),
+        make_changes(0, 2, Line(0, A, 1.0)),
+        make_changes(1, 2, Line(0, A, float("nan"))),
+        make_changes(1, 2, Line(0, A, float("inf"))),
+        make_changes(1, 2, Line(0, A, -1.0)),
+        make_changes(1, 2, Line(0, "nowhere", 1.0)),
+        make_changes(1, 2, Level(0, 9, 1.0, 1)),
+        make_changes(1, 2, Level(0, 0, float("nan"), 1)),
+        make_changes(1, 2, Use(7, 0)),
+        make_changes(1, 0, Line(0, A, 1.0)),
+        make_changes(1, 2, Line(0, B, 2.0), Line(0, A, -1.0)),
+        make_changes(1, 2, Line(0, A, 2.0), run="other"),
+        make_changes(1, 5, Use(0, 3), whole=True),
     ],
 )
 def test_what_cannot_be_is_turned_down_and_the_last_good_tables_are_kept(bad):
-    held = tables()
-    held.take(changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
-    before = dict(held.held)
+    tables = make_tables()
+    tables.take(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
+    before = dict(tables.held)
     with pytest.raises(ChangesRejected):
-        held.take(bad, 0.0)
-    assert held.held == before and held.version == 1
-    assert {held.pick(0, [], {}) for _ in range(40)} == {A, B}
+        tables.take(bad, 0.0)
+    assert tables.held == before and tables.version == 1
+    assert {tables.pick(0, [], {}) for _ in range(40)} == {A, B}
 
 
 # ---- on sockets -----------------------------------------------------------------------------------------------------
@@ -299,13 +303,13 @@
     return start_facts(given)
 
 
-class Field:
-    """Servers that do as told, a proxy in front of them, and clients."""
+class ProxyRig:
+    """Servers with a set behaviour, a forwarder in front of them, and a client."""
 
     def __init__(self, servers: int = 2, tries: int = 1, limits: Limits = Limits(), full: bool = False, **more) -> None:
-        self.loop, self.asked = Loop(), []
+        self.loop, self.requests = Loop(), []
         self.servers = [HttpServer(self.loop, ("127.0.0.1", 0), self._serve) for _ in range(servers)]
-        self.how = ["well"] * servers
+        self.behaviours = ["well"] * servers
         names = [f"127.0.0.1:{server.address[1]}" for server in self.servers]
         self.names, facts = names, make_facts(tries, full)
         self.tables = Tables(3, "weighted", "share", tries, names, Random(1))
@@ -316,31 +320,31 @@
 
     def _serve(self, request) -> None:
         place = next(k for k, server in enumerate(self.servers) if request.connection.server is server)
-        self.asked.append((place, request))
-        how = self.how[place]
-        if how == "well":
+        self.requests.append((place, request))
+        behaviour = self.behaviours[place]
+        if behaviour == "well":
             request.answer(200, b"from %d " % place + request.body, "text/plain", "x-own: 1\r\n")
-        elif how == "full":
+        elif behaviour == "full":
             request.answer(503)
-        elif how == "never":
+        elif behaviour == "never":
             request.answer(503, extra="x-never-ran: 1\r\n")
-        elif how == "leaves look" and not request.path.endswith("look"):
+        elif behaviour == "leaves look" and not request.path.endswith("look"):
             request.answer(200, b"served")
-        elif how == "errs":
+        elif behaviour == "errs":
             request.answer(500)
-        elif how == "closes":
+        elif behaviour == "closes":
             request.connection.stream.abort("closed")
-        elif how == "partial":
+        elif behaviour == "partial":
             request.connection.stream.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
             request.connection.stream.finish()
 
-    def ask(self, operation: str = "look", body: bytes = b"", headers: str = "", within: float = 8.0) -> list:
+    def send(self, operation: str = "look", body: bytes = b"", headers: str = "", within: float = 8.0) -> list:
         answers: list = []
         self.client.call("POST", f"/do/{operation}", body, answers.append, within, headers)
         return answers
 
     def get(self, *args, **more):
-        answers = self.ask(*args, **more)
+        answers = self.send(*args, **more)
         until(self.loop, lambda: answers)
         return answers[0]
 
@@ -352,22 +356,22 @@
 
 
 @pytest.fixture
-def field():
-    field = Field()
-    yield field
-    field.close()
+def rig():
+    rig = ProxyRig()
+    yield rig
+    rig.close()
 
 
-def test_an_invocation_goes_through_with_its_headers_and_without_those_of_the_connection(field):
-    answer = field.get("look", b"hello", "x-mine: 7\r\nconnection: keep-alive, x-drop\r\nx-drop: 1\r\nte: trailers\r\n")
+def test_an_invocation_goes_through_with_its_headers_and_without_those_of_the_connection(rig):
+    answer = rig.get("look", b"hello", "x-mine: 7\r\nconnection: keep-alive, x-drop\r\nx-drop: 1\r\nte: trailers\r\n")
     assert answer.status == 200 and answer.body.endswith(b"hello") and answer.headers[b"x-own"] == b"1"
-    headers = field.asked[0][1].headers
+    headers = rig.requests[0][1].headers
     assert headers[b"x-mine"] == b"7" and not {b"x-drop", b"te"} & set(headers)
     assert 0 < float(headers[b"x-timeout"]) <= 1.0
 
 
 @pytest.mark.parametrize(
-    ("operation", "how", "tries", "full", "sends"),
+    ("operation", "behaviour", "tries", "full", "sends"),
     [
         ("look", "never", 1, False, 2),
         ("mark", "never", 1, False, 2),
@@ -390,101 +394,101 @@
         ("look", "errs", 3, False, 3),
     ],
 )
-def test_another_try_is_made_only_as_mode_and_proof_allow(operation, how, tries, full, sends):
-    field = Field(servers=3, tries=tries, full=full)
-    field.how = [how] * 3
-    answer = field.get(operation)
-    assert len(field.asked) == sends and len({place for place, _ in field.asked}) == sends
-    never = how == "never" and not full
-    assert answer.status == (503 if never else 504 if how == "silent" else 502)
+def test_another_try_is_made_only_as_mode_and_proof_allow(operation, behaviour, tries, full, sends):
+    rig = ProxyRig(servers=3, tries=tries, full=full)
+    rig.behaviours = [behaviour] * 3
+    answer = rig.get(operation)
+    assert len(rig.requests) == sends and len({place for place, _ in rig.requests}) == sends
+    never = behaviour == "never" and not full
+    assert answer.status == (503 if never else 504 if behaviour == "silent" else 502)
     assert (answer.headers.get(b"x-never-ran") == b"1") is never
     if operation == "mark" and sends == 2:
-        marks = [request.headers[b"idempotency-key"] for _, request in field.asked]
+        marks = [request.headers[b"idempotency-key"] for _, request in rig.requests]
         assert marks[0] == marks[1]
-    field.close()
+    rig.close()
 
 
-def test_a_server_that_leaves_one_operation_unanswered_serves_the_rest(field):
-    field.how = ["leaves look", "leaves look"]
-    waiting = field.ask("look")
-    assert [field.get("post").status for _ in range(20)] == [200] * 20
-    until(field.loop, lambda: waiting)
+def test_a_server_that_leaves_one_operation_unanswered_serves_the_rest(rig):
+    rig.behaviours = ["leaves look", "leaves look"]
+    waiting = rig.send("look")
+    assert [rig.get("post").status for _ in range(20)] == [200] * 20
+    until(rig.loop, lambda: waiting)
     assert waiting[0].status == 504
 
 
-def test_a_server_that_is_not_there_is_proof_and_the_next_one_gets_it(field):
-    field.servers[0].close()
-    answers = [field.get("post") for _ in range(12)]
+def test_a_server_that_is_not_there_is_proof_and_the_next_one_gets_it(rig):
+    rig.servers[0].close()
+    answers = [rig.get("post") for _ in range(12)]
     assert all(answer.status == 200 and answer.body == b"from 1 " for answer in answers)
-    assert field.forwarder.sums.met[field.names[0]][1] >= 1
+    assert rig.forwarder.sums.by_server[rig.names[0]][1] >= 1
 
 
 def test_a_connection_closed_while_idle_is_no_proof_for_what_is_side_effecting():
-    # The classic race: the server ends a kept connection just when a request is written on it.
-    field = Field(servers=2, tries=1)
+    # The race: the server closes a keep-alive connection just when a request is written on it.
+    rig = ProxyRig(servers=2, tries=1)
     for _ in range(12):
-        assert field.get("post").status == 200
-    assert all(len(server.connections) == 1 for server in field.servers)  # both are kept
-    field.how = ["closes", "closes"]
-    field.asked.clear()
-    answer = field.get("post")
-    assert answer.status == 502 and b"x-never-ran" not in answer.headers and len(field.asked) == 1
-    field.close()
+        assert rig.get("post").status == 200
+    assert all(len(server.connections) == 1 for server in rig.servers)  # both are idle and kept open
+    rig.behaviours = ["closes", "closes"]
+    rig.requests.clear()
+    answer = rig.get("post")
+    assert answer.status == 502 and b"x-never-ran" not in answer.headers and len(rig.requests) == 1
+    rig.close()
 
 
-def test_the_integration_timeout_holds_across_all_tries_and_the_answer_is_due_before(field):
-    field.how = ["silent", "silent"]
+def test_the_integration_timeout_holds_across_all_tries_and_the_answer_is_due_before(rig):
+    rig.behaviours = ["silent", "silent"]
     began = time.monotonic()
-    answer = field.get("look", headers="x-timeout: 0.4\r\n")
+    answer = rig.get("look", headers="x-timeout: 0.4\r\n")
     assert answer.status == 504 and 0.3 < time.monotonic() - began < 3.0
-    assert all(float(request.headers[b"x-timeout"]) <= 0.4 for _, request in field.asked)
-    assert field.get("look", headers="x-timeout: soon\r\n").status == 400
+    assert all(float(request.headers[b"x-timeout"]) <= 0.4 for _, request in rig.requests)
+    assert rig.get("look", headers="x-timeout: soon\r\n").status == 400
 
 
-def test_nothing_to_pick_is_refused_at_once_with_a_time_to_come_back(field):
-    field.tables.run = "r"
-    field.tables.take(changes(0, 1, Use(0, 0), Line(0, A, 1.0), Out(A), whole=True), 0.0)
-    answer = field.get("look")
+def test_nothing_to_pick_is_refused_at_once_with_a_time_to_come_back(rig):
+    rig.tables.run = "r"
+    rig.tables.take(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Out(A), whole=True), 0.0)
+    answer = rig.get("look")
     assert (answer.status, answer.headers[b"x-reason"], answer.headers[b"retry-after"]) == (503, b"bare", b"1")
-    assert field.get("unknown").status == 404
-    field.tables.gates[2].set(0.0, 0.0)
-    assert field.get("post").headers[b"x-reason"] == b"level"
-
-
-def test_a_drain_lets_what_is_out_end_and_begins_nothing_more(field):
-    field.how = ["hold", "hold"]
-    answers = [field.ask("look") for _ in range(6)]
-    until(field.loop, lambda: len(field.asked) == 6)
-    gone = field.asked[0][0]
-    field.tables.run = "r"
-    field.tables.take(changes(0, 1, Use(0, 0), Line(0, field.names[1 - gone], 1.0), whole=True), 0.0)
-    field.forwarder.follow()
-    for _, request in list(field.asked):
+    assert rig.get("unknown").status == 404
+    rig.tables.gates[2].set(0.0, 0.0)
+    assert rig.get("post").headers[b"x-reason"] == b"level"
+
+
+def test_a_drain_lets_what_is_out_end_and_begins_nothing_more(rig):
+    rig.behaviours = ["hold", "hold"]
+    answers = [rig.send("look") for _ in range(6)]
+    until(rig.loop, lambda: len(rig.requests) == 6)
+    gone = rig.requests[0][0]
+    rig.tables.run = "r"
+    rig.tables.take(make_changes(0, 1, Use(0, 0), Line(0, rig.names[1 - gone], 1.0), whole=True), 0.0)
+    rig.forwarder.close_removed_servers()
+    for _, request in list(rig.requests):
         request.answer(200)
-    until(field.loop, lambda: all(answers))
+    until(rig.loop, lambda: all(answers))
     assert all(answer[0].status == 200 for answer in answers)
-    until(field.loop, lambda: not field.servers[gone].connections)
-    field.how = ["well", "well"]
-    assert {field.get("look").body for _ in range(10)} == {b"from %d " % (1 - gone)}
+    until(rig.loop, lambda: not rig.servers[gone].connections)
+    rig.behaviours = ["well", "well"]
+    assert {rig.get("look").body for _ in range(10)} == {b"from %d " % (1 - gone)}
 
 
 def test_connections_to_one_server_are_capped_and_the_rest_refused():
-    field = Field(servers=1, limits=Limits(connections=3, connecting=2))
-    field.how = ["hold"]
-    answers = [field.ask("look") for _ in range(10)]
-    until(field.loop, lambda: sum(map(bool, answers)) >= 7)
-    assert len(field.servers[0].connections) <= 3
+    rig = ProxyRig(servers=1, limits=Limits(connections=3, connecting=2))
+    rig.behaviours = ["hold"]
+    answers = [rig.send("look") for _ in range(10)]
+    until(rig.loop, lambda: sum(map(bool, answers)) >= 7)
+    assert len(rig.servers[0].connections) <= 3
     assert all(answer[0].status == 503 and answer[0].headers[b"x-never-ran"] == b"1" for answer in answers if answer)
-    field.close()
+    rig.close()
 
 
-def test_a_client_that_goes_takes_its_try_with_it(field):
-    field.how = ["hold", "hold"]
-    field.ask("look", within=0.1)
-    until(field.loop, lambda: field.asked)
-    until(field.loop, lambda: not field.forwarder.under_way)
-    until(field.loop, lambda: not field.asked[0][1].connection.server.connections)
-    assert not field.forwarder.out
+def test_a_client_that_goes_takes_its_try_with_it(rig):
+    rig.behaviours = ["hold", "hold"]
+    rig.send("look", within=0.1)
+    until(rig.loop, lambda: rig.requests)
+    until(rig.loop, lambda: not rig.forwarder.under_way)
+    until(rig.loop, lambda: not rig.requests[0][1].connection.server.connections)
+    assert not rig.forwarder.in_flight
 
 
 @pytest.mark.parametrize(
@@ -499,51 +503,51 @@
         b"POST /do/look HTTP/1.1\r\ncontent-length : 5\r\n\r\nhello",
     ],
 )
-def test_requests_that_may_be_read_in_two_ways_are_refused_and_the_connection_ends(field, sent):
-    raw = Raw(field.loop, field.forwarder.address)
+def test_requests_that_may_be_read_in_two_ways_are_refused_and_the_connection_ends(rig, sent):
+    raw = Raw(rig.loop, rig.forwarder.address)
     raw.sock.sendall(sent)
-    until(field.loop, lambda: raw.read() and raw.ended)
-    assert raw.got.startswith(b"HTTP/1.1 400") and not field.asked
+    until(rig.loop, lambda: raw.read() and raw.ended)
+    assert raw.got.startswith(b"HTTP/1.1 400") and not rig.requests
 
 
-def test_one_byte_at_a_time_and_a_body_cut_short(field):
-    raw = Raw(field.loop, field.forwarder.address)
+def test_one_byte_at_a_time_and_a_body_cut_short(rig):
+    raw = Raw(rig.loop, rig.forwarder.address)
     raw.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for byte in b"POST /do/look HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc":
         raw.sock.send(bytes([byte]))
-        field.loop.turn(time.monotonic() + 0.001)
-    until(field.loop, lambda: b"abc" in raw.read())
-    cut = Raw(field.loop, field.forwarder.address)
+        rig.loop.turn(time.monotonic() + 0.001)
+    until(rig.loop, lambda: b"abc" in raw.read())
+    cut = Raw(rig.loop, rig.forwarder.address)
     cut.sock.sendall(b"POST /do/look HTTP/1.1\r\ncontent-length: 30\r\n\r\nabc")
     cut.sock.close()
-    field.loop.turn(time.monotonic() + 0.05)
-    assert len(field.asked) == 1 and field.get("look").status == 200
+    rig.loop.turn(time.monotonic() + 0.05)
+    assert len(rig.requests) == 1 and rig.get("look").status == 200
 
 
-def test_a_server_that_answers_one_byte_at_a_time(field):
-    loop, slow = field.loop, []
+def test_a_server_that_answers_one_byte_at_a_time(rig):
+    loop, slow = rig.loop, []
 
-    def drip(stream) -> None:
+    def answer_slowly(stream) -> None:
         data = bytearray(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nslow")
 
-        def one() -> None:
+        def send_next_byte() -> None:
             if data:
                 stream.write(bytes([data.pop(0)]))
-                loop.after(0.001, one)
+                loop.after(0.001, send_next_byte)
 
-        stream.on_data = lambda _: one()
+        stream.on_data = lambda _: send_next_byte()
         slow.append(stream)
 
-    listener = Listener(loop, ("127.0.0.1", 0), drip)
-    field.tables.run = "r"
+    listener = Listener(loop, ("127.0.0.1", 0), answer_slowly)
+    rig.tables.run = "r"
     line = Line(0, f"127.0.0.1:{listener.address[1]}", 1.0)
-    field.tables.take(changes(0, 1, Use(0, 0), line, whole=True), 0.0)
-    assert field.get("look").body == b"slow"
+    rig.tables.take(make_changes(0, 1, Use(0, 0), line, whole=True), 0.0)
+    assert rig.get("look").body == b"slow"
     listener.close()
 
 
-def test_out_of_descriptors_accepts_again_when_there_are_some(field, monkeypatch):
-    listener, real = field.forwarder.http.listener, field.forwarder.http.listener.sock
+def test_out_of_descriptors_accepts_again_when_there_are_some(rig, monkeypatch):
+    listener, real = rig.forwarder.http.listener, rig.forwarder.http.listener.sock
     calls = []
 
     class Empty:
@@ -558,38 +562,38 @@
 
     listener.sock = Empty()
     monkeypatch.setattr(
-        field.loop,
+        rig.loop,
         "watch",
-        lambda sock, *rest, watch=field.loop.watch: watch(real if isinstance(sock, Empty) else sock, *rest),
+        lambda sock, *rest, watch=rig.loop.watch: watch(real if isinstance(sock, Empty) else sock, *rest),
     )
-    assert field.get("look").status == 200
-    assert len(calls) >= 3 and calls[2] - calls[0] > 0.15  # it does not spin
+    assert rig.get("look").status == 200
+    assert len(calls) >= 3 and calls[2] - calls[0] > 0.15  # it waits between attempts
 
 
 def test_many_clients_at_once_are_served_or_refused_plainly():
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 20000), hard))
-    field = Field(servers=2, limits=Limits(invocations=200, connections=64), bounds=Bounds(connections=600))
+    rig = ProxyRig(servers=2, limits=Limits(invocations=200, connections=64), bounds=Bounds(connections=600))
     answers: list = []
     for _ in range(5000):
-        HttpClient(field.loop, field.forwarder.address).call("POST", "/do/look", b"", answers.append, 20.0)
-    until(field.loop, lambda: len(answers) == 5000, 60.0)
+        HttpClient(rig.loop, rig.forwarder.address).call("POST", "/do/look", b"", answers.append, 20.0)
+    until(rig.loop, lambda: len(answers) == 5000, 60.0)
     kinds = Counter(answer.status for answer in answers)
     assert kinds[200] > 100 and kinds[200] + kinds[503] == 5000
-    field.close()
+    rig.close()
 
 
-def test_stopping_answers_what_is_out_and_takes_nothing_new(field):
-    field.how = ["hold", "hold"]
-    answers, done = field.ask("look"), []
-    until(field.loop, lambda: field.asked)
-    field.forwarder.stop(lambda: done.append(1), 5.0)
+def test_stopping_answers_what_is_out_and_takes_nothing_new(rig):
+    rig.behaviours = ["hold", "hold"]
+    answers, done = rig.send("look"), []
+    until(rig.loop, lambda: rig.requests)
+    rig.forwarder.stop(lambda: done.append(1), 5.0)
     late = []
-    HttpClient(field.loop, field.forwarder.address).call("POST", "/do/look", b"", late.append, 2.0)
-    until(field.loop, lambda: late)
+    HttpClient(rig.loop, rig.forwarder.address).call("POST", "/do/look", b"", late.append, 2.0)
+    until(rig.loop, lambda: late)
     assert late[0].error == "refused" and not done
-    field.asked[0][1].answer(200)
-    until(field.loop, lambda: answers and done)
+    rig.requests[0][1].answer(200)
+    until(rig.loop, lambda: answers and done)
     assert answers[0].status == 200
 
 
@@ -640,7 +644,7 @@
 
 
 @pytest.mark.parametrize(
-    ("flags", "said"),
+    ("flags", "expected"),
     [
         (["--zone", "moon"], "one of east, west"),
         (["--supervisor", "nowhere"], "--supervisor"),
@@ -648,7 +652,7 @@
         (["--listen", "127.0.0.1"], "--listen"),
     ],
 )
-def test_a_bad_flag_of_the_proxy_is_named_with_its_remedy(flags, said):
+def test_a_bad_flag_of_the_proxy_is_named_with_its_remedy(flags, expected):
     given = {
         "--number": "1",
         "--zone": "east",
@@ -656,29 +660,29 @@
         "--operation": "look:objective=1,timeout=20,value=1",
     } | dict([flags])
     result = CliRunner().invoke(main, ["proxy", *(part for pair in given.items() for part in pair)])
-    assert result.exit_code == 2 and said in " ".join(result.output.split())
+    assert result.exit_code == 2 and expected in " ".join(result.output.split())
 
 
 # ---- following ------------------------------------------------------------------------------------------------------
 
 
-class Followed(ServiceRig):
-    """A supervisor's service, and a follower of it."""
+class FollowerRig(ServiceRig):
+    """A supervisor's service and a follower of it."""
 
     def follow(self, *before: tuple[str, int]) -> Follower:
-        self.held = Tables(3, "weighted", "share", 0, [], Random(1))
-        self.told: list = []
+        self.tables = Tables(3, "weighted", "share", 0, [], Random(1))
+        self.log_events: list = []
         follower = Follower(
             self.loop,
             3,
             "east",
             5.0,
             [*before, self.service.address],
-            self.held,
+            self.tables,
             Sums([operation.name for operation in self.instance.facts.operations]),
             Random(1),
-            lambda event, **fields: self.told.append((event, fields)),
-            period=0.1,
+            lambda event, **fields: self.log_events.append((event, fields)),
+            report_period=0.1,
         )
         self.follower = follower
         return follower
@@ -686,7 +690,7 @@
 
 @pytest.fixture
 def followed():
-    rig = Followed(silence=0.5)
+    rig = FollowerRig(silence=0.5)
     yield rig
     rig.follower.stopped = True
     rig.close()
@@ -695,29 +699,29 @@
 def test_a_follower_joins_is_put_on_a_table_and_acknowledges(followed):
     followed.push_roster(1, True, 1, 2, 3)
     followed.follow()
-    until(followed.loop, lambda: len(followed.held.servers()) == 3)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
     followed.push_roster(2, False, 2, state="draining")
-    until(followed.loop, lambda: len(followed.held.servers()) == 2)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 2)
     until(followed.loop, lambda: not followed.instance.hub.records[3].marks)
 
 
 def test_a_follower_keeps_its_tables_while_every_supervisor_is_away_and_counts_what_it_drops(followed):
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.held.servers()) == 3)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
     followed.service.http.close()
     until(followed.loop, lambda: not follower.stream)
-    for _ in range(KEPT_REPORTS):
-        follower.sums.tried("10.0.0.1:80", 0.1, None)
-    until(followed.loop, lambda: follower.sums.dropped)
-    assert len(followed.held.servers()) == 3 and any(event == "reports_dropped" for event, _ in followed.told)
+    for _ in range(MAX_UNSENT_PERIODS):
+        follower.sums.add_try("10.0.0.1:80", 0.1, None)
+    until(followed.loop, lambda: follower.sums.dropped_tries)
+    assert len(followed.tables.servers()) == 3 and any(event == "reports_dropped" for event, _ in followed.log_events)
 
 
 def test_a_follower_takes_no_tables_of_other_operations(followed):
     followed.push_roster(1, True, 1, 2, 3)
     followed.follow().sums.operations = ["look"]
-    until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.told))
-    assert "--operation" in dict(followed.told)["turned_down"]["why"] and not followed.held.held
+    until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.log_events))
+    assert "--operation" in dict(followed.log_events)["turned_down"]["why"] and not followed.tables.held
 
 
 def test_a_follower_goes_to_another_supervisor_when_the_first_does_not_answer(followed):
@@ -727,29 +731,29 @@
         free.bind(("127.0.0.1", 0))
         closed = free.getsockname()
     followed.follow(closed, silent.address)
-    until(followed.loop, lambda: len(followed.held.servers()) == 2, 20.0)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 2, 20.0)
     silent.close()
 
 
 def test_a_follower_turns_down_what_cannot_be_and_asks_for_the_whole(followed):
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.held.servers()) == 3)
-    whole = dict(followed.held.held)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
+    whole = dict(followed.tables.held)
     answer = type("Answer", (), {"status": 200, "error": ""})()
     answer.body = msgspec.json.encode(Changes("run", 77, 78, False, [Line(0, A, 1.0)]))
-    follower.control.close()
-    follower._told(answer)
-    assert followed.held.held == whole and follower.turned_down == 1
-    until(followed.loop, lambda: follower.stream and followed.held.version)
-    assert followed.held.held == whole
+    follower.control_client.close()
+    follower._handle_poll_answer(answer)
+    assert followed.tables.held == whole and follower.rejected_changes == 1
+    until(followed.loop, lambda: follower.stream and followed.tables.version)
+    assert followed.tables.held == whole
 
 
 def test_a_follower_that_began_anew_joins_above_the_terms_that_it_had(followed):
     followed.push_roster(1, True, 1, 2)
     followed.service.highest_terms[3] = 41
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.held.servers()) == 2)
+    until(followed.loop, lambda: len(followed.tables.servers()) == 2)
     assert follower.term == 42 and followed.service.highest_terms[3] == 42
 
 
@@ -759,13 +763,13 @@
     name = "{}:{}".format(*silent.address)
     followed.service.living = lambda: [name, "no address", "{}:{}".format(*followed.service.address)]
     follower, hung = followed.follow(), []
-    follower.poll, follower.grace = 0.3, 0.1
-    answer = followed.service._handle_poll
+    follower.poll_wait, follower.poll_grace = 0.3, 0.1
+    handle_poll = followed.service._handle_poll
     followed.service._handle_poll = lambda request, proxy: hung.append(request)
     until(followed.loop, lambda: hung)
-    assert follower.addresses == [followed.service.address, silent.address] and follower.at == 0
-    followed.service._handle_poll = answer
-    until(followed.loop, lambda: follower.at == 1)  # given up at once for the next, which does not answer a join either
+    assert follower.addresses == [followed.service.address, silent.address] and follower.current == 0
+    followed.service._handle_poll = handle_poll
+    until(followed.loop, lambda: follower.current == 1)  # the next one, which does not answer a join either
     until(followed.loop, lambda: follower.stream, 20.0)
-    assert follower.addresses[follower.at] == followed.service.address
+    assert follower.addresses[follower.current] == followed.service.address
     silent.close()
