--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -49,7 +49,7 @@
         self._clear()
 
     def _clear(self) -> None:
-        self.by_server: dict[str, list] = {}  # tries, errored, total seconds of the others, load
+        self.by_server: dict[str, list] = {}  # tries, errored, total seconds of the successful tries, load
         self.by_operation = [[0, 0] for _ in self.operations]  # arrived, errored
 
     def add_try(self, server: str, duration: float | None, load: list[float] | None) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -110,7 +110,7 @@
     assert weights.draw_excluding(random, list(lines)) is None and Weights().draw(random) is None
 
 
-def test_two_takes_the_one_with_less_out():
+def test_two_picks_the_server_with_fewer_under_way():
     weights = Weights()
     for name in "ab":
         weights.set(name, 1.0)
@@ -220,7 +220,7 @@
 # ---- limits and tables ----------------------------------------------------------------------------------------------
 
 
-def test_a_gate_lets_in_its_share_and_its_rate():
+def test_a_gate_admits_its_share_and_its_rate():
     share = Gate("share", Random(1))
     share.set(0.3, 0.0)
     assert abs(sum(share.admit(0.0) for _ in range(20000)) / 20000 - 0.3) < 0.015
@@ -245,7 +245,7 @@
 A, B, C = "127.0.0.1:81", "127.0.0.1:82", "127.0.0.1:83"
 
 
-def test_tables_follow_line_by_line_and_heed_what_is_out():
+def test_tables_are_updated_line_by_line_and_exclude_withdrawn_servers():
     tables = make_tables(standing=[C])
     assert tables.pick(0, [], {}) == C and tables.try_mode(0) == 0
     tables.take(
@@ -276,7 +276,7 @@
         make_changes(1, 5, Use(0, 3), whole=True),
     ],
 )
-def test_what_cannot_be_is_turned_down_and_the_last_good_tables_are_kept(bad):
+def test_invalid_changes_are_rejected_and_the_last_valid_tables_are_kept(bad):
     tables = make_tables()
     tables.take(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
     before = dict(tables.held)
@@ -455,7 +455,7 @@
     assert rig.get("post").headers[b"x-reason"] == b"level"
 
 
-def test_a_drain_lets_what_is_out_end_and_begins_nothing_more(rig):
+def test_a_drain_completes_what_is_under_way_and_starts_nothing_more(rig):
     rig.behaviours = ["hold", "hold"]
     answers = [rig.send("look") for _ in range(6)]
     until(rig.loop, lambda: len(rig.requests) == 6)
@@ -482,7 +482,7 @@
     rig.close()
 
 
-def test_a_client_that_goes_takes_its_try_with_it(rig):
+def test_a_client_that_disconnects_cancels_its_try(rig):
     rig.behaviours = ["hold", "hold"]
     rig.send("look", within=0.1)
     until(rig.loop, lambda: rig.requests)
@@ -583,7 +583,7 @@
     rig.close()
 
 
-def test_stopping_answers_what_is_out_and_takes_nothing_new(rig):
+def test_stopping_answers_what_is_under_way_and_accepts_nothing_new(rig):
     rig.behaviours = ["hold", "hold"]
     answers, done = rig.send("look"), []
     until(rig.loop, lambda: rig.requests)
@@ -597,7 +597,7 @@
     assert answers[0].status == 200
 
 
-def test_the_process_answers_what_is_out_before_it_ends_on_sigterm():
+def test_the_process_answers_what_is_under_way_before_it_ends_on_sigterm():
     loop, held, answers = Loop(), [], []
     server = HttpServer(loop, ("127.0.0.1", 0), held.append)
     process = subprocess.Popen(
@@ -735,7 +735,7 @@
     silent.close()
 
 
-def test_a_follower_turns_down_what_cannot_be_and_asks_for_the_whole(followed):
+def test_a_follower_rejects_invalid_changes_and_requests_a_full_snapshot(followed):
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
     until(followed.loop, lambda: len(followed.tables.servers()) == 3)
@@ -749,7 +749,7 @@
     assert followed.tables.held == whole
 
 
-def test_a_follower_that_began_anew_joins_above_the_terms_that_it_had(followed):
+def test_a_restarted_follower_joins_above_the_terms_that_it_had(followed):
     followed.push_roster(1, True, 1, 2)
     followed.service.highest_terms[3] = 41
     follower = followed.follow()
