--- a/driftshed/lab/__init__.py
+++ b/driftshed/lab/__init__.py
@@ -1,3 +1,4 @@
-"""The laboratory: emulated servers with composable troubles, an open-loop load tool, and whole deployments run for real
-or in virtual time; experiments, reports and a search for bad days on top. It may use every package but the command
-line, and nothing of the product imports it. What differs between the two clocks is the loop and the transport alone."""
+"""The laboratory: emulated servers with composable faults, an open-loop load generator, and whole deployments run as
+real processes or in virtual time, with experiments, reports and an adversarial search on top. It may import every
+package but the command line, and nothing of the product imports it. The two clocks differ only in the loop and the
+transport."""
--- a/driftshed/lab/command.py
+++ b/driftshed/lab/command.py
@@ -300,8 +300,8 @@
 def load(scenario: str, proxies: tuple[str, ...], seed: int) -> None:
     """Sends the traffic of SCENARIO to proxies that run already, open loop, and prints latencies by operation. Exit
     code: 0, 1 when the tool could not keep up and its figures do not count, 2 on bad input."""
-    from driftshed.lab.load import Load
-    from driftshed.lab.load import draw as draw_arrivals
+    from driftshed.lab.load import LoadGenerator
+    from driftshed.lab.load import generate_arrivals as draw_arrivals
     from driftshed.lab.scenario import Surge
     from driftshed.net.http import SOCKETS
     from driftshed.net.loop import Loop
@@ -314,23 +314,23 @@
     hosts, loop, operations = addresses(proxies, "proxy"), Loop(), day.facts.operations
     surges = [trouble for trouble in day.troubles if isinstance(trouble, Surge)]
     arrivals = draw_arrivals(day.traffic, operations, [1.0] * len(hosts), surges, day.seconds, seed)
-    tool = Load(loop, SOCKETS, hosts, operations, arrivals, seed, day.traffic.repeats)
+    generator = LoadGenerator(loop, SOCKETS, hosts, operations, arrivals, seed, day.traffic.repeats)
     began = loop.clock()
-    tool.begin(began)
+    generator.begin(began)
     loop.run(began + day.seconds)
     longest = max(operation.integration_timeout for operation in operations)
-    while tool.under_way and loop.clock() < began + day.seconds + longest:
+    while generator.under_way and loop.clock() < began + day.seconds + longest:
         loop.run(loop.clock() + 0.05)
-    tool.stop()
+    generator.stop()
     loop.close()
     click.echo(
-        f"{tool.sent} sent, {tool.under_way} not answered; behind: p99 {tool.lag.p99 * 1000:.1f} ms, "
-        f"most {tool.lag.most * 1000:.1f} ms"
+        f"{generator.sent} sent, {generator.under_way} not answered; behind: p99 {generator.lag.p99 * 1000:.1f} ms, "
+        f"most {generator.lag.max * 1000:.1f} ms"
     )
     for k, operation in enumerate(operations):
-        at = [tool.histograms[k].get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)]
+        at = [generator.histograms[k].get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)]
         shown = " ".join(f"p{p} {value:.3f} s" for p, value in zip((50, 90, 99, 99.9), at, strict=True))
-        click.echo(f"  {operation.name:12} {tool.good[k]} of {tool.asked[k]} good; {shown}")
-    if not tool.lag.kept_up:
+        click.echo(f"  {operation.name:12} {generator.good_answers[k]} of {generator.requested[k]} good; {shown}")
+    if not generator.lag.kept_up:
         click.echo("the tool could not keep up: these figures do not count", err=True)
         sys.exit(1)
--- a/driftshed/lab/grounds.py
+++ b/driftshed/lab/grounds.py
@@ -1,4 +1,4 @@
-"""The two grounds that a world stands on: processes on loopback sockets, or one process in virtual time."""
+"""The two environments of a simulated deployment: processes on loopback sockets, or one process in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from driftshed.evacuation.part import Evacuation
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
-from driftshed.lab.record import Record
+from driftshed.lab.record import TrafficRecord
 from driftshed.lab.scenario import BadScenario, Link, Scenario, control_zone
 from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
 from driftshed.net.http import SOCKETS, Transport
@@ -34,30 +34,33 @@
 from driftshed.roster.serve import StoreServer
 from driftshed.supervisor.service import Service
 
-SILENCE = 2.0  # seconds, as `supervise --silence`
+SILENCE_TIMEOUT_S = 2.0  # the default of `supervise --silence`
 SUPERVISOR_PORT = 7100
 
 
 class VirtualGround:
-    """Supervisor, proxies and all else in one process. `brain` makes the deciding part: the module, or a baseline."""
+    """Supervisors, proxies and everything else in one process, in virtual time."""
 
     def __init__(self, scenario: Scenario, seed: int, brain: Callable | None = None, pick: object = None) -> None:
+        """`brain` makes the decisions module (None: that of the product), `pick` replaces the proxies' choice
+        of a server. With `fleet.store` the store's files are in a temporary folder, which the caller removes."""
         self.scenario, self.facts = scenario, scenario.facts
         self.brain, self.pick = brain, pick
         self.cast = Cast(self.facts, 7)
         self.whole = VirtualLoop()
         self.loop = Seat(self.whole, "lab")
-        self.network = Network(self.whole, seed, self._way)
-        self.links: list[Link] = []
+        self.network = Network(self.whole, seed, self._make_route)
+        self.link_faults: list[Link] = []
         self.roster_host, self.view_host = "127.7.0.3", "127.7.0.5"
-        count = scenario.fleet.supervisors
-        self.control_hosts = [f"127.7.0.{9 + k}" for k in range(count)]
+        supervisor_count = scenario.fleet.supervisors
+        self.control_hosts = [f"127.7.0.{9 + k}" for k in range(supervisor_count)]
         self.network.zones |= {self.roster_host: "roster", "127.7.0.4": "clients", self.view_host: "control"}
         self.network.zones |= {host: control_zone(k) for k, host in enumerate(self.control_hosts)}
-        # With several supervisors, what a proxy was told is what came to it: one that it has left may answer too.
-        self.record = Record(self._kind, (ASK,) if count == 1 else (ASK, CONTROL))
-        self.network.witness = self.record.witness
-        self.runs = 0
+        # With several supervisors, control streams are observed at the client: a supervisor that a proxy has left may
+        # still answer, and only what arrives at the proxy counts.
+        self.record = TrafficRecord(self._stream_kind, (ASK,) if supervisor_count == 1 else (ASK, CONTROL))
+        self.network.observer = self.record.observer
+        self.run_count = 0
         self.store_address = (self.roster_host, 2181)
         self.folder = Path(tempfile.mkdtemp(prefix="driftshed-lab-")) if scenario.fleet.store else None
         if scenario.fleet.store:
@@ -65,92 +68,101 @@
         self.decided: list[tuple[float, str]] = []
         self.faults: list[str] = []
         self.proxies: list[Proxy] = []
-        self.supervisors: list[Seat | None] = [None] * count
-        self.services: list[Service | None] = [None] * count
-        self.agents: list[Agent | None] = [None] * count
-        self.leaving: list[Evacuation | None] = [None] * count
-        self.stages: list[tuple[float, str, dict]] = []  # of zones that are left: what each supervisor logged
+        self.supervisors: list[Seat | None] = [None] * supervisor_count
+        self.services: list[Service | None] = [None] * supervisor_count
+        self.agents: list[Agent | None] = [None] * supervisor_count
+        self.evacuations: list[Evacuation | None] = [None] * supervisor_count
+        self.stages: list[tuple[float, str, dict]] = []  # of evacuations: what each supervisor logged
 
     @property
     def service(self) -> Service:
-        """Of the first supervisor."""
+        """The service of the first supervisor."""
         return self.services[0]
 
-    def _kind(self, host: str, address: tuple[str, int]) -> str | None:
+    def _stream_kind(self, host: str, address: tuple[str, int]) -> str | None:
+        """The kind of a stream for the judge; None: not recorded."""
         if host == self.view_host:
             return None
         if address[1] == SUPERVISOR_PORT:
             return ROSTER if host == self.roster_host else CONTROL
         return ASK if address[1] == 9000 else WORK
 
-    # ---- the network ------------------------------------------------------------------------------------------
+    # ---- network ----------------------------------------------------------------------------------------------
 
-    def _way(self, here: str, there: str) -> Way:
-        way = Way(0.0, 0.0)
-        self._weigh(way, here, there)
-        return way
+    def _make_route(self, here: str, there: str) -> Way:
+        route = Way(0.0, 0.0)
+        self._set_route(route, here, there)
+        return route
 
-    def _weigh(self, way: Way, here: str, there: str) -> None:
+    def _set_route(self, route: Way, here: str, there: str) -> None:
+        """Sets delay, jitter, loss and cut of a route from the scenario and the link faults in force."""
         base = self.scenario.network
         inside = here == there or "clients" in (here, there)
         control = "roster" in (here, there) or here.startswith("control") or there.startswith("control")
-        way.delay = base.near if inside else base.control if control else base.far
-        way.jitter = way.delay * base.jitter
-        way.loss, way.cut = 0.0, False
-        for link in self.links:
-            ways = [(link.here, link.there)] + [(link.there, link.here)] * link.both
-            if not inside and any(a in ("", here) and b in ("", there) for a, b in ways):
-                way.delay += link.delay
-                way.loss = 1 - (1 - way.loss) * (1 - link.loss)
-                way.cut |= link.cut
-
-    def link(self, link: Link, on: bool) -> None:
+        route.delay = base.near if inside else base.control if control else base.far
+        route.jitter = route.delay * base.jitter
+        route.loss, route.cut = 0.0, False
+        for fault in self.link_faults:
+            directions = [(fault.here, fault.there)] + [(fault.there, fault.here)] * fault.both
+            if not inside and any(a in ("", here) and b in ("", there) for a, b in directions):
+                route.delay += fault.delay
+                route.loss = 1 - (1 - route.loss) * (1 - fault.loss)
+                route.cut |= fault.cut
+
+    def set_link_fault(self, fault: Link, on: bool) -> None:
+        """Starts (`on`) or ends a link fault, and updates all routes."""
         if on:
-            self.links.append(link)
+            self.link_faults.append(fault)
         else:
-            self.links.remove(link)
-        for (here, there), way in self.network.ways.items():
-            self._weigh(way, here, there)
+            self.link_faults.remove(fault)
+        for (here, there), route in self.network.ways.items():
+            self._set_route(route, here, there)
 
     def transport(self, host: str) -> Transport:
+        """The HTTP transport of a process at `host`."""
         return self.network.transport(host)
 
     def supervisor_transport(self) -> tuple[Transport, tuple[str, int]]:
+        """Transport and address for reading a supervisor's views."""
         return self.transport(self.view_host), (self.control_hosts[0], SUPERVISOR_PORT)
 
     def roster_transport(self) -> tuple[Transport, tuple[str, int]]:
+        """Transport and address by which the roster reaches the supervisor."""
         return self.transport(self.roster_host), (self.control_hosts[0], SUPERVISOR_PORT)
 
-    def unix(self, clock: float) -> float:
+    def unix_time(self, clock: float) -> float:
+        """The unix time of a time of the loop's clock."""
         return clock
 
     def owner(self, asked: str) -> int:
-        """The supervisor that an address leads to."""
+        """The number of the supervisor that an address belongs to."""
         host = asked.rpartition(":")[0]
         return self.control_hosts.index(host) if host in self.control_hosts else 0
 
-    def tap_work(self, address: tuple[str, int]) -> None:
-        """The network keeps what passes."""
+    def work_tap(self, address: tuple[str, int]) -> None:
+        """Assigns the server's host to its zone; there is no tap, as the network records the traffic."""
         host = address[0]
         zone = self.facts.zones[self.cast.zone_of_server(self.cast.number_of_server(f"{host}:{address[1]}"))]
         self.network.zones[host] = zone
 
-    tap_ask = None
+    client_tap = None
 
-    # ---- the processes ----------------------------------------------------------------------------------------
+    # ---- processes --------------------------------------------------------------------------------------------
 
     def start_supervisor(self, seed: int, number: int = 0) -> None:
-        self.runs += 1
+        """Starts the supervisor of this number, with a store follower, fleet participation and evacuation as
+        configured."""
+        self.run_count += 1
         host, fleet = self.control_hosts[number], self.scenario.fleet
         seat = self.supervisors[number] = Seat(self.whole, f"supervisor{number or ''}")
-        more = {"brain": self.brain} if self.brain else {}
-        instance = Instance(self.facts, seed, f"run{self.runs}", self.whole.now, 0.0, **more)
+        options = {"brain": self.brain} if self.brain else {}
+        instance = Instance(self.facts, seed, f"run{self.run_count}", self.whole.now, 0.0, **options)
         service = self.services[number] = Service(
             seat,
             instance,
             (host, SUPERVISOR_PORT),
             self._log,
-            silence=SILENCE,
+            silence=SILENCE_TIMEOUT_S,
             transport=self.transport(host),
         )
 
@@ -166,7 +178,7 @@
                 self._log,
                 seed,
                 fleet.session_timeout,
-                self.network.dial(host, lambda: self._talk(STORE, host)),
+                self.network.dial(host, lambda: self._store_tap(STORE, host)),
             )
             service.followed, instance.on_answered = "the store", follower.answered
         if fleet.supervisors > 1:
@@ -181,32 +193,33 @@
                 fleet.fleet_timeout,
                 self._log,
                 seed=seed,
-                dial=self.network.dial(host, lambda: self._talk(STORED, host)),
+                dial=self.network.dial(host, lambda: self._store_tap(STORED, host)),
             )
         if fleet.leave_zones:
             log = lambda event, **fields: self._log(event, by=number, **fields)  # noqa: E731
             regions = read_regions(fleet.regions, self.facts.zones)
-            self.leaving[number] = Evacuation(
+            self.evacuations[number] = Evacuation(
                 seat, service, self.agents[number], read_limits(fleet.zone_limits), log, regions
             )
 
-    # A store of nodes, where the scenario has one.
-
     def start_store(self) -> None:
+        """Starts the store on the files in `folder`."""
         self.store_seat = Seat(self.whole, "store")
         self.store = StoreServer(self.store_seat, self.store_address, Log(self.folder), 1, self.network.listen)
 
     def kill_store(self) -> None:
+        """Ends the store as SIGKILL does."""
         self.network.end(self.store_seat)
 
-    def pause_store(self, lasts: float) -> None:
-        self.store_seat.hold_still(self.whole.now + lasts)
+    def pause_store(self, seconds: float) -> None:
+        """Pauses the store for `seconds`."""
+        self.store_seat.hold_still(self.whole.now + seconds)
 
-    def _talk(self, kind: str, host: str) -> Callable[[bool, bytes], object]:
-        """What passes between a supervisor and the store, kept for the judge; as if by an address of its own."""
-        talk = StoreTalk(Opened(0, kind, host, f"{host}:2181"))
-        self.record.kinds.setdefault(kind, []).append(talk)
-        return lambda outward, data: talk.feed(Passed(self.whole.now, 0, not outward, data))
+    def _store_tap(self, kind: str, host: str) -> Callable[[bool, bytes], object]:
+        """Records the traffic between a supervisor and the store for the judge, under an address of its own."""
+        connection = StoreTalk(Opened(0, kind, host, f"{host}:2181"))
+        self.record.kinds.setdefault(kind, []).append(connection)
+        return lambda outward, data: connection.feed(Passed(self.whole.now, 0, not outward, data))
 
     def _log(self, event: str, **fields: object) -> None:
         if event in ("zones", "stage"):
@@ -217,6 +230,7 @@
             self.faults.append(f"{self.whole.now:.3f} s: {event} {fields.get('error')}")
 
     def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
+        """Starts all proxies; returns the start of the day on the loop's clock."""
         controls = [(host, SUPERVISOR_PORT) for host in self.control_hosts]
         within = self.scenario.fleet.hears_within if len(controls) > 1 else HEARS_WITHIN
         self.seats = []
@@ -235,19 +249,23 @@
         return 0.0
 
     def kill_supervisor(self, number: int = 0) -> None:
+        """Ends a supervisor as SIGKILL does: its streams are reset."""
         self.network.end(self.supervisors[number])
         server = self.services[number].http
         server.on_connection_end = None
         server.close(hard=True)
 
-    def pause_supervisor(self, lasts: float, number: int = 0) -> None:
-        self.supervisors[number].hold_still(self.whole.now + lasts)
+    def pause_supervisor(self, seconds: float, number: int = 0) -> None:
+        """Pauses a supervisor for `seconds`."""
+        self.supervisors[number].hold_still(self.whole.now + seconds)
 
-    def pause_proxies(self, numbers: list[int], lasts: float) -> None:
+    def pause_proxies(self, numbers: list[int], seconds: float) -> None:
+        """Pauses proxies for `seconds`."""
         for number in numbers:
-            self.seats[number].hold_still(self.whole.now + lasts)
+            self.seats[number].hold_still(self.whole.now + seconds)
 
-    def rejoin(self, numbers: list[int]) -> None:
+    def reset_proxy_streams(self, numbers: list[int]) -> None:
+        """Resets all streams between these proxies and the supervisors."""
         hosts = {self.cast.proxy_host(number) for number in numbers}
         for service in self.services:
             for connection in list(service.http.connections):
@@ -255,122 +273,140 @@
                     connection.abort("reset", hard=True)
 
 
-class RealGround:
-    """Processes of their own for supervisor and proxies, on loopback sockets; `folder` for records and logs."""
+class RealEnvironment:
+    """Supervisor and proxies as processes of their own, on loopback sockets."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path) -> None:
+        """`folder` is for records and logs. Raises BadScenario for what only virtual time can do."""
         self.scenario, self.facts, self.folder = scenario, scenario.facts, folder
         if scenario.fleet.store:
-            raise BadScenario("fleet.store: in virtual time alone; for real, play `driftshed day sessions`")
-        for trouble in scenario.troubles:
-            if isinstance(trouble, Link) and not (trouble.cut and trouble.both):
-                raise BadScenario(f"link at {trouble.at} s: for real, links can only be cut, both ways")
+            raise BadScenario("fleet.store: only in virtual time; with real processes, run `driftshed day sessions`")
+        for fault in scenario.troubles:
+            if isinstance(fault, Link) and not (fault.cut and fault.both):
+                raise BadScenario(
+                    f"link at {fault.at} s: with real processes, links can only be cut, in both directions"
+                )
         self.net, self.lock = free_net(os.getpid())
         self.cast = Cast(self.facts, self.net)
         self.loop = Loop()
         self.recorder = Recorder(self.loop, folder / "record")
         host = f"127.{self.net}.0"
-        self.process = SupervisorProcess(scenario, f"{host}.9", folder / "supervisor.log")
-        target = (f"{host}.9", SUPERVISOR_PORT)
-        self.control = Relay(self.loop, self.recorder, CONTROL, (f"{host}.2", CONTROL_PORT), target)
-        self.roster = Relay(self.loop, self.recorder, ROSTER, (f"{host}.3", ROSTER_PORT), target)
-        self.target = target
+        self.supervisor = SupervisorProcess(scenario, f"{host}.9", folder / "supervisor.log")
+        supervisor_address = (f"{host}.9", SUPERVISOR_PORT)
+        self.control_relay = Relay(self.loop, self.recorder, CONTROL, (f"{host}.2", CONTROL_PORT), supervisor_address)
+        self.roster_relay = Relay(self.loop, self.recorder, ROSTER, (f"{host}.3", ROSTER_PORT), supervisor_address)
+        self.supervisor_address = supervisor_address
         self.proxies: list[ProxyProcess] = []
-        self.cut: list[Link] = []
+        self.cut_links: list[Link] = []
         self.stages: list[tuple[float, str, dict]] = []
-        self.servers: dict = {}  # of the world: by number
+        self.servers: dict = {}  # the servers of the simulated deployment, by number
         self.faults: list[str] = []
 
     def transport(self, host: str) -> Transport:
+        """The transport of real sockets."""
         return SOCKETS
 
     def supervisor_transport(self) -> tuple[Transport, tuple[str, int]]:
-        return SOCKETS, self.target
+        """Transport and address for reading the supervisor's views."""
+        return SOCKETS, self.supervisor_address
 
     def roster_transport(self) -> tuple[Transport, tuple[str, int]]:
-        return SOCKETS, self.roster.address
+        """Transport and address by which the roster reaches the supervisor, through a relay."""
+        return SOCKETS, self.roster_relay.address
 
     def owner(self, asked: str) -> int:
+        """The number of the supervisor that an address belongs to: there is only one."""
         return 0
 
-    def unix(self, clock: float) -> float:
+    def unix_time(self, clock: float) -> float:
+        """The unix time of a time of the loop's clock."""
         return time.time() - time.monotonic() + clock
 
-    def tap_work(self, address: tuple[str, int]) -> Callable:
+    def work_tap(self, address: tuple[str, int]) -> Callable:
+        """The tap that records the traffic of a server."""
         return self.recorder.accepted(WORK, address)
 
-    def tap_ask(self, address: tuple[str, int]) -> object:
+    def client_tap(self, address: tuple[str, int]) -> object:
+        """The tap that records the traffic between clients and a proxy."""
         return self.recorder.asking(ASK, address)
 
     def start_supervisor(self, seed: int, number: int = 0) -> None:
-        if self.process.process is not None:
-            self.process.process.wait()
-            self.process.process.stdout.close()
-        self.process.start(seed)
+        """Starts the supervisor; after a kill, waits for the end of the process before."""
+        if self.supervisor.process is not None:
+            self.supervisor.process.wait()
+            self.supervisor.process.stdout.close()
+        self.supervisor.start(seed)
 
     def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
+        """Starts all proxies, waits until every process listens, and returns the start of the record."""
         for place, seed in zip(places, seeds, strict=True):
             proxy = ProxyProcess(self.scenario, self.folder, None)
             proxy.start(
-                place.number, place.zone, place.rate, place.listen, [self.control.address], place.standing, seed
+                place.number, place.zone, place.rate, place.listen, [self.control_relay.address], place.standing, seed
             )
             self.proxies.append(proxy)
-        for process in (self.process, *self.proxies):
+        for process in (self.supervisor, *self.proxies):
             process.await_listening()
         self.recorder.begin()
         return self.recorder.began
 
     def kill_supervisor(self, number: int = 0) -> None:
-        self.process.signal(signal.SIGKILL)
+        """Sends SIGKILL to the supervisor."""
+        self.supervisor.signal(signal.SIGKILL)
 
-    def pause_supervisor(self, lasts: float, number: int = 0) -> None:
-        self.process.signal(signal.SIGSTOP)
-        self.loop.after(lasts, lambda: self.process.signal(signal.SIGCONT))
+    def pause_supervisor(self, seconds: float, number: int = 0) -> None:
+        """Stops the supervisor by SIGSTOP for `seconds`."""
+        self.supervisor.signal(signal.SIGSTOP)
+        self.loop.after(seconds, lambda: self.supervisor.signal(signal.SIGCONT))
 
-    def pause_proxies(self, numbers: list[int], lasts: float) -> None:
+    def pause_proxies(self, numbers: list[int], seconds: float) -> None:
+        """Stops proxies by SIGSTOP for `seconds`."""
         for number in numbers:
             self.proxies[number].signal(signal.SIGSTOP)
-        self.loop.after(lasts, lambda: [self.proxies[number].signal(signal.SIGCONT) for number in numbers])
+        self.loop.after(seconds, lambda: [self.proxies[number].signal(signal.SIGCONT) for number in numbers])
 
-    def rejoin(self, numbers: list[int]) -> None:
+    def reset_proxy_streams(self, numbers: list[int]) -> None:
+        """Resets all streams between these proxies and the supervisor."""
         hosts = {self.cast.proxy_host(number) for number in numbers}
-        self.control.reset_all(lambda pair: pair.near.peer[0] not in hosts)
+        self.control_relay.reset_all(lambda pair: pair.near.peer[0] not in hosts)
 
-    def link(self, link: Link, on: bool) -> None:
-        """Guards against cuts that overlap: what is cut is worked out anew from those that hold."""
+    def set_link_fault(self, fault: Link, on: bool) -> None:
+        """Starts (`on`) or ends a cut. Cuts may overlap, so the blocked hosts are computed anew from all in
+        force."""
         if on:
-            self.cut.append(link)
+            self.cut_links.append(fault)
         else:
-            self.cut.remove(link)
+            self.cut_links.remove(fault)
         zones = self.facts.zones
         hosts = {
             zone: {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(zones) == k}
             for k, zone in enumerate(zones)
         }
-        apart = {(a, b) for each in self.cut for a, b in ((each.here, each.there), (each.there, each.here))}
+        cut_pairs = {(a, b) for each in self.cut_links for a, b in ((each.here, each.there), (each.there, each.here))}
 
         def cut(here: str, there: str) -> bool:
-            return here != there and any(a in ("", here) and b in ("", there) for a, b in apart)
+            return here != there and any(a in ("", here) and b in ("", there) for a, b in cut_pairs)
 
-        self.control.blocked_hosts = set().union(*(hosts[zone] for zone in zones if cut(zone, "control")))
+        self.control_relay.blocked_hosts = set().union(*(hosts[zone] for zone in zones if cut(zone, "control")))
         for number, server in self.servers.items():
             zone = zones[self.cast.zone_of_server(number)]
             server.unreachable = set().union(*(hosts[other] for other in zones if cut(other, zone)))
 
     def close(self) -> None:
+        """Ends all processes and closes relays, recorder, loop and the lock on the loopback network."""
         for proxy in self.proxies:
             proxy.signal(signal.SIGCONT)
             proxy.signal(signal.SIGTERM)
-        for process in (*self.proxies, self.process):
+        for process in (*self.proxies, self.supervisor):
             process.end()
-        self.control.close()
-        self.roster.close()
+        self.control_relay.close()
+        self.roster_relay.close()
         self.recorder.close()
         self.loop.close()
         self.lock.close()
 
 
-def decided_in(log: Path) -> list[str]:
-    """What a supervisor's log says that its module decided."""
+def decisions_in_log(log: Path) -> list[str]:
+    """The texts of the `decided` events in a supervisor's log."""
     rows = [msgspec.json.decode(line) for line in log.read_bytes().splitlines() if line.startswith(b"{")]
     return [row["text"] for row in rows if row.get("event") == "decided"]
--- a/driftshed/lab/load.py
+++ b/driftshed/lab/load.py
@@ -1,7 +1,6 @@
-"""The load tool: invocations drawn ahead and sent when they are due, whether or not those before them were answered.
-
-Open loop: latency counts from the moment at which an invocation was to be sent, not from when the tool got round to it.
-A tool that fell behind says so, and its run does not count."""
+"""The load generator: invocations are drawn ahead and sent at their times, whether or not earlier ones were answered.
+It is open loop: latency counts from the time at which an invocation was due to be sent, not from when it was sent. A
+generator that lagged behind reports it, and its run does not count."""
 
 from __future__ import annotations
 
@@ -18,25 +17,26 @@
 from driftshed.net.http import Answer, HttpClient, Transport
 from driftshed.net.loop import Timers
 
-STRETCH = 30.0  # seconds drawn ahead at a time
-MOST_ROWS = 5_000_000  # of a trace file
-LATE_P99, LATE_MOST = 0.1, 1.0  # of the shortest latency objective: more than this behind is not keeping up
-REPEAT_AFTER, REPEAT_LEFT = 0.05, 0.2  # seconds: before a client's own repeat, and what must be left for it
+CHUNK_S = 30.0  # of a day, drawn at a time
+MAX_TRACE_LINES = 5_000_000
+# Shares of the shortest latency objective: a generator that lags more has not kept up.
+MAX_LAG_P99_SHARE, MAX_LAG_SHARE = 0.1, 1.0
+REPEAT_DELAY_S, MIN_REPEAT_TIME_S = 0.05, 0.2  # before a client's own repeat, and what must be left for it
 
 
 class Arrivals(NamedTuple):
-    """Invocations in the order of their times: arrays of one length."""
+    """Invocations in order of time, as arrays of one length."""
 
     times: np.ndarray  # seconds from the start
     operations: np.ndarray
     proxies: np.ndarray
-    work: np.ndarray  # seconds
+    work: np.ndarray  # seconds of work at a server of speed 1
     keys: np.ndarray
-    patience: np.ndarray  # of the integration timeout
+    timeout_shares: np.ndarray  # after which the client gives up, as shares of the integration timeout
 
 
-def shape(traffic: Traffic, surges: list[Surge], operation: str, times: np.ndarray) -> np.ndarray:
-    """What the rate is multiplied with at these times."""
+def rate_factor(traffic: Traffic, surges: list[Surge], operation: str, times: np.ndarray) -> np.ndarray:
+    """The factor on the mean rate at these times, from the diurnal shape and the surges."""
     factor = np.ones(len(times))
     if traffic.shape == "diurnal":
         factor *= 1 + traffic.swing * np.sin(2 * np.pi * times / traffic.period)
@@ -46,7 +46,7 @@
     return factor
 
 
-def draw(
+def generate_arrivals(
     traffic: Traffic,
     operations: tuple[face.Operation, ...],
     rates: list[float],
@@ -54,97 +54,101 @@
     seconds: float,
     seed: int,
 ) -> Iterator[Arrivals]:
-    """The invocations of a day, stretch by stretch; the same for the same arguments, wherever it is drawn. `rates`: by
-    proxy, of which only the proportions count."""
+    """Yields the invocations of a day in chunks of `CHUNK_S`; the same for the same arguments in any process.
+    `rates` are by proxy, and only their proportions count."""
     names = [operation.name for operation in operations]
-    given = read_trace(traffic.trace, names) if traffic.trace else None
+    trace = read_trace(traffic.trace, names) if traffic.trace else None
     weights = np.array(rates) / sum(rates) if sum(rates) else np.full(len(rates), 1 / len(rates))
     ranks = np.cumsum(np.arange(1, traffic.keys + 1) ** -traffic.zipf)
     shares = np.array(traffic.shares) / sum(traffic.shares)
-    for k in range(int(np.ceil(seconds / STRETCH))):
-        chance = np.random.default_rng([seed, k])
-        since, till = k * STRETCH, min(seconds, (k + 1) * STRETCH)
-        if given is None:
-            times, which = _poisson(traffic, names, shares, surges, since, till, chance)
+    for k in range(int(np.ceil(seconds / CHUNK_S))):
+        rng = np.random.default_rng([seed, k])
+        since, till = k * CHUNK_S, min(seconds, (k + 1) * CHUNK_S)
+        if trace is None:
+            times, indices = _poisson_arrivals(traffic, names, shares, surges, since, till, rng)
         else:
-            inside = (given[0] >= since) & (given[0] < till)
-            times, which = given[0][inside], given[1][inside]
+            inside = (trace[0] >= since) & (trace[0] < till)
+            times, indices = trace[0][inside], trace[1][inside]
         count = len(times)
-        low, high = (np.array([work[end] for work in traffic.work])[which] for end in (0, 1))
+        low, high = (np.array([work[end] for work in traffic.work])[indices] for end in (0, 1))
         if traffic.spread == "uniform":
-            work = chance.uniform(low, high)
+            work = rng.uniform(low, high)
         elif traffic.spread == "fixed":
             work = (low + high) / 2
         else:
-            work = chance.exponential((low + high) / 2)
-        keys = np.searchsorted(ranks, chance.uniform(0, ranks[-1], count))
-        proxies = chance.choice(len(rates), count, p=weights)
-        yield Arrivals(times, which, proxies, work, keys, chance.uniform(*traffic.patience, count))
-
-
-def _poisson(traffic, names, shares, surges, since, till, chance) -> tuple[np.ndarray, np.ndarray]:
-    """Thinned from the highest rate that a stretch has."""
-    most = 1 + (traffic.swing if traffic.shape == "diurnal" else 0.0)
-    times, which = [], []
-    for place, (name, share) in enumerate(zip(names, shares, strict=True)):
-        top = most
+            work = rng.exponential((low + high) / 2)
+        keys = np.searchsorted(ranks, rng.uniform(0, ranks[-1], count))
+        proxies = rng.choice(len(rates), count, p=weights)
+        yield Arrivals(times, indices, proxies, work, keys, rng.uniform(*traffic.patience, count))
+
+
+def _poisson_arrivals(traffic, names, shares, surges, since, till, rng) -> tuple[np.ndarray, np.ndarray]:
+    """Times and operations by thinning a Poisson process at the peak rate of the chunk."""
+    day_peak = 1 + (traffic.swing if traffic.shape == "diurnal" else 0.0)
+    times, indices = [], []
+    for index, (name, share) in enumerate(zip(names, shares, strict=True)):
+        peak = day_peak
         for surge in surges:
             if surge.operation in ("", name):
-                top *= max(1.0, surge.times)
-        count = chance.poisson(traffic.rate * share * top * (till - since))
-        at = chance.uniform(since, till, count)
-        kept = chance.uniform(0, top, count) < shape(traffic, surges, name, at)
-        times.append(at[kept])
-        which.append(np.full(int(kept.sum()), place))
-    times, which = np.concatenate(times), np.concatenate(which)
+                peak *= max(1.0, surge.times)
+        count = rng.poisson(traffic.rate * share * peak * (till - since))
+        candidates = rng.uniform(since, till, count)
+        accepted = rng.uniform(0, peak, count) < rate_factor(traffic, surges, name, candidates)
+        times.append(candidates[accepted])
+        indices.append(np.full(int(accepted.sum()), index))
+    times, indices = np.concatenate(times), np.concatenate(indices)
     order = np.argsort(times, kind="stable")
-    return times[order], which[order]
+    return times[order], indices[order]
 
 
 def read_trace(path: str, names: list[str]) -> tuple[np.ndarray, np.ndarray]:
-    """Times and operations of a file of invocations, "seconds operation" a line; BadScenario says what is wrong."""
-    times, which, places = [], [], {name: place for place, name in enumerate(names)}
+    """Times and operations of a file of invocations, one "SECONDS OPERATION" a line. Raises BadScenario."""
+    times, indices, index_of = [], [], {name: index for index, name in enumerate(names)}
     try:
         with Path(path).open() as file:
             for number, line in enumerate(file, 1):
                 parts = line.split()
                 if not parts:
                     continue
-                if len(parts) != 2 or parts[1] not in places or number > MOST_ROWS:
-                    text = f"{path}, line {number}: seconds and one of {', '.join(names)} are wanted"
-                    raise BadScenario(text + f", at most {MOST_ROWS} lines")
+                if len(parts) != 2 or parts[1] not in index_of or number > MAX_TRACE_LINES:
+                    text = f"{path}, line {number}: expected seconds and one of {', '.join(names)}"
+                    raise BadScenario(text + f", at most {MAX_TRACE_LINES} lines")
                 times.append(float(parts[0]))
-                which.append(places[parts[1]])
+                indices.append(index_of[parts[1]])
     except (OSError, ValueError) as error:
         raise BadScenario(f"{path}: {error}") from None
     order = np.argsort(times, kind="stable")
-    return np.array(times)[order], np.array(which, dtype=int)[order]
+    return np.array(times)[order], np.array(indices, dtype=int)[order]
 
 
 class Lag:
-    """How far the tool was behind its own plan, in seconds."""
+    """How far the generator was behind its own schedule, in seconds."""
 
     def __init__(self, objective: float) -> None:
-        self.objective, self.most = objective, 0.0
+        """`objective` is the shortest latency objective, in seconds."""
+        self.objective, self.max = objective, 0.0
         self.histogram = HdrHistogram(1, 60_000_000, 2)
 
     def add(self, seconds: float) -> None:
-        self.most = max(self.most, seconds)
+        """Records the delay of one send."""
+        self.max = max(self.max, seconds)
         self.histogram.record_value(max(1, min(60_000_000, int(seconds * 1e6))))
 
     @property
     def p99(self) -> float:
+        """The 99th percentile, in seconds."""
         return self.histogram.get_value_at_percentile(99) / 1e6
 
     @property
     def kept_up(self) -> bool:
-        return self.p99 <= LATE_P99 * self.objective and self.most <= LATE_MOST * self.objective
+        """Whether the lag is small enough for the run to count."""
+        return self.p99 <= MAX_LAG_P99_SHARE * self.objective and self.max <= MAX_LAG_SHARE * self.objective
 
 
-class Load:
-    """The clients of all proxies. `hosts`: the address that each proxy's clients connect to; `began`: the loop's clock
-    at the start of the day. `row(intended, operation, took, status)` is told of each invocation that is over, `took`
-    None where it got no good answer."""
+class LoadGenerator:
+    """The clients of all proxies. `hosts` are the addresses that each proxy's clients connect to, `began` is the
+    loop's clock at the start of the day. `on_result(intended, operation, latency, status)` is called for each
+    completed invocation, with latency None where it had no good answer."""
 
     def __init__(
         self,
@@ -157,6 +161,8 @@
         repeats: bool,
         tap: Callable[[tuple[str, int]], object] | None = None,
     ) -> None:
+        """Opens no connection yet. `tap(host)` returns the tap of a proxy's clients; `repeats` lets them repeat
+        once."""
         self.loop, self.operations, self.arrivals, self.repeats = loop, operations, arrivals, repeats
         self.random = Random(f"clients {seed}")
         self.clients: list[HttpClient] = [
@@ -165,67 +171,73 @@
         ]
         self.lag = Lag(min(operation.latency_objective for operation in operations))
         self.histograms = [HdrHistogram(1, 600_000_000, 3) for _ in operations]
-        self.asked, self.good, self.under_way = [0] * len(operations), [0] * len(operations), 0
-        self.row: Callable[[float, int, float | None, int], object] = lambda *_: None
-        self.rows, self.at, self.sent, self.over = None, 0, 0, False
+        self.requested, self.good_answers, self.under_way = [0] * len(operations), [0] * len(operations), 0
+        self.on_result: Callable[[float, int, float | None, int], object] = lambda *_: None
+        self.chunk, self.next_index, self.sent, self.exhausted = None, 0, 0, False
 
     def begin(self, began: float) -> None:
+        """Starts sending; `began` is the start of the day on the loop's clock."""
         self.began = began
-        self._stretch()
+        self._next_chunk()
 
-    def _stretch(self) -> None:
-        """Draws the next stretch ahead."""
-        self.rows, self.at = next(self.arrivals, None), 0
-        if self.rows is None:
-            self.over = True
+    def _next_chunk(self) -> None:
+        """Takes the next chunk of arrivals."""
+        self.chunk, self.next_index = next(self.arrivals, None), 0
+        if self.chunk is None:
+            self.exhausted = True
             return
-        self.lists = [column.tolist() for column in self.rows]
-        self._await()
+        self.columns = [column.tolist() for column in self.chunk]
+        self._schedule_next()
 
-    def _await(self) -> None:
-        if self.at < len(self.lists[0]):
-            self.loop.at(self.began + self.lists[0][self.at], self._send_due)
+    def _schedule_next(self) -> None:
+        if self.next_index < len(self.columns[0]):
+            self.loop.at(self.began + self.columns[0][self.next_index], self._send_due)
         else:
-            self._stretch()
+            self._next_chunk()
 
     def _send_due(self) -> None:
         now = self.loop.clock() - self.began
-        times, operations, proxies, work, keys, patience = self.lists
-        while self.at < len(times) and times[self.at] <= now:
-            k = self.at
-            self.at += 1
+        times, operations, proxies, work, keys, timeout_shares = self.columns
+        while self.next_index < len(times) and times[self.next_index] <= now:
+            k = self.next_index
+            self.next_index += 1
             self.lag.add(now - times[k])
             operation = self.operations[operations[k]]
             self.sent += 1
             self.under_way += 1
-            self.asked[operations[k]] += 1
+            self.requested[operations[k]] += 1
             query = f"inv={self.sent}&work={work[k]:.4f}&key=key-{keys[k]}"
-            self._ask(proxies[k], operations[k], query, 1, times[k], operation.integration_timeout * patience[k])
-        self._await()
+            self._send(proxies[k], operations[k], query, 1, times[k], operation.integration_timeout * timeout_shares[k])
+        self._schedule_next()
 
-    def _ask(self, proxy: int, place: int, query: str, ask: int, intended: float, patience: float) -> None:
-        operation, began = self.operations[place], self.loop.clock() - self.began
+    def _send(
+        self, proxy: int, operation_index: int, query: str, attempt: int, intended: float, timeout: float
+    ) -> None:
+        operation, began = self.operations[operation_index], self.loop.clock() - self.began
 
-        def answered(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             now = self.loop.clock() - self.began
-            again = answer.status != 200 and ask == 1 and self.repeats
-            if again and intended + patience - now > REPEAT_LEFT:
-                never = answer.headers.get(b"x-never-ran") == b"1"
-                in_window = operation.repeat_window and now + REPEAT_AFTER - began < operation.repeat_window
-                if never or operation.effect == "idempotent" or in_window:
-                    self.loop.after(REPEAT_AFTER, lambda: self._ask(proxy, place, query, 2, intended, patience))
+            may_repeat = answer.status != 200 and attempt == 1 and self.repeats
+            if may_repeat and intended + timeout - now > MIN_REPEAT_TIME_S:
+                never_ran = answer.headers.get(b"x-never-ran") == b"1"
+                in_window = operation.repeat_window and now + REPEAT_DELAY_S - began < operation.repeat_window
+                if never_ran or operation.effect == "idempotent" or in_window:
+                    self.loop.after(
+                        REPEAT_DELAY_S, lambda: self._send(proxy, operation_index, query, 2, intended, timeout)
+                    )
                     return
             self.under_way -= 1
-            took = now - intended if answer.status == 200 else None
-            if took is not None:
-                self.good[place] += 1
-                self.histograms[place].record_value(max(1, int(took * 1e6)))
-            self.row(intended, place, took, answer.status)
+            latency = now - intended if answer.status == 200 else None
+            if latency is not None:
+                self.good_answers[operation_index] += 1
+                self.histograms[operation_index].record_value(max(1, int(latency * 1e6)))
+            self.on_result(intended, operation_index, latency, answer.status)
 
-        path = f"/do/{operation.name}?{query}&ask={ask}"
-        within = max(0.01, patience - (began - intended))
-        self.clients[proxy].call("POST", path, b"", answered, within)
+        path = f"/do/{operation.name}?{query}&ask={attempt}"
+        within = max(0.01, timeout - (began - intended))
+        self.clients[proxy].call("POST", path, b"", on_answer, within)
 
     def stop(self) -> None:
+        """Closes all connections."""
         for client in self.clients:
             client.close()
--- a/driftshed/lab/record.py
+++ b/driftshed/lab/record.py
@@ -1,4 +1,4 @@
-"""What passed on the in-memory network, kept in the form in which the judge reads traffic."""
+"""Records the traffic on the in-memory network in the form in which the judge reads it."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, WORK
 
 
-class Passed:
-    """One request and what came back, as `day.traffic.Exchange` has it. Times are seconds from the start."""
+class ObservedExchange:
+    """One request and its answer, as `day.traffic.Exchange`. Times are seconds from the start of the day."""
 
     __slots__ = (
         "connection",
@@ -25,67 +25,84 @@
     )
 
     def __init__(
-        self, connection: Witness, asked_at: float, method: str, path: str, raw: str, asked: bytes, sent_at: float
+        self,
+        connection: StreamObserver,
+        asked_at: float,
+        method: str,
+        path: str,
+        raw: str,
+        asked: bytes,
+        sent_at: float,
     ) -> None:
-        self.sent_at = sent_at  # a network may hold it for long
+        """A request without an answer yet; `asked` is its body, `raw` its query string."""
+        self.sent_at = sent_at  # may be long before `asked_at`: the network may delay it
         self.connection, self.asked_at, self.method, self.path, self.raw = connection, asked_at, method, path, raw
-        self.asked, self.answered_at, self.status, self.headers, self.body = asked, None, 0, NONE, b""
+        self.asked, self.answered_at, self.status, self.headers, self.body = asked, None, 0, NO_HEADERS, b""
 
     @property
     def query(self) -> dict[str, str]:
+        """The parameters of the query string."""
         return dict(part.partition("=")[::2] for part in self.raw.split("&"))
 
 
-NONE: dict[bytes, bytes] = {}
+NO_HEADERS: dict[bytes, bytes] = {}
 
 
-class Witness:
-    """One stream and what passed on it, at the server's end or at the client's."""
+class StreamObserver:
+    """One stream and its exchanges, observed at the server's end or at the client's."""
 
     __slots__ = ("at_server", "kind", "asks", "asked", "host", "exchanges", "ended_at", "now", "malformed")
 
     def __init__(self, kind: str, asks: str, asked: str, at_server: bool) -> None:
+        """`asks` is the client's host, `asked` the server's address."""
         self.at_server = at_server
         self.kind, self.asks, self.asked, self.host = kind, asks, asked, asks
-        self.exchanges: list[Passed] = []
+        self.exchanges: list[ObservedExchange] = []
         self.ended_at: float | None = None
         self.now, self.malformed = 0.0, False
 
-    def on_asked(self, now: float, what, sent_at: float) -> Passed | None:
-        """A request passes: a call as its client sends it, or a request as its server gets it."""
+    def on_request(self, now: float, message, sent_at: float) -> ObservedExchange | None:
+        """Records a request: a call as its client sends it, or a request as its server receives it."""
         self.now = now
-        path, _, query = what.path.partition("?")
-        query = query or getattr(what, "query", "")
+        path, _, query = message.path.partition("?")
+        query = query or getattr(message, "query", "")
         if self.kind == CONTROL and path.endswith("/report"):
-            return None  # nothing is judged by it
-        seen = Passed(self, now, what.method, path, query, what.body, sent_at)
-        self.exchanges.append(seen)
-        return seen
+            return None  # the judge does not read reports
+        exchange = ObservedExchange(self, now, message.method, path, query, message.body, sent_at)
+        self.exchanges.append(exchange)
+        return exchange
 
-    def on_answered(self, seen: Passed, now: float, status: int, headers: dict[bytes, bytes], body: bytes) -> None:
-        self.now = seen.answered_at = now
-        seen.status, seen.headers, seen.body = status, headers, body
+    def on_response(
+        self, exchange: ObservedExchange, now: float, status: int, headers: dict[bytes, bytes], body: bytes
+    ) -> None:
+        """Completes `exchange` with its answer."""
+        self.now = exchange.answered_at = now
+        exchange.status, exchange.headers, exchange.body = status, headers, body
 
-    def on_ended(self, now: float) -> None:
+    def on_close(self, now: float) -> None:
+        """Records the end of the stream; the first end counts."""
         self.now = now
         if self.ended_at is None:
             self.ended_at = now
 
 
-class Record:
-    """The streams of a run by kind. `kind_of(host, address)`: what a stream between them is; None: not kept. Each is
-    kept at the server's end but those of the kinds `at_client`."""
+class TrafficRecord:
+    """The streams of a run by kind. `kind_of(host, address)` is the kind of a stream between them, or None for one
+    that is not recorded. Streams are observed at the server's end, but those of the kinds `at_client` at the
+    client's."""
 
     def __init__(
         self, kind_of: Callable[[str, tuple[str, int]], str | None], at_client: tuple[str, ...] = (ASK,)
     ) -> None:
+        """Starts with no stream of any kind."""
         self.kind_of, self.at_client = kind_of, at_client
-        self.kinds: dict[str, list[Witness]] = {CONTROL: [], ROSTER: [], WORK: [], ASK: []}
+        self.kinds: dict[str, list[StreamObserver]] = {CONTROL: [], ROSTER: [], WORK: [], ASK: []}
 
-    def witness(self, host: str, address: tuple[str, int]) -> Witness | None:
+    def observer(self, host: str, address: tuple[str, int]) -> StreamObserver | None:
+        """The observer of a new stream, or None where it is not recorded."""
         kind = self.kind_of(host, address)
         if kind is None:
             return None
-        found = Witness(kind, host, f"{address[0]}:{address[1]}", kind not in self.at_client)
-        self.kinds[kind].append(found)
-        return found
+        observer = StreamObserver(kind, host, f"{address[0]}:{address[1]}", kind not in self.at_client)
+        self.kinds[kind].append(observer)
+        return observer
--- a/driftshed/lab/run.py
+++ b/driftshed/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: a scenario, a seed, a clock and a policy; and all that is kept of it."""
+"""One run: a scenario, a seed, a clock and a policy; and the outcome that is kept of it."""
 
 from __future__ import annotations
 
@@ -19,89 +19,92 @@
 from driftshed.day.recorder import ASK, WORK, read_record
 from driftshed.day.traffic import read_traffic
 from driftshed.lab.baselines import POLICIES
-from driftshed.lab.grounds import RealGround, VirtualGround, decided_in
+from driftshed.lab.grounds import RealEnvironment, VirtualGround, decisions_in_log
 from driftshed.lab.scenario import Scenario, check, write_scenario
-from driftshed.lab.world import SETTLE, World
+from driftshed.lab.world import SETTLE_S, World
 
-WORST = 10.0  # seconds: the stretch whose service is the worst that is told
+WORST_WINDOW_S = 10.0  # length of the window whose service is reported as the worst
 
 
 class Outcome(Struct):
-    """What is kept of a run. Times in seconds, service as a share of the billed value that was asked for."""
+    """The outcome of a run. Times in seconds, service as a share of the billed value requested."""
 
-    scenario: str  # as a file
+    scenario: str  # as the text of its file
     seed: int
     clock: str
     policy: str
-    counts: bool  # False where the load tool could not keep up
-    lag: tuple[float, float]  # its p99 and worst
+    counts: bool  # False where the load generator could not keep up
+    lag: tuple[float, float]  # of the load generator: p99 and maximum
     service: float
-    worst: float  # service of the worst 10 s
-    bound: float  # what an all-knowing policy gets at most
+    worst: float  # service of the worst window of 10 s
+    bound: float  # upper bound on the service of any policy
     asked: int
     operations: dict[str, float]  # service
     latency: dict[str, dict[str, float]]  # p50, p90, p99, p99.9 of good answers, by operation
-    over_time: list[tuple[float, float]]  # value got and asked for, second by second
+    over_time: list[tuple[float, float]]  # value earned and requested, second by second
     rules: dict[str, dict[str, int]]
     breaks: list[str]
-    margins: dict[str, float]  # by rule: how much of what is allowed was used at the most
+    margins: dict[str, float]  # by rule: the largest share used of what it allows
     bands: list[tuple[float, float, str]]
-    waiting: list[tuple[float, float]]  # lines in the channel, by time
+    waiting: list[tuple[float, float]]  # lines in the channel: time, count
     cap: float
     out: list[tuple[str, float, float, str]]  # server, since, till, why
     carried: dict[str, list[tuple[float, float, float]]]  # by server: second, work sent, capacity
     decided: list[str]
     faults: list[str]
-    digest: str  # of all that passed
+    digest: str  # of all traffic
     events: int
-    stages: list[tuple[float, str, dict]]  # of zones that are left: when, what each supervisor logged
+    stages: list[tuple[float, str, dict]]  # of evacuations: when, event and fields logged by each supervisor
     wall: tuple[float, float]  # seconds of the run, and of judging it
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken and no fault raised."""
         return not any(row["broken"] for row in self.rules.values()) and not self.faults
 
 
 def run(scenario: Scenario, seed: int, clock: str = "virtual", policy: str = "driftshed") -> Outcome:
-    """Plays the scenario's day and judges it by what passed. `clock`: "virtual" or "real"."""
+    """Runs the scenario's day and judges it by the recorded traffic. `clock` is "virtual" or "real"; with "real"
+    the policy is always the product's."""
     check(scenario)
     began = time.perf_counter()
     if clock == "virtual":
         chosen = POLICIES[policy]
-        ground = VirtualGround(scenario, seed, chosen.brain, chosen.pick)
-        world = World(scenario, seed, ground)
-        rows = _play(world)
+        environment = VirtualGround(scenario, seed, chosen.brain, chosen.pick)
+        world = World(scenario, seed, environment)
+        results = _play(world)
         with rare_collections():
-            ground.loop.loop.run(scenario.seconds + SETTLE)
-        if ground.folder is not None:
-            shutil.rmtree(ground.folder, ignore_errors=True)
-        kinds, decided = ground.record.kinds, [text for _, text in ground.decided]
-        events, unix = ground.whole.events, 0.0
+            environment.loop.loop.run(scenario.seconds + SETTLE_S)
+        if environment.folder is not None:
+            shutil.rmtree(environment.folder, ignore_errors=True)
+        kinds, decided = environment.record.kinds, [text for _, text in environment.decided]
+        events, began_unix = environment.whole.events, 0.0
     else:
         with tempfile.TemporaryDirectory() as scratch:
-            ground = RealGround(scenario, seed, Path(scratch))
-            world = World(scenario, seed, ground)
-            ground.servers = world.servers
+            environment = RealEnvironment(scenario, seed, Path(scratch))
+            world = World(scenario, seed, environment)
+            environment.servers = world.servers
             try:
-                rows = _play(world)
-                ground.loop.run(world.began + scenario.seconds + SETTLE)
+                results = _play(world)
+                environment.loop.run(world.started_at + scenario.seconds + SETTLE_S)
             finally:
                 if world.places:
                     world.close()
-                ground.close()
-            unix, kinds = read_traffic(read_record(Path(scratch) / "record"))
-            decided, events = decided_in(Path(scratch) / "supervisor.log"), 0
+                environment.close()
+            began_unix, kinds = read_traffic(read_record(Path(scratch) / "record"))
+            decided, events = decisions_in_log(Path(scratch) / "supervisor.log"), 0
     played = time.perf_counter()
-    outcome = _judge(world, kinds, unix, rows)
+    outcome = _judge(world, kinds, began_unix, results)
     outcome.clock, outcome.policy, outcome.decided, outcome.events = clock, policy, decided, events
-    outcome.faults, outcome.stages = ground.faults, ground.stages
+    outcome.faults, outcome.stages = environment.faults, environment.stages
     outcome.wall = round(played - began, 3), round(time.perf_counter() - played, 3)
     return outcome
 
 
 @contextmanager
 def rare_collections() -> Iterator[None]:
-    """What is kept of a run is looked through again and again for garbage, a fifth of all time: do so more rarely."""
+    """Makes garbage collection less frequent: the many objects that a run keeps are scanned over and over, which
+    took a fifth of all time."""
     before = gc.get_threshold()
     gc.freeze()
     gc.set_threshold(100_000, 20, 50)
@@ -113,13 +116,13 @@
 
 
 def _play(world: World) -> list[tuple[float, int, float | None, int]]:
-    rows: list[tuple[float, int, float | None, int]] = []
+    results: list[tuple[float, int, float | None, int]] = []
     world.open()
-    world.load.row = lambda *row: rows.append(row)
-    return rows
+    world.load.on_result = lambda *row: results.append(row)
+    return results
 
 
-def _judge(world: World, kinds: dict[str, list], unix: float, rows: list) -> Outcome:
+def _judge(world: World, kinds: dict[str, list], began_unix: float, results: list) -> Outcome:
     scenario, facts, cast = world.scenario, world.facts, world.cast
     case = Case(
         facts,
@@ -128,28 +131,28 @@
         scenario.seconds,
         world.cuts,
         world.kills,
-        unix,
+        began_unix,
         kinds,
-        world.ground.owner,
+        world.environment.owner,
         world.pauses,
     )
     judge = Judge(case)
     verdict: Verdict = judge.judge()
     if scenario.fleet.supervisors > 1:
-        judge_accord(verdict, kinds, world.ground.owner)
-    over_time = service_over_time(scenario, rows)
+        judge_accord(verdict, kinds, world.environment.owner)
+    over_time = service_over_time(scenario, results)
     lag = world.load.lag
-    carried, digest = _carried(world, kinds)
+    carried, digest = _work_by_server(world, kinds)
     return Outcome(
         write_scenario(scenario),
         world.seed,
         "",
         "",
         lag.kept_up,
-        (round(lag.p99, 6), round(lag.most, 6)),
+        (round(lag.p99, 6), round(lag.max, 6)),
         verdict.service if verdict.asked else 1.0,
-        worst_of(over_time),
-        bound_of(world, rows),
+        worst_service(over_time),
+        service_bound(world, results),
         verdict.asked,
         verdict.operations,
         {
@@ -161,10 +164,10 @@
         verdict.rules,
         verdict.breaks,
         verdict.margins,
-        [(round(band.since, 3), round(band.till, 3), band.what) for band in world.bands],
-        [(round(sample.at, 3), sample.waiting) for sample in world.samples],
+        [(round(period.since, 3), round(period.till, 3), period.what) for period in world.fault_periods],
+        [(round(sample.at, 3), sample.queued_lines) for sample in world.samples],
         facts.queue_cap,
-        _out(world),
+        _withdrawn_periods(world),
         carried,
         [],
         [],
@@ -175,59 +178,59 @@
     )
 
 
-def service_over_time(scenario: Scenario, rows: list) -> list[tuple[float, float]]:
-    """Billed value got and asked for, by the second in which an invocation was to be sent."""
+def service_over_time(scenario: Scenario, results: list) -> list[tuple[float, float]]:
+    """Billed value earned and requested, by the second in which an invocation was due to be sent."""
     seconds = [[0.0, 0.0] for _ in range(int(np.ceil(scenario.seconds)))]
     operations = scenario.facts.operations
-    for intended, place, took, _status in rows:
-        operation = operations[place]
+    for intended, operation_index, latency, _status in results:
+        operation = operations[operation_index]
         row = seconds[min(int(intended), len(seconds) - 1)]
         row[1] += operation.billed_value
-        if took is not None and took <= operation.latency_objective:
+        if latency is not None and latency <= operation.latency_objective:
             row[0] += operation.billed_value
-        elif took is not None and took <= operation.integration_timeout:
+        elif latency is not None and latency <= operation.integration_timeout:
             row[0] += operation.billed_value * operation.late_share
-    return [(round(got, 4), round(due, 4)) for got, due in seconds]
+    return [(round(earned, 4), round(requested, 4)) for earned, requested in seconds]
 
 
-def worst_of(over_time: list[tuple[float, float]]) -> float:
-    """Service of the worst 10 s; 1.0 on a day on which nothing is asked."""
-    span, worst = int(WORST), 1.0
-    for k in range(max(1, len(over_time) - span + 1)):
-        due = sum(row[1] for row in over_time[k : k + span])
-        if due:
-            worst = min(worst, sum(row[0] for row in over_time[k : k + span]) / due)
+def worst_service(over_time: list[tuple[float, float]]) -> float:
+    """Service of the worst window of `WORST_WINDOW_S`; 1.0 on a day without invocations."""
+    window, worst = int(WORST_WINDOW_S), 1.0
+    for k in range(max(1, len(over_time) - window + 1)):
+        requested = sum(row[1] for row in over_time[k : k + window])
+        if requested:
+            worst = min(worst, sum(row[0] for row in over_time[k : k + window]) / requested)
     return worst
 
 
-def bound_of(world: World, rows: list) -> float:
-    """What a policy that knows all could get at the most: second by second, all servers that are up share all work
-    without loss, and what pays best for its work goes first. Real policies cannot reach it."""
+def service_bound(world: World, results: list) -> float:
+    """An upper bound on the service of any policy: second by second, all servers that are up share all work without
+    loss, and the work with the highest value per second goes first. No real policy reaches it."""
     facts, traffic = world.facts, world.scenario.traffic
     mean = [(low + high) / 2 for low, high in traffic.work]
     asked = np.zeros((int(np.ceil(world.scenario.seconds)), len(facts.operations)))
-    for intended, place, *_ in rows:
-        asked[min(int(intended), len(asked) - 1), place] += 1
+    for intended, operation_index, *_ in results:
+        asked[min(int(intended), len(asked) - 1), operation_index] += 1
     values = np.array([operation.billed_value for operation in facts.operations])
     order = np.argsort(-values / np.array(mean))
-    got, left = 0.0, 0.0
+    earned, unused = 0.0, 0.0
     samples = world.samples
     for second in range(len(asked)):
-        near = min(samples, key=lambda sample: abs(sample.at - second), default=None)
-        room = sum(near.capacity.values()) if near else 0.0
-        # What was not used up may serve what waits within the objectives: a second's worth is carried over.
-        room += min(left, room)
-        for place in order:
-            done = min(asked[second, place], room / mean[place])
-            got += done * values[place]
-            room -= done * mean[place]
-        left = room
-    due = float((asked * values).sum())
-    return float(got / due) if due else 1.0
+        nearest = min(samples, key=lambda sample: abs(sample.at - second), default=None)
+        available = sum(nearest.capacity.values()) if nearest else 0.0
+        # Unused capacity may serve invocations that wait within their objectives: up to one second's is carried over.
+        available += min(unused, available)
+        for operation_index in order:
+            served = min(asked[second, operation_index], available / mean[operation_index])
+            earned += served * values[operation_index]
+            available -= served * mean[operation_index]
+        unused = available
+    requested = float((asked * values).sum())
+    return float(earned / requested) if requested else 1.0
 
 
-def _carried(world: World, kinds: dict[str, list]) -> tuple[dict, str]:
-    """By server and second: the work that was sent to it, and what it could do; and a digest of all that passed."""
+def _work_by_server(world: World, kinds: dict[str, list]) -> tuple[dict, str]:
+    """By server and second: the work sent to it and its capacity; and a digest of all traffic."""
     digest = hashlib.blake2b(digest_size=16)
     sent: dict[str, dict[int, float]] = {}
     for connection in kinds.get(WORK, []):
@@ -248,16 +251,16 @@
     return rows, digest.hexdigest()
 
 
-def _out(world: World) -> list[tuple[str, float, float, str]]:
-    """Stretches for which the supervisor said that a server was withdrawn."""
-    present: dict[str, list] = {}
+def _withdrawn_periods(world: World) -> list[tuple[str, float, float, str]]:
+    """Periods for which the supervisor reported a server as withdrawn: server, since, till, reason."""
+    current: dict[str, list] = {}
     rows = []
     for sample in world.samples:
-        if not sample.heard:
+        if not sample.supervisor_answered:
             continue
-        for server in [server for server in present if server not in sample.out]:
-            rows.append((server, present[server][0], sample.at, present.pop(server)[1]))
-        for server, why in sample.out.items():
-            present.setdefault(server, [sample.at, why.partition(": ")[2] or why])
-    rows += [(server, since, world.scenario.seconds, why) for server, (since, why) in present.items()]
+        for server in [server for server in current if server not in sample.withdrawn]:
+            rows.append((server, current[server][0], sample.at, current.pop(server)[1]))
+        for server, why in sample.withdrawn.items():
+            current.setdefault(server, [sample.at, why.partition(": ")[2] or why])
+    rows += [(server, since, world.scenario.seconds, why) for server, (since, why) in current.items()]
     return [(server, round(since, 2), round(till, 2), why) for server, since, till, why in rows]
--- a/driftshed/lab/world.py
+++ b/driftshed/lab/world.py
@@ -1,5 +1,5 @@
-"""A deployment in the laboratory: servers, a roster, clients and troubles, the same for both clocks. What runs the
-supervisor and the proxies, and how bytes travel, is the `Ground` that it stands on (`grounds.py`)."""
+"""A simulated deployment: servers, a roster, clients and faults, the same for both clocks. Supervisors, proxies and
+transport are those of the `Environment` that it runs in (`grounds.py`)."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 from driftshed.core.messages import ListedServer
 from driftshed.day.stage import ASK_PORT, Cast
-from driftshed.lab import scenario as says
-from driftshed.lab.load import Load, draw
+from driftshed.lab import scenario as scenarios
+from driftshed.lab.load import LoadGenerator, generate_arrivals
 from driftshed.net.http import Answer, Transport
 from driftshed.net.loop import Timers
 from driftshed.proxy.whole import Place
 from driftshed.standins.emulator import Ill, ServerStandin
 from driftshed.standins.roster import RosterStandin, StoreRoster
 
-SETTLE = 2.5  # seconds after the last arrival, for what is under way
-SAMPLE = 1.0  # seconds between looks at servers and channel
+SETTLE_S = 2.5  # after the last arrival, for requests under way
+SAMPLE_INTERVAL_S = 1.0  # between samples of servers and channel
 
 
-class Ground(Protocol):
-    """What a world stands on."""
+class Environment(Protocol):
+    """What a simulated deployment runs in: it owns supervisors, proxies and the network. In virtual time it also
+    has `network`, `store_address` and the store's control methods."""
 
     loop: Timers
     cast: Cast
@@ -32,21 +33,21 @@
     def transport(self, host: str) -> Transport: ...
     def supervisor_transport(self) -> tuple[Transport, tuple[str, int]]: ...
     def roster_transport(self) -> tuple[Transport, tuple[str, int]]: ...
-    def unix(self, clock: float) -> float: ...
+    def unix_time(self, clock: float) -> float: ...
     def owner(self, asked: str) -> int: ...
     def start_supervisor(self, seed: int, number: int = 0) -> None: ...
     def start_proxies(self, places: list[Place], seeds: list[int]) -> float: ...
     def kill_supervisor(self, number: int = 0) -> None: ...
-    def pause_supervisor(self, lasts: float, number: int = 0) -> None: ...
-    def pause_proxies(self, numbers: list[int], lasts: float) -> None: ...
-    def rejoin(self, numbers: list[int]) -> None: ...
-    def link(self, link: says.Link, on: bool) -> None: ...
-    def tap_work(self, address: tuple[str, int]) -> Callable | None: ...
-    def tap_ask(self, address: tuple[str, int]) -> object: ...
+    def pause_supervisor(self, seconds: float, number: int = 0) -> None: ...
+    def pause_proxies(self, numbers: list[int], seconds: float) -> None: ...
+    def reset_proxy_streams(self, numbers: list[int]) -> None: ...
+    def set_link_fault(self, fault: scenarios.Link, on: bool) -> None: ...
+    def work_tap(self, address: tuple[str, int]) -> Callable | None: ...
+    def client_tap(self, address: tuple[str, int]) -> object: ...
 
 
-class Band(NamedTuple):
-    """One trouble, or one part of one, as a stretch of the day."""
+class FaultPeriod(NamedTuple):
+    """One fault, or a part of one, as a period of the day in seconds."""
 
     since: float
     till: float
@@ -54,87 +55,92 @@
 
 
 class Sample(NamedTuple):
-    """How things stood at one time."""
+    """The state of the deployment at one time."""
 
     at: float
-    capacity: dict[str, float]  # seconds of work a second, by server that is up
-    out: dict[str, str]  # withdrawn servers, and the supervisor's word on why
-    waiting: float  # lines in the channel
-    heard: bool  # whether the supervisor answered
+    capacity: dict[str, float]  # seconds of work per second, of each server that is up
+    withdrawn: dict[str, str]  # by withdrawn server: the supervisor's reason
+    queued_lines: float  # in the supervisor's channel
+    supervisor_answered: bool
 
 
 class World:
-    """`play()` runs the day; the rest is what it leaves behind."""
+    """`open()` starts the day; the caller then runs the loop, and reads the records left in the attributes."""
 
-    def __init__(self, scenario: says.Scenario, seed: int, ground: Ground) -> None:
-        self.scenario, self.seed, self.ground = scenario, seed, ground
-        self.facts, self.loop, self.cast = scenario.facts, ground.loop, ground.cast
+    def __init__(self, scenario: scenarios.Scenario, seed: int, environment: Environment) -> None:
+        """Everything random is drawn by `seed`."""
+        self.scenario, self.seed, self.environment = scenario, seed, environment
+        self.facts, self.loop, self.cast = scenario.facts, environment.loop, environment.cast
         self.random = Random(f"world {seed}")
         self.servers: dict[int, ServerStandin] = {}
-        self.states: dict[int, str] = {}  # as the roster has them
-        self.shown: dict[int, ListedServer] = {}  # what a lying roster says instead
-        self.successors = scenario.fleet.servers
-        self.step = 0.0  # of the roster's clock
-        self.bands: list[Band] = []
+        self.states: dict[int, str] = {}  # as listed in the roster
+        self.false_listings: dict[int, ListedServer] = {}  # sent instead of the true listing
+        self.next_number = scenario.fleet.servers
+        self.clock_offset = 0.0  # of the roster's clock, in seconds
+        self.fault_periods: list[FaultPeriod] = []
         self.samples: list[Sample] = []
-        self.cuts: list[tuple[int, int | None, float]] = []  # as the judge takes them
+        self.cuts: list[
+            tuple[int, int | None, float]
+        ] = []  # proxy, supervisor or None for all, since: as the judge reads them
         self.kills: list[tuple[int, float]] = []
-        self.dead: set[int] = set()  # supervisors that were killed and are not started yet
+        self.killed_supervisors: set[int] = set()  # not restarted yet
         self.pauses: list[tuple[int, float, float]] = []
-        self.began = 0.0
+        self.started_at = 0.0
         self.places: list[Place] = []
 
     @property
     def now(self) -> float:
         """Seconds from the start of the day."""
-        return self.loop.clock() - self.began
+        return self.loop.clock() - self.started_at
 
-    # ---- the day ----------------------------------------------------------------------------------------------
+    # ---- day --------------------------------------------------------------------------------------------------
 
     def open(self) -> None:
-        scenario, facts, ground = self.scenario, self.facts, self.ground
+        """Starts supervisors, proxies, servers, roster and clients, and schedules the faults."""
+        scenario, facts, environment = self.scenario, self.facts, self.environment
         for number in range(scenario.fleet.supervisors):
-            ground.start_supervisor(self.random.getrandbits(32), number)
+            environment.start_supervisor(self.random.getrandbits(32), number)
         rates = [scenario.traffic.uneven ** self.random.random() for _ in range(facts.proxies)]
         rates = [rate / sum(rates) * scenario.traffic.rate for rate in rates]
-        self.places = [self._place(number, rate) for number, rate in enumerate(rates)]
-        self.began = ground.start_proxies(self.places, [self.random.getrandbits(32) for _ in self.places])
+        self.places = [self._make_place(number, rate) for number, rate in enumerate(rates)]
+        self.started_at = environment.start_proxies(self.places, [self.random.getrandbits(32) for _ in self.places])
         for number in range(scenario.fleet.servers):
             self._new_server(number, cold=False)
         if scenario.fleet.store:
-            dial = ground.network.dial(ground.roster_host)
+            dial = environment.network.dial(environment.roster_host)
             timeout = scenario.fleet.session_timeout
-            self.roster = StoreRoster(self.loop, ground.store_address, timeout, self.seed, dial)
+            self.roster = StoreRoster(self.loop, environment.store_address, timeout, self.seed, dial)
         else:
-            transport, address = ground.roster_transport()
+            transport, address = environment.roster_transport()
             self.roster = RosterStandin(self.loop, transport.client(self.loop, address), scenario.fleet.roster_lag)
-        self.roster.begin([self._listed(number) for number in self.servers])
-        surges = [trouble for trouble in scenario.troubles if isinstance(trouble, says.Surge)]
-        arrivals = draw(scenario.traffic, facts.operations, rates, surges, scenario.seconds, self.seed)
-        self.load = Load(
+        self.roster.begin([self._listing(number) for number in self.servers])
+        surges = [fault for fault in scenario.troubles if isinstance(fault, scenarios.Surge)]
+        arrivals = generate_arrivals(scenario.traffic, facts.operations, rates, surges, scenario.seconds, self.seed)
+        self.load = LoadGenerator(
             self.loop,
-            ground.transport(f"127.{self.cast.net}.0.4"),
+            environment.transport(f"127.{self.cast.net}.0.4"),
             [place.listen for place in self.places],
             facts.operations,
             arrivals,
             self.seed,
             scenario.traffic.repeats,
-            ground.tap_ask,
+            environment.client_tap,
         )
-        self.load.begin(self.began)
-        transport, address = ground.supervisor_transport()
+        self.load.begin(self.started_at)
+        transport, address = environment.supervisor_transport()
         self.views = transport.client(self.loop, address, idle_most=2)
         self._sample()
-        for trouble in scenario.troubles:
-            act = getattr(self, f"_begin_{type(trouble).__name__.lower()}")
-            self.loop.at(self.began + trouble.at, lambda act=act, trouble=trouble: act(trouble))
+        for fault in scenario.troubles:
+            begin = getattr(self, f"_begin_{type(fault).__name__.lower()}")
+            self.loop.at(self.started_at + fault.at, lambda begin=begin, fault=fault: begin(fault))
 
     def close(self) -> None:
+        """Ends clients and servers."""
         self.load.stop()
         for server in self.servers.values():
             server.stop()
 
-    def _place(self, number: int, rate: float) -> Place:
+    def _make_place(self, number: int, rate: float) -> Place:
         facts, cast, servers = self.facts, self.cast, range(self.scenario.fleet.servers)
         zone = number % len(facts.zones)
         near = [n for n in servers if cast.zone_of_server(n) == zone] or list(servers)
@@ -151,58 +157,65 @@
             address,
             machine,
             self.random.getrandbits(32),
-            self.ground.tap_work(address),
-            self.ground.transport(host),
+            self.environment.work_tap(address),
+            self.environment.transport(host),
         )
         self.servers[number].start(cold)
         self.states[number] = "ready"
 
-    def _listed(self, number: int) -> ListedServer:
+    def _listing(self, number: int) -> ListedServer:
         started, facts, cast = self.servers[number].started, self.facts, self.cast
-        unix = None if started == float("-inf") else self.ground.unix(started) + self.step
+        unix_time = None if started == float("-inf") else self.environment.unix_time(started) + self.clock_offset
         return ListedServer(
             cast.server(number),
             facts.zones[cast.zone_of_server(number)],
             facts.kinds[cast.kind_of_server(number)],
             self.states[number],
-            unix,
+            unix_time,
             number // len(facts.zones) % self.scenario.fleet.cells,
         )
 
-    def _tell(self, number: int, state: str | None = None) -> None:
-        """The roster hears of a server, unless it has a lie to tell about it."""
+    def _update_roster(self, number: int, state: str | None = None) -> None:
+        """Sends a server's listing to the roster, or the false one where the roster is to list it falsely."""
         if state is not None:
             self.states[number] = state
-        self.roster.change(self.shown.get(number) or self._listed(number))
+        self.roster.change(self.false_listings.get(number) or self._listing(number))
 
     def _sample(self) -> None:
         at = self.now
         capacity = {self.cast.server(n): server.capacity() for n, server in self.servers.items() if server.up}
-        found: dict = {}
+        answers: dict = {}
 
-        def both() -> None:
-            if len(found) == 2:
-                out = {row["server"]: row["why"] for row in found["servers"] or () if row["out"]}
-                channel = found["channel"]
-                waiting = channel["waiting"] if channel else 0.0
-                self.samples.append(Sample(at, capacity, out, waiting, bool(channel)))
+        def finish() -> None:
+            if len(answers) == 2:
+                withdrawn = {row["server"]: row["why"] for row in answers["servers"] or () if row["out"]}
+                channel = answers["channel"]
+                queued_lines = channel["waiting"] if channel else 0.0
+                self.samples.append(Sample(at, capacity, withdrawn, queued_lines, bool(channel)))
 
-        def take(name: str, answer: Answer) -> None:
-            found[name] = msgspec.json.decode(answer.body) if answer.status == 200 else None
-            both()
+        def record_answer(name: str, answer: Answer) -> None:
+            answers[name] = msgspec.json.decode(answer.body) if answer.status == 200 else None
+            finish()
 
         for name in ("servers", "channel"):
-            self.views.call("GET", f"/v1/{name}", b"", lambda answer, name=name: take(name, answer), 0.9 * SAMPLE)
+            self.views.call(
+                "GET",
+                f"/v1/{name}",
+                b"",
+                lambda answer, name=name: record_answer(name, answer),
+                0.9 * SAMPLE_INTERVAL_S,
+            )
         if at < self.scenario.seconds:
-            self.loop.after(SAMPLE, self._sample)
+            self.loop.after(SAMPLE_INTERVAL_S, self._sample)
 
-    # ---- troubles ---------------------------------------------------------------------------------------------
+    # ---- faults -----------------------------------------------------------------------------------------------
 
-    def _band(self, lasts: float, what: str) -> None:
-        self.bands.append(Band(self.now, self.now + lasts, what))
+    def _record_fault(self, seconds: float, what: str) -> None:
+        self.fault_periods.append(FaultPeriod(self.now, self.now + seconds, what))
 
-    def _some(self, whom: says.Whom) -> list[int]:
-        """Servers that fit and are listed ready, drawn by chance."""
+    def _select_servers(self, whom: scenarios.Whom) -> list[int]:
+        """Servers that match and are up and listed ready, drawn at random; one unless `whom` sets a count or
+        share."""
         facts, cast = self.facts, self.cast
         fit = [
             n
@@ -216,10 +229,10 @@
         count = whom.count or round(whom.share * len(fit)) or 1
         return sorted(self.random.sample(fit, min(count, len(fit))))
 
-    def _begin_sick(self, trouble: says.Sick) -> None:
-        numbers = self._some(trouble.whom)
-        hard, operation = trouble.hard, trouble.operation or None
-        ill = {
+    def _begin_sick(self, fault: scenarios.Sick) -> None:
+        numbers = self._select_servers(fault.whom)
+        hard, operation = fault.hard, fault.operation or None
+        condition = {
             "slow": Ill(slower=max(1e-3, hard)),
             "hang": Ill(hangs=True),
             "errors": Ill(errors=min(1.0, hard)),
@@ -228,214 +241,219 @@
             "squeeze": Ill(squeezed=min(1.0, hard)),
             "neighbour": Ill(stolen=min(0.99, hard)),
             "ageing": Ill(ages=hard),
-        }[trouble.how]._replace(operation=operation)
-        self._band(trouble.lasts, f"{trouble.how} x{len(numbers)}" + (f" {trouble.operation}" * bool(operation)))
-        until = self.loop.clock() + trouble.lasts
+        }[fault.how]._replace(operation=operation)
+        self._record_fault(fault.lasts, f"{fault.how} x{len(numbers)}" + (f" {fault.operation}" * bool(operation)))
+        until = self.loop.clock() + fault.lasts
         key = object()
 
-        def turn(on: bool) -> None:
+        def set_condition(on: bool) -> None:
             for n in numbers:
                 if on:
-                    self.servers[n].fall_ill(key, ill)
+                    self.servers[n].fall_ill(key, condition)
                 else:
                     self.servers[n].recover(key)
-            if trouble.every and self.loop.clock() < until:
-                self.loop.at(min(until, self.loop.clock() + trouble.every / 2), lambda: turn(not on and not over()))
+            if fault.every and self.loop.clock() < until:
+                self.loop.at(
+                    min(until, self.loop.clock() + fault.every / 2), lambda: set_condition(not on and not ended())
+                )
 
-        def over() -> bool:
+        def ended() -> bool:
             return self.loop.clock() >= until
 
-        turn(True)
-        if not trouble.every:
-            self.loop.after(trouble.lasts, lambda: turn(False))
+        set_condition(True)
+        if not fault.every:
+            self.loop.after(fault.lasts, lambda: set_condition(False))
 
-    def _begin_crash(self, trouble: says.Crash) -> None:
-        numbers = self._some(trouble.whom)
-        self._band(trouble.down, f"crash x{len(numbers)}")
+    def _begin_crash(self, fault: scenarios.Crash) -> None:
+        numbers = self._select_servers(fault.whom)
+        self._record_fault(fault.down, f"crash x{len(numbers)}")
         for n in numbers:
-            self._die(n, trouble.down)
+            self._crash(n, fault.down)
 
-    def _die(self, number: int, down: float) -> None:
-        """Dies, and is back at its address after a while."""
+    def _crash(self, number: int, seconds: float) -> None:
+        """Stops a server, and restarts it at its address after `seconds`."""
         self.servers[number].stop()
-        self._tell(number, "gone")
-        self.loop.after(down, lambda: self._back(number))
+        self._update_roster(number, "gone")
+        self.loop.after(seconds, lambda: self._restart(number))
 
-    def _back(self, number: int) -> None:
+    def _restart(self, number: int) -> None:
         if self.servers[number].up:
             return
         self.servers[number].start(cold=True)
-        self._tell(number, "ready")
+        self._update_roster(number, "ready")
 
-    def _begin_deploy(self, trouble: says.Deploy) -> None:
-        numbers = self._some(trouble.whom)
-        batches = [numbers[k : k + trouble.batch] for k in range(0, len(numbers), trouble.batch)]
-        self._band(len(batches) * trouble.every + trouble.drain + trouble.down, f"deploy of {len(numbers)}")
+    def _begin_deploy(self, fault: scenarios.Deploy) -> None:
+        numbers = self._select_servers(fault.whom)
+        batches = [numbers[k : k + fault.batch] for k in range(0, len(numbers), fault.batch)]
+        self._record_fault(len(batches) * fault.every + fault.drain + fault.down, f"deploy of {len(numbers)}")
         for k, batch in enumerate(batches):
             for n in batch:
-                follow = lambda n=n: self.loop.after(trouble.down, lambda: self._succeed(n))  # noqa: E731
-                self.loop.after(k * trouble.every, lambda n=n, follow=follow: self._drain(n, trouble.drain, follow))
+                start_successor = lambda n=n: self.loop.after(fault.down, lambda: self._start_successor(n))  # noqa: E731
+                self.loop.after(
+                    k * fault.every,
+                    lambda n=n, start_successor=start_successor: self._drain(n, fault.drain, start_successor),
+                )
 
-    def _drain(self, number: int, drain: float, then: Callable[[], object]) -> None:
+    def _drain(self, number: int, seconds: float, on_stopped: Callable[[], object]) -> None:
         if self.states[number] != "ready":
             return
-        self._tell(number, "draining")
+        self._update_roster(number, "draining")
 
-        def die() -> None:
+        def stop() -> None:
             self.servers[number].stop()
-            self._tell(number, "gone")
-            then()
+            self._update_roster(number, "gone")
+            on_stopped()
 
-        self.loop.after(drain, die)
+        self.loop.after(seconds, stop)
 
-    def _succeed(self, number: int) -> None:
-        """A successor at a new address, in the zone of the one that it follows."""
+    def _start_successor(self, number: int) -> None:
+        """Starts a successor at a new address, in the zone of the server that it replaces."""
         zone = self.cast.zone_of_server(number)
-        while self.cast.zone_of_server(self.successors) != zone:
-            self.successors += 1
-        self._add(self.successors)
+        while self.cast.zone_of_server(self.next_number) != zone:
+            self.next_number += 1
+        self._start_new_server(self.next_number)
 
-    def _add(self, number: int) -> None:
-        self.successors = number + 1
+    def _start_new_server(self, number: int) -> None:
+        self.next_number = number + 1
         self._new_server(number, cold=True)
-        self._tell(number)
+        self._update_roster(number)
 
-    def _begin_drain(self, trouble: says.Drain) -> None:
-        numbers = self._some(trouble.whom)
-        self._band(trouble.lasts, f"drain of {len(numbers)}")
+    def _begin_drain(self, fault: scenarios.Drain) -> None:
+        numbers = self._select_servers(fault.whom)
+        self._record_fault(fault.lasts, f"drain of {len(numbers)}")
         for n in numbers:
-            self._drain(n, trouble.drain, lambda: None)
-            self.loop.after(max(trouble.lasts, trouble.drain + 0.1), lambda n=n: self._back(n))
+            self._drain(n, fault.drain, lambda: None)
+            self.loop.after(max(fault.lasts, fault.drain + 0.1), lambda n=n: self._restart(n))
 
-    def _begin_shrink(self, trouble: says.Shrink) -> None:
-        numbers = self._some(trouble.whom)
-        self._band(len(numbers) * trouble.every + trouble.drain, f"{len(numbers)} fewer")
+    def _begin_shrink(self, fault: scenarios.Shrink) -> None:
+        numbers = self._select_servers(fault.whom)
+        self._record_fault(len(numbers) * fault.every + fault.drain, f"{len(numbers)} fewer")
         for k, n in enumerate(numbers):
-            self.loop.after(k * trouble.every, lambda n=n: self._drain(n, trouble.drain, lambda: None))
-
-    def _begin_grow(self, trouble: says.Grow) -> None:
-        self._band(trouble.servers * trouble.every, f"{trouble.servers} more")
-        for k in range(trouble.servers):
-            self.loop.after(k * trouble.every, lambda: self._add(self.successors))
-
-    def _begin_zonelost(self, trouble: says.ZoneLost) -> None:
-        self._band(trouble.lasts, f"zone {trouble.zone} lost")
-        for n in self._some(says.Whom(share=1.0, zone=trouble.zone)):
-            self._die(n, trouble.lasts)
-        self._link(says.Link(trouble.at, trouble.lasts, trouble.zone, "", cut=True))
-
-    def _begin_link(self, trouble: says.Link) -> None:
-        parts = [f"+{trouble.delay * 1000:.0f} ms"] * (trouble.delay > 0) + [f"loss {trouble.loss}"] * (
-            trouble.loss > 0
-        )
-        way = "<>" if trouble.both else ">"
-        what = "cut" if trouble.cut else " ".join(parts)
-        self._band(trouble.lasts, f"{trouble.here or 'all'}{way}{trouble.there or 'all'} {what}")
-        self._link(trouble)
-
-    def _link(self, link: says.Link) -> None:
-        if link.cut:
+            self.loop.after(k * fault.every, lambda n=n: self._drain(n, fault.drain, lambda: None))
+
+    def _begin_grow(self, fault: scenarios.Grow) -> None:
+        self._record_fault(fault.servers * fault.every, f"{fault.servers} more")
+        for k in range(fault.servers):
+            self.loop.after(k * fault.every, lambda: self._start_new_server(self.next_number))
+
+    def _begin_zonelost(self, fault: scenarios.ZoneLost) -> None:
+        self._record_fault(fault.lasts, f"zone {fault.zone} lost")
+        for n in self._select_servers(scenarios.Whom(share=1.0, zone=fault.zone)):
+            self._crash(n, fault.lasts)
+        self._apply_link_fault(scenarios.Link(fault.at, fault.lasts, fault.zone, "", cut=True))
+
+    def _begin_link(self, fault: scenarios.Link) -> None:
+        parts = [f"+{fault.delay * 1000:.0f} ms"] * (fault.delay > 0) + [f"loss {fault.loss}"] * (fault.loss > 0)
+        way = "<>" if fault.both else ">"
+        what = "cut" if fault.cut else " ".join(parts)
+        self._record_fault(fault.lasts, f"{fault.here or 'all'}{way}{fault.there or 'all'} {what}")
+        self._apply_link_fault(fault)
+
+    def _apply_link_fault(self, fault: scenarios.Link) -> None:
+        if fault.cut:
             for place in self.places:
-                ends = (link.here, link.there)
-                for who, control in enumerate(map(says.control_zone, range(self.scenario.fleet.supervisors))):
+                ends = (fault.here, fault.there)
+                for supervisor, control in enumerate(
+                    map(scenarios.control_zone, range(self.scenario.fleet.supervisors))
+                ):
                     if control not in ends and "" not in ends:
                         continue
-                    other = ends[0] if ends[1] == control else ends[1] if ends[0] == control else ""
-                    if place.zone in (other or place.zone, *ends) and (control in ends or place.zone in ends):
-                        self.cuts.append((place.number, who, self.now))
-        self.ground.link(link, True)
-        self.loop.after(link.lasts, lambda: self.ground.link(link, False))
+                    peer = ends[0] if ends[1] == control else ends[1] if ends[0] == control else ""
+                    if place.zone in (peer or place.zone, *ends) and (control in ends or place.zone in ends):
+                        self.cuts.append((place.number, supervisor, self.now))
+        self.environment.set_link_fault(fault, True)
+        self.loop.after(fault.lasts, lambda: self.environment.set_link_fault(fault, False))
 
-    def _begin_lateroster(self, trouble: says.LateRoster) -> None:
-        self._band(trouble.lasts, f"roster {trouble.by:g} s late")
-        self.roster.lag += trouble.by
+    def _begin_lateroster(self, fault: scenarios.LateRoster) -> None:
+        self._record_fault(fault.lasts, f"roster {fault.by:g} s late")
+        self.roster.lag += fault.by
 
-        def over() -> None:
-            self.roster.lag -= trouble.by
+        def restore() -> None:
+            self.roster.lag -= fault.by
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(fault.lasts, restore)
 
-    def _begin_lyingroster(self, trouble: says.LyingRoster) -> None:
-        numbers = self._some(trouble.whom)
-        self._band(trouble.lasts, f"roster: {len(numbers)} {trouble.says}")
+    def _begin_lyingroster(self, fault: scenarios.LyingRoster) -> None:
+        numbers = self._select_servers(fault.whom)
+        self._record_fault(fault.lasts, f"roster: {len(numbers)} {fault.says}")
         for n in numbers:
-            listed = self._listed(n)
-            if trouble.says == "started just now":
-                listed.started = self.ground.unix(self.loop.clock()) + self.step
+            listing = self._listing(n)
+            if fault.says == "started just now":
+                listing.started = self.environment.unix_time(self.loop.clock()) + self.clock_offset
             else:
-                listed.state = trouble.says
-            self.shown[n] = listed
-            self._tell(n)
+                listing.state = fault.says
+            self.false_listings[n] = listing
+            self._update_roster(n)
 
-        def over() -> None:
+        def restore() -> None:
             for n in numbers:
-                self.shown.pop(n, None)
-                self._tell(n)
+                self.false_listings.pop(n, None)
+                self._update_roster(n)
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(fault.lasts, restore)
 
-    def _begin_clock(self, trouble: says.Clock) -> None:
-        self._band(trouble.lasts, f"roster's clock {trouble.step:+g} s")
-        self.step += trouble.step
+    def _begin_clock(self, fault: scenarios.Clock) -> None:
+        self._record_fault(fault.lasts, f"roster's clock {fault.step:+g} s")
+        self.clock_offset += fault.step
 
-        def over() -> None:
-            self.step -= trouble.step
+        def restore() -> None:
+            self.clock_offset -= fault.step
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(fault.lasts, restore)
 
-    def _begin_lapse(self, trouble: says.Lapse) -> None:
-        names = [self.cast.server(n) for n in self._some(trouble.whom)]
-        self._band(max(0.2, trouble.within), f"{len(names)} sessions end")
+    def _begin_lapse(self, fault: scenarios.Lapse) -> None:
+        names = [self.cast.server(n) for n in self._select_servers(fault.whom)]
+        self._record_fault(max(0.2, fault.within), f"{len(names)} sessions end")
         for name in names:
             end = lambda name=name: name in self.roster.announcers and self.roster.end_session(name)  # noqa: E731
-            self.loop.after(self.random.uniform(0, trouble.within), end)
+            self.loop.after(self.random.uniform(0, fault.within), end)
 
-    def _begin_storedown(self, trouble: says.StoreDown) -> None:
-        self._band(trouble.down, "store killed")
-        self.ground.kill_store()
-        self.loop.after(trouble.down, self.ground.start_store)
+    def _begin_storedown(self, fault: scenarios.StoreDown) -> None:
+        self._record_fault(fault.down, "store killed")
+        self.environment.kill_store()
+        self.loop.after(fault.down, self.environment.start_store)
 
-    def _begin_storepause(self, trouble: says.StorePause) -> None:
-        self._band(trouble.lasts, "store still")
-        self.ground.pause_store(trouble.lasts)
+    def _begin_storepause(self, fault: scenarios.StorePause) -> None:
+        self._record_fault(fault.lasts, "store still")
+        self.environment.pause_store(fault.lasts)
 
     @staticmethod
-    def _supervisor(which: int) -> str:
+    def _supervisor_label(which: int) -> str:
         return f"supervisor {which}" if which else "supervisor"
 
-    def _begin_kill(self, trouble: says.Kill) -> None:
-        if trouble.which in self.dead:
-            return  # it is not there to be killed, and is started anew already
-        self.dead.add(trouble.which)
-        self._band(trouble.down, f"{self._supervisor(trouble.which)} killed")
-        self.kills.append((trouble.which, self.now))
-        self.ground.kill_supervisor(trouble.which)
+    def _begin_kill(self, fault: scenarios.Kill) -> None:
+        if fault.which in self.killed_supervisors:
+            return  # already killed, and its restart is scheduled
+        self.killed_supervisors.add(fault.which)
+        self._record_fault(fault.down, f"{self._supervisor_label(fault.which)} killed")
+        self.kills.append((fault.which, self.now))
+        self.environment.kill_supervisor(fault.which)
 
         def start() -> None:
-            self.dead.discard(trouble.which)
-            self.ground.start_supervisor(self.random.getrandbits(32), trouble.which)
+            self.killed_supervisors.discard(fault.which)
+            self.environment.start_supervisor(self.random.getrandbits(32), fault.which)
 
-        self.loop.after(trouble.down, start)
+        self.loop.after(fault.down, start)
 
-    def _begin_pause(self, trouble: says.Pause) -> None:
-        if trouble.who == "supervisor":
-            self._band(trouble.lasts, f"{self._supervisor(trouble.which)} still")
+    def _begin_pause(self, fault: scenarios.Pause) -> None:
+        if fault.who == "supervisor":
+            self._record_fault(fault.lasts, f"{self._supervisor_label(fault.which)} still")
             if self.scenario.fleet.store:
-                self.pauses.append((trouble.which, self.now, self.now + trouble.lasts))
-            self.ground.pause_supervisor(trouble.lasts, trouble.which)
+                self.pauses.append((fault.which, self.now, self.now + fault.lasts))
+            self.environment.pause_supervisor(fault.lasts, fault.which)
             return
-        numbers = self._some_proxies(trouble.share)
-        self._band(trouble.lasts, f"{len(numbers)} proxies still")
+        numbers = self._select_proxies(fault.share)
+        self._record_fault(fault.lasts, f"{len(numbers)} proxies still")
         self.cuts += [(number, None, self.now) for number in numbers]
-        self.ground.pause_proxies(numbers, trouble.lasts)
+        self.environment.pause_proxies(numbers, fault.lasts)
 
-    def _some_proxies(self, share: float) -> list[int]:
+    def _select_proxies(self, share: float) -> list[int]:
         return sorted(self.random.sample(range(len(self.places)), max(1, round(share * len(self.places)))))
 
-    def _begin_rejoin(self, trouble: says.Rejoin) -> None:
-        numbers = self._some_proxies(trouble.share)
-        self._band(0.2, f"{len(numbers)} proxies rejoin")
-        self.ground.rejoin(numbers)
+    def _begin_rejoin(self, fault: scenarios.Rejoin) -> None:
+        numbers = self._select_proxies(fault.share)
+        self._record_fault(0.2, f"{len(numbers)} proxies rejoin")
+        self.environment.reset_proxy_streams(numbers)
 
-    def _begin_surge(self, trouble: says.Surge) -> None:
-        self._band(trouble.lasts, f"x{trouble.times:g} {trouble.operation}".strip())
+    def _begin_surge(self, fault: scenarios.Surge) -> None:
+        self._record_fault(fault.lasts, f"x{fault.times:g} {fault.operation}".strip())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,8 +19,8 @@
 from driftshed.lab.compare import bootstrap, compare
 from driftshed.lab.grounds import VirtualGround
 from driftshed.lab.hunt import breaks_same, keep, mutate, shrink
-from driftshed.lab.load import Lag, draw
-from driftshed.lab.run import run, worst_of
+from driftshed.lab.load import Lag, generate_arrivals
+from driftshed.lab.run import run, worst_service
 from driftshed.lab.scenario import (
     BadScenario,
     Crash,
@@ -354,7 +354,7 @@
 
 
 def all_of(traffic, surges=(), seconds=90.0, seed=1, rates=(1.0, 3.0)):
-    parts = list(draw(traffic, OPERATIONS, list(rates), list(surges), seconds, seed))
+    parts = list(generate_arrivals(traffic, OPERATIONS, list(rates), list(surges), seconds, seed))
     return [np.concatenate(column) for column in zip(*parts, strict=True)]
 
 
@@ -385,9 +385,11 @@
 
 def test_arrivals_are_the_same_again_and_in_another_process():
     code = (
-        "import hashlib; from driftshed.lab.scenario import bare_day; from driftshed.lab.load import draw\n"
+        "import hashlib; from driftshed.lab.scenario import bare_day; "
+        "from driftshed.lab.load import generate_arrivals\n"
         "d = bare_day('tiny'); h = hashlib.md5()\n"
-        "[h.update(c.tobytes()) for p in draw(d.traffic, d.facts.operations, [1.0, 2.0], [], 40.0, 9) for c in p]\n"
+        "[h.update(c.tobytes()) "
+        "for p in generate_arrivals(d.traffic, d.facts.operations, [1.0, 2.0], [], 40.0, 9) for c in p]\n"
         "print(h.hexdigest())"
     )
     said = {
@@ -436,7 +438,7 @@
     world = World(day, 1, ground)
     world.open()
     rows = []
-    world.load.row = lambda *row: rows.append(row)
+    world.load.on_result = lambda *row: rows.append(row)
     ground.loop.hold_still(2.0)  # the tool itself stands still: coordinated omission would hide it
     ground.whole.run(day.seconds + 2.5)
     early = [took for intended, _, took, _ in rows if intended < 1.0 and took is not None]
@@ -633,7 +635,7 @@
 
 def test_the_worst_ten_seconds_are_found():
     rows = [(1.0, 1.0)] * 20 + [(0.0, 1.0)] * 5 + [(1.0, 1.0)] * 20
-    assert worst_of(rows) == 0.5 and worst_of([(0.0, 0.0)] * 30) == 1.0
+    assert worst_service(rows) == 0.5 and worst_service([(0.0, 0.0)] * 30) == 1.0
 
 
 # ---- experiments -----------------------------------------------------------------------------------------------
@@ -834,7 +836,7 @@
         more = [] if arguments[0] == "load" else ["--store", store]
         said = CliRunner().invoke(main, ["lab", *arguments, *more])
         assert said.exit_code == 2 and "Error" in said.output, arguments
-    with pytest.raises(BadScenario, match="for real"):
+    with pytest.raises(BadScenario, match="with real processes"):
         day = read_scenario(SMALL, "small")
         day.troubles = [Link(1.0, 1.0, "east", "west", loss=0.1)]
         run(day, 1, "real")
