--- a/driftshed/lab/baselines.py
+++ b/driftshed/lab/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with. They stand where the deciding module stands, and none of them is the product."""
+"""Baseline policies for comparison. They replace the decisions module; none is part of the product."""
 
 from __future__ import annotations
 
@@ -10,47 +10,52 @@
 
 
 class AllToAll:
-    """Tells every proxy every server that is listed ready, with equal weights, and nothing else."""
+    """Lists every ready server to every proxy with equal weights, and decides nothing else."""
 
     def __init__(self, facts: face.StartFacts, seed: int, now: float) -> None:
+        """Takes the arguments of the decisions module; only the listings matter."""
         self.ready: dict[face.Server, None] = {}
 
     def handle(self, now: float, events: list) -> list:
+        """Returns the orders that follow from the events: lines for listings, the shared table for proxies that
+        join."""
         orders: list = []
         for event in events:
             if isinstance(event, face.Listing):
-                orders += self._listed(event)
+                orders += self._apply_listing(event)
             elif isinstance(event, face.Joined):
                 orders.append(face.UseTable(face.ALL_OPERATIONS, 0, event.proxy))
         return orders
 
-    def _listed(self, listing: face.Listing) -> list:
-        named = {entry.server: entry.state for entry in listing.entries}
-        gone = [] if listing.kind == face.DELTA else [server for server in self.ready if server not in named]
-        gone += [server for server, state in named.items() if state != face.READY and server in self.ready]
-        new = [server for server, state in named.items() if state == face.READY and server not in self.ready]
+    def _apply_listing(self, listing: face.Listing) -> list:
+        states = {entry.server: entry.state for entry in listing.entries}
+        gone = [] if listing.kind == face.DELTA else [server for server in self.ready if server not in states]
+        gone += [server for server, state in states.items() if state != face.READY and server in self.ready]
+        new = [server for server, state in states.items() if state == face.READY and server not in self.ready]
         for server in gone:
             del self.ready[server]
         self.ready |= dict.fromkeys(new)
         return [face.SetLine(s, 0.0, 0) for s in gone] + [face.SetLine(s, 1.0, 0) for s in new]
 
 
-class Least(Weighted):
-    """The line with the fewest of this proxy's own invocations out; by chance where several have."""
+class LeastOutstanding(Weighted):
+    """Picks the line with the fewest outstanding invocations of this proxy, at random among equals."""
 
     def __init__(self, weights: Weights, random: Random) -> None:
+        """`random` breaks ties."""
         super().__init__(weights, random)
 
     def pick(self, but: list[str], out: dict[str, int]) -> str | None:
+        """A server not in `but`, by the outstanding invocations in `out`; None where there is none."""
         names = [name for name in self.weights.place if name not in but]
         if not names:
             return None
-        least = min(out.get(name, 0) for name in names)
-        return self.random.choice([name for name in names if out.get(name, 0) == least])
+        fewest = min(out.get(name, 0) for name in names)
+        return self.random.choice([name for name in names if out.get(name, 0) == fewest])
 
 
 class Policy(NamedTuple):
-    """`brain`: None for the module; `pick`: None as the flags say."""
+    """`brain`: the decisions module, None for that of the product; `pick`: None as the flags set it."""
 
     brain: type | None
     pick: type | None
@@ -61,6 +66,6 @@
     "driftshed": Policy(None, None, "the product"),
     "all-to-all": Policy(AllToAll, Weighted, "all ready servers to all proxies, drawn at random"),
     "round-robin": Policy(AllToAll, Round, "all ready servers to all proxies, in turn"),
-    "least-out": Policy(AllToAll, Least, "all ready servers, the one with the fewest own invocations out"),
+    "least-out": Policy(AllToAll, LeastOutstanding, "all ready servers, the one with the fewest own invocations out"),
     "two-drawn": Policy(AllToAll, Two, "all ready servers, the better of two drawn at random"),
 }
--- a/driftshed/lab/command.py
+++ b/driftshed/lab/command.py
@@ -1,4 +1,4 @@
-"""`driftshed lab ...`: runs, comparisons, reports, hunts, and the load tool by itself."""
+"""`driftshed lab ...`: runs, comparisons, reports, adversarial search, and the load generator by itself."""
 
 from __future__ import annotations
 
@@ -14,24 +14,23 @@
 
 from driftshed.common.options import option
 from driftshed.lab.compare import compare
-from driftshed.lab.experiment import Experiment, Variant, perform
-from driftshed.lab.hunt import hunt as search
-from driftshed.lab.hunt import keep
+from driftshed.lab.experiment import Experiment, Variant, run_pending
+from driftshed.lab.hunt import save_day, search
 from driftshed.lab.run import Outcome
-from driftshed.lab.scenario import SIZES, BadScenario, bare_day, drawn, load_scenario, write_scenario
-from driftshed.lab.store import Job, Row, Store
+from driftshed.lab.scenario import SIZES, BadScenario, bare_day, drawn, format_scenario, load_scenario
+from driftshed.lab.store import Job, RunRow, RunStore
 
-STORE = Path("lab.sqlite")
-THERE = click.Path(exists=True, dir_okay=False, path_type=Path)
+DEFAULT_STORE = Path("lab.sqlite")
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group()
 def lab() -> None:
-    """Tries things out: emulated fleets with troubles, in virtual time or for real."""
+    """Runs emulated fleets with faults, in virtual time or as real processes."""
 
 
 def _seeds(text: str) -> list[int]:
-    """ "1-5,8" as a list."""
+    """ "1-5,8" as a list. Raises click.BadParameter."""
     try:
         seeds = []
         for part in text.split(","):
@@ -45,7 +44,7 @@
 
 
 def _variant(text: str) -> Variant:
-    """ "NAME:policy=two-drawn,warm-within=4" as a variant."""
+    """ "NAME:policy=two-drawn,warm-within=4" as a variant. Raises click.BadParameter."""
     name, _, rest = text.partition(":")
     variant = Variant(name)
     for part in filter(None, rest.split(",")):
@@ -69,14 +68,16 @@
 
 @lab.command()
 @click.argument("scenarios", nargs=-1)
-@option("seeds", default=None, help="such as 1-20; unless given, the scenario's own")
+@option("seeds", default=None, help="such as 1-20; default: the scenario's own")
 @option("variant", "variants", multiple=True, help="NAME:policy=P,build=FOLDER,FLAG=VALUE; several are compared")
-@option("drawn", "size", type=click.Choice(list(SIZES)), default=None, help="days of this size, drawn for each seed")
+@option(
+    "drawn", "size", type=click.Choice(list(SIZES)), default=None, help="random days of this size, one for each seed"
+)
 @option("clock", type=click.Choice(["virtual", "real"]), default="virtual", help="virtual time, or real processes")
 @option("experiment", "file", type=click.Path(dir_okay=False, path_type=Path), help="all of this, from a TOML file")
-@option("store", type=click.Path(dir_okay=False, path_type=Path), default=STORE, help="where runs are kept")
-@option("label", default="", help="of the experiment in the store; what it holds is not run again")
-@option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="runs at a time")
+@option("store", type=click.Path(dir_okay=False, path_type=Path), default=DEFAULT_STORE, help="file of stored runs")
+@option("label", default="", help="of the experiment in the store; its completed runs are not repeated")
+@option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="concurrent runs")
 @click.option("--json", "as_json", is_flag=True, help="print one object a run and nothing else")
 def run(
     scenarios: tuple[str, ...],
@@ -90,55 +91,55 @@
     jobs: int,
     as_json: bool,
 ) -> None:
-    """Runs SCENARIOS (names or files) x variants x seeds and keeps the outcomes. Exit code: 0 when every rule is kept
-    and every run counts, 1 otherwise, 2 on bad input."""
+    """Runs SCENARIOS (names or files) x variants x seeds and stores the outcomes. Exit code: 0 when every rule is kept
+    and every run counts, 1 otherwise, 2 on invalid input."""
     try:
         if file is not None:
-            plan = _experiment(file)
+            matrix = _experiment(file)
         else:
             if not scenarios and not size:
                 raise click.BadParameter("name a scenario, or give --drawn or --experiment", param_hint="SCENARIOS")
-            own = load_scenario(scenarios[0]).seed if scenarios else 1
-            plan = Experiment(
+            default_seed = load_scenario(scenarios[0]).seed if scenarios else 1
+            matrix = Experiment(
                 label or "+".join([Path(s).stem for s in scenarios] + [f"drawn-{size}"] * bool(size)),
-                _seeds(seeds) if seeds else [own],
+                _seeds(seeds) if seeds else [default_seed],
                 [_variant(each) for each in variants] or [Variant("driftshed")],
                 list(scenarios),
                 size or "",
                 clock,
             )
-        planned = plan.jobs()
+        matrix_jobs = matrix.jobs()
     except BadScenario as error:
         raise click.BadParameter(str(error), param_hint="SCENARIOS") from None
-    kept = _open(store)
-    kept.plan(planned)
-    bad = _run_all(kept, plan.name, jobs, as_json)
-    rows = kept.rows(plan.name)
+    run_store = _open_store(store)
+    run_store.add_jobs(matrix_jobs)
+    failures = _run_all(run_store, matrix.name, jobs, as_json)
+    rows = run_store.rows(matrix.name)
     if not as_json:
         _print_rows(rows)
-        click.echo(f"kept in {store}; see `driftshed lab report --store {store} --run {rows[-1].id}`")
-    sys.exit(1 if bad or any(row.broken or not row.counts for row in rows) else 0)
+        click.echo(f"stored in {store}; see `driftshed lab report --store {store} --run {rows[-1].id}`")
+    sys.exit(1 if failures or any(row.broken or not row.counts for row in rows) else 0)
 
 
-def _open(path: Path) -> Store:
+def _open_store(path: Path) -> RunStore:
     import sqlite3
 
     try:
-        return Store(path)
+        return RunStore(path)
     except sqlite3.Error as error:
         raise click.BadParameter(f"{path}: {error}; name a file that can be written", param_hint="--store") from None
 
 
-def _run_all(store: Store, label: str, jobs: int, as_json: bool) -> int:
+def _run_all(store: RunStore, label: str, jobs: int, as_json: bool) -> int:
     import signal
 
     from rich.console import Console
     from rich.progress import MofNCompleteColumn, Progress, TimeRemainingColumn
 
-    def end(number: int, frame: object) -> None:
-        raise KeyboardInterrupt  # the runs under way are ended with us
+    def interrupt(number: int, frame: object) -> None:
+        raise KeyboardInterrupt  # run_pending then kills the runs under way
 
-    signal.signal(signal.SIGTERM, end)
+    signal.signal(signal.SIGTERM, interrupt)
 
     console = Console(stderr=True)
     with Progress(
@@ -148,9 +149,9 @@
         console=console,
         disable=as_json,
     ) as progress:
-        task = progress.add_task(label, total=len(store.to_do(label)))
+        task = progress.add_task(label, total=len(store.pending_jobs(label)))
 
-        def told(job: Job, outcome: Outcome | None, why: str) -> None:
+        def on_done(job: Job, outcome: Outcome | None, why: str) -> None:
             progress.advance(task)
             if outcome is None:
                 console.print(f"{job.scenario}, seed {job.seed}, {job.variant}: {why}", markup=False)
@@ -175,10 +176,10 @@
                     )
                 )
 
-        return perform(store, label, jobs, told)
+        return run_pending(store, label, jobs, on_done)
 
 
-def _print_rows(rows: list[Row]) -> None:
+def _print_rows(rows: list[RunRow]) -> None:
     from rich.console import Console
     from rich.table import Table
 
@@ -187,8 +188,8 @@
         if row.state != "done":
             table.add_row(str(row.id), row.scenario, str(row.seed), row.variant, row.clock, row.state, "", "", row.why)
             continue
-        said = f"{row.broken} broken" if row.broken else "kept"
-        said += "" if row.counts else "; does not count: the load tool fell behind"
+        rules = f"{row.broken} broken" if row.broken else "kept"
+        rules += "" if row.counts else "; does not count: the load generator lagged behind"
         table.add_row(
             str(row.id),
             row.scenario,
@@ -198,7 +199,7 @@
             f"{row.service:.3f}",
             f"{row.worst:.3f}",
             f"{row.bound:.3f}",
-            said,
+            rules,
             f"{row.wall:.1f} s",
         )
     Console(width=150 if not sys.stdout.isatty() else None).print(table)
@@ -207,40 +208,40 @@
 @lab.command(name="compare")
 @click.argument("a")
 @click.argument("b")
-@option("store", type=THERE, default=STORE, help="where runs are kept")
-@option("label", default=None, help="of one experiment; else all that the store holds")
+@option("store", type=EXISTING_FILE, default=DEFAULT_STORE, help="file of stored runs")
+@option("label", default=None, help="of one experiment; default: all in the store")
 def compare_command(a: str, b: str, store: Path, label: str | None) -> None:
-    """How variant B does against variant A on the same days: mean differences with intervals of 95%."""
-    rows = _open(store).rows(label)
+    """Compares variant B with variant A on the same days: mean differences with intervals of 95%."""
+    rows = _open_store(store).rows(label)
     known = sorted({row.variant for row in rows})
     for name in (a, b):
         if name not in known:
-            raise click.BadParameter(f"{name!r} is none of {', '.join(known)}")
-    found, left_out = compare(rows, a, b)
-    click.echo(f"{b} against {a}, {found[0].pairs} days; {left_out} left out")
-    for each in found:
-        numbers = f"{each.a:8.4f} {each.b:8.4f} {each.difference:+8.4f}  [{each.low:+.4f}, {each.high:+.4f}]"
-        click.echo(f"  {each.what:8} {numbers}  {each.verdict}")
+            raise click.BadParameter(f"{name!r} is not one of {', '.join(known)}")
+    comparisons, left_out = compare(rows, a, b)
+    click.echo(f"{b} against {a}, {comparisons[0].pairs} days; {left_out} left out")
+    for row in comparisons:
+        numbers = f"{row.a:8.4f} {row.b:8.4f} {row.difference:+8.4f}  [{row.low:+.4f}, {row.high:+.4f}]"
+        click.echo(f"  {row.what:8} {numbers}  {row.verdict}")
 
 
 @lab.command()
-@option("run", "runs", type=int, multiple=True, required=True, help="number of a run; two stand side by side")
-@option("store", type=THERE, default=STORE, help="where runs are kept")
+@option("run", "runs", type=int, multiple=True, required=True, help="number of a run; two are shown side by side")
+@option("store", type=EXISTING_FILE, default=DEFAULT_STORE, help="file of stored runs")
 @option("out", type=click.Path(dir_okay=False, path_type=Path), default=Path("lab.html"), help="the page")
-@option("pictures", type=click.Path(file_okay=False, path_type=Path), default=None, help="PNG files into this folder")
+@option("pictures", type=click.Path(file_okay=False, path_type=Path), default=None, help="folder for PNG files")
 def report(runs: tuple[int, ...], store: Path, out: Path, pictures: Path | None) -> None:
     """Writes one page of HTML about a run, or about two side by side."""
     from driftshed.lab.report import write_report
 
-    kept = _open(store)
+    run_store = _open_store(store)
     if len(runs) > 2:
         raise click.BadParameter("one run, or two", param_hint="--run")
-    rows = {row.id: row for row in kept.rows()}
+    rows = {row.id: row for row in run_store.rows()}
     outcomes = []
     for number in runs:
-        outcome = kept.outcome(number)
+        outcome = run_store.outcome(number)
         if outcome is None:
-            raise click.BadParameter(f"{number}: no such run, or not done; see `lab list`", param_hint="--run")
+            raise click.BadParameter(f"{number}: no such run, or not completed; see `lab list`", param_hint="--run")
         row = rows[number]
         outcomes.append((f"{row.scenario}, {row.variant}, seed {row.seed}, {row.clock}", outcome))
     try:
@@ -252,11 +253,11 @@
 
 
 @lab.command(name="list")
-@option("store", type=THERE, default=STORE, help="where runs are kept")
+@option("store", type=EXISTING_FILE, default=DEFAULT_STORE, help="file of stored runs")
 @option("label", default=None, help="of one experiment")
 def list_command(store: Path, label: str | None) -> None:
-    """What a store holds."""
-    _print_rows(_open(store).rows(label))
+    """Lists the runs of a store."""
+    _print_rows(_open_store(store).rows(label))
 
 
 @lab.command()
@@ -265,19 +266,21 @@
 @option("rounds", type=click.IntRange(1, 10000), default=5, help="of mutation")
 @option("width", type=click.IntRange(1, 1000), default=8, help="days a round")
 @option("seconds", type=click.FloatRange(6, 3600), default=None, help="of a day, unless its size's own")
-@option("gap", type=click.FloatRange(0, 1), default=0.35, help="service lost of what could be had that is a finding")
-@option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="runs at a time")
-@option("out", type=click.Path(file_okay=False, path_type=Path), default=Path("hunt"), help="folder of what is found")
+@option(
+    "gap", type=click.FloatRange(0, 1), default=0.35, help="share of the achievable service whose loss is a finding"
+)
+@option("jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="concurrent runs")
+@option("out", type=click.Path(file_okay=False, path_type=Path), default=Path("hunt"), help="folder of findings")
 def hunt(
     size: str, seed: int, rounds: int, width: int, seconds: float | None, gap: float, jobs: int, out: Path
 ) -> None:
-    """Searches for days on which rules break or service is far under what could be had, and keeps them, made small, as
+    """Searches for days on which rules break or service is far below its upper bound, and saves them, shrunk, as
     scenario files. Exit code: 0 when no rule broke, 1 when one did."""
     with ThreadPoolExecutor(jobs) as pool:
         found = search(size, seed, rounds, pool, lambda text: click.echo(text, err=True), gap, seconds, width)
     for day in found:
-        path = keep(day, out)
-        click.echo(f"{path}: {day.scenario.about}; {len(day.scenario.troubles)} troubles, {day.scenario.seconds:g} s")
+        path = save_day(day, out)
+        click.echo(f"{path}: {day.scenario.about}; {len(day.scenario.troubles)} faults, {day.scenario.seconds:g} s")
     if not found:
         click.echo("nothing was found")
     sys.exit(1 if any(not day.outcome.kept for day in found) else 0)
@@ -285,12 +288,12 @@
 
 @lab.command()
 @option("size", type=click.Choice(list(SIZES)), default="small", help="of the day")
-@option("seed", type=click.IntRange(0, 2**31), default=0, help="0: without troubles; else they are drawn by it")
+@option("seed", type=click.IntRange(0, 2**31), default=0, help="0: without faults; else it draws them")
 @option("seconds", type=click.FloatRange(3, 86400), default=None, help="of the day, unless its size's own")
 def draw(size: str, seed: int, seconds: float | None) -> None:
-    """Prints a scenario to start from."""
+    """Prints a scenario as a starting point."""
     day = drawn(seed, size, seconds) if seed else bare_day(size, seconds)
-    click.echo(write_scenario(day), nl=False)
+    click.echo(format_scenario(day), nl=False)
 
 
 @lab.command()
@@ -298,8 +301,8 @@
 @option("proxy", "proxies", multiple=True, required=True, help="address:port of a proxy's clients; several")
 @option("seed", type=click.IntRange(0, 2**31), default=1, help="of the load")
 def load(scenario: str, proxies: tuple[str, ...], seed: int) -> None:
-    """Sends the traffic of SCENARIO to proxies that run already, open loop, and prints latencies by operation. Exit
-    code: 0, 1 when the tool could not keep up and its figures do not count, 2 on bad input."""
+    """Sends the traffic of SCENARIO to running proxies, open loop, and prints latencies by operation. Exit code: 0, or
+    1 when the load generator could not keep up and its figures do not count, or 2 on invalid input."""
     from driftshed.lab.load import LoadGenerator
     from driftshed.lab.load import generate_arrivals as draw_arrivals
     from driftshed.lab.scenario import Surge
@@ -312,7 +315,7 @@
     except BadScenario as error:
         raise click.BadParameter(str(error), param_hint="SCENARIO") from None
     hosts, loop, operations = addresses(proxies, "proxy"), Loop(), day.facts.operations
-    surges = [trouble for trouble in day.troubles if isinstance(trouble, Surge)]
+    surges = [fault for fault in day.troubles if isinstance(fault, Surge)]
     arrivals = draw_arrivals(day.traffic, operations, [1.0] * len(hosts), surges, day.seconds, seed)
     generator = LoadGenerator(loop, SOCKETS, hosts, operations, arrivals, seed, day.traffic.repeats)
     began = loop.clock()
@@ -324,13 +327,13 @@
     generator.stop()
     loop.close()
     click.echo(
-        f"{generator.sent} sent, {generator.under_way} not answered; behind: p99 {generator.lag.p99 * 1000:.1f} ms, "
-        f"most {generator.lag.max * 1000:.1f} ms"
+        f"{generator.sent} sent, {generator.under_way} not answered; lag: p99 {generator.lag.p99 * 1000:.1f} ms, "
+        f"maximum {generator.lag.max * 1000:.1f} ms"
     )
     for k, operation in enumerate(operations):
-        at = [generator.histograms[k].get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)]
-        shown = " ".join(f"p{p} {value:.3f} s" for p, value in zip((50, 90, 99, 99.9), at, strict=True))
+        latencies = [generator.histograms[k].get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)]
+        shown = " ".join(f"p{p} {value:.3f} s" for p, value in zip((50, 90, 99, 99.9), latencies, strict=True))
         click.echo(f"  {operation.name:12} {generator.good_answers[k]} of {generator.requested[k]} good; {shown}")
     if not generator.lag.kept_up:
-        click.echo("the tool could not keep up: these figures do not count", err=True)
+        click.echo("the load generator could not keep up: these figures do not count", err=True)
         sys.exit(1)
--- a/driftshed/lab/compare.py
+++ b/driftshed/lab/compare.py
@@ -1,4 +1,4 @@
-"""Comparing two variants on the same days: mean of the paired differences, and how sure it is."""
+"""Compares two variants on the same days: mean of the paired differences, with a confidence interval."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import numpy as np
 
-from driftshed.lab.store import Row
+from driftshed.lab.store import RunRow
 
-FEWEST = 5  # pairs, below which nothing is said
+MIN_PAIRS = 5  # for a verdict
 RESAMPLES = 10000
-SURE = 0.95
+CONFIDENCE = 0.95
 
 
-class Compared(NamedTuple):
-    """How variant `b` does against `a`. Differences are b - a."""
+class Comparison(NamedTuple):
+    """Variant `b` compared with `a` on one figure: means, and the mean difference b - a with its interval."""
 
     what: str
     pairs: int
@@ -26,49 +26,50 @@
 
     @property
     def verdict(self) -> str:
-        if self.pairs < FEWEST:
-            return f"nothing can be said: {self.pairs} pairs, {FEWEST} are wanted"
+        """ "more" or "less" where the interval excludes 0."""
+        if self.pairs < MIN_PAIRS:
+            return f"too few pairs: {self.pairs}, at least {MIN_PAIRS} needed"
         if self.low > 0:
             return "more"
         if self.high < 0:
             return "less"
-        return "no difference that these runs tell"
+        return "no significant difference"
 
 
 def bootstrap(differences: np.ndarray, seed: int = 1) -> tuple[float, float]:
-    """The interval that the mean lies in with a probability of 0.95, by drawing the pairs again and again."""
+    """The confidence interval of the mean, by resampling the pairs; unbounded with fewer than two."""
     if len(differences) < 2:
         return float("-inf"), float("inf")
-    chance = np.random.default_rng(seed)
-    drawn = chance.integers(0, len(differences), (RESAMPLES, len(differences)))
+    rng = np.random.default_rng(seed)
+    drawn = rng.integers(0, len(differences), (RESAMPLES, len(differences)))
     means = differences[drawn].mean(axis=1)
-    low, high = np.quantile(means, [(1 - SURE) / 2, (1 + SURE) / 2])
+    low, high = np.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     return float(low), float(high)
 
 
-def paired(rows: list[Row], a: str, b: str) -> tuple[list[tuple[Row, Row]], int]:
-    """The runs of two variants on the same scenario, clock and seed, and how many had to be left out: not done, or not
-    counting since the load tool was behind."""
-    by_day: dict[tuple, dict[str, Row]] = {}
+def pair_runs(rows: list[RunRow], a: str, b: str) -> tuple[list[tuple[RunRow, RunRow]], int]:
+    """The runs of two variants on the same scenario, clock and seed, and how many days are left out: a run is
+    missing, not done, or does not count because the load generator lagged behind."""
+    by_day: dict[tuple, dict[str, RunRow]] = {}
     for row in rows:
         if row.variant in (a, b):
             by_day.setdefault((row.scenario, row.clock, row.seed), {})[row.variant] = row
-    good = [
-        (both[a], both[b])
-        for both in by_day.values()
-        if len(both) == 2 and all(row.state == "done" and row.counts for row in both.values())
+    pairs = [
+        (runs[a], runs[b])
+        for runs in by_day.values()
+        if len(runs) == 2 and all(row.state == "done" and row.counts for row in runs.values())
     ]
-    return good, len(by_day) - len(good)
+    return pairs, len(by_day) - len(pairs)
 
 
-def compare(rows: list[Row], a: str, b: str) -> tuple[list[Compared], int]:
-    """Service, the worst 10 s and broken rules of `b` against `a`, and how many days were left out."""
-    pairs, left_out = paired(rows, a, b)
+def compare(rows: list[RunRow], a: str, b: str) -> tuple[list[Comparison], int]:
+    """Compares service, the worst 10 s and broken rules of `b` with `a`; also returns how many days are left out."""
+    pairs, left_out = pair_runs(rows, a, b)
     found = []
     for what in ("service", "worst", "broken"):
         first, second = (np.array([float(getattr(pair[k], what)) for pair in pairs]) for k in (0, 1))
         difference = second - first
         low, high = bootstrap(difference)
         mean = [float(each.mean()) if len(pairs) else float("nan") for each in (first, second, difference)]
-        found.append(Compared(what, len(pairs), *mean, low, high))
+        found.append(Comparison(what, len(pairs), *mean, low, high))
     return found, left_out
--- a/driftshed/lab/experiment.py
+++ b/driftshed/lab/experiment.py
@@ -1,5 +1,5 @@
-"""Experiments: scenarios x variants x seeds, each run in a process of its own, on all cores, into one store. What is
-done is not done again, so that an experiment that was killed goes on where it was."""
+"""Experiments: scenarios x variants x seeds, each run in a process of its own, on all cores, into one store. Completed
+runs are not repeated, so a killed experiment resumes where it was."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from driftshed.lab.baselines import POLICIES
 from driftshed.lab.once import Task
 from driftshed.lab.run import Outcome
-from driftshed.lab.scenario import BadScenario, drawn, load_scenario, read_scenario, write_scenario
-from driftshed.lab.store import Job, Store
+from driftshed.lab.scenario import BadScenario, drawn, format_scenario, load_scenario, parse_scenario
+from driftshed.lab.store import Job, RunStore
 
-LONGEST = 3600.0  # seconds of one run on the wall
+RUN_TIMEOUT_S = 3600.0  # wall-clock time of one run
 
 
 class Variant(Struct, forbid_unknown_fields=True):
-    """What is compared: a policy, flags over the scenario's own, or the build in another folder."""
+    """One side of a comparison: a policy, flags set over those of the scenario, or the build in another folder."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     policy: str = "driftshed"
@@ -37,7 +37,7 @@
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
-    """A matrix. `scenarios`: names or files; `drawn`: a size of days drawn anew for each seed."""
+    """A matrix of runs. `scenarios`: names or files; `drawn`: a size of random days, one for each seed."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     seeds: Annotated[list[int], Meta(min_length=1)]
@@ -49,27 +49,27 @@
     clock: Literal["virtual", "real"] = "virtual"
 
     def jobs(self) -> list[Job]:
-        """Every run of the matrix; BadScenario where one cannot be."""
-        texts = [(name, lambda seed, name=name: write_scenario(load_scenario(name))) for name in self.scenarios]
+        """Every run of the matrix. Raises BadScenario where one is invalid."""
+        sources = [(name, lambda seed, name=name: format_scenario(load_scenario(name))) for name in self.scenarios]
         if self.drawn:
-            texts.append((f"drawn {self.drawn}", lambda seed: write_scenario(drawn(seed, self.drawn))))
+            sources.append((f"drawn {self.drawn}", lambda seed: format_scenario(drawn(seed, self.drawn))))
         jobs = []
         for variant in self.variants:
             if variant.policy not in POLICIES:
-                raise BadScenario(f"policy {variant.policy!r} is none of {', '.join(POLICIES)}")
+                raise BadScenario(f"policy {variant.policy!r} is not one of {', '.join(POLICIES)}")
             if self.clock == "real" and variant.policy != "driftshed":
-                raise BadScenario(f"policy {variant.policy!r}: baselines run in virtual time alone")
+                raise BadScenario(f"policy {variant.policy!r}: baselines run only in virtual time")
             if variant.build and not (Path(variant.build) / "driftshed" / "lab").is_dir():
-                raise BadScenario(f"build {variant.build!r}: no folder with driftshed/lab in it")
-            for name, text in texts:
+                raise BadScenario(f"build {variant.build!r}: not a folder that contains driftshed/lab")
+            for name, make_text in sources:
                 for seed in self.seeds:
-                    whole = text(seed)
-                    _check_flags(whole, variant)
+                    text = make_text(seed)
+                    _check_flags(text, variant)
                     jobs.append(
                         Job(
                             self.name,
                             name,
-                            whole,
+                            text,
                             variant.name,
                             variant.policy,
                             variant.flags,
@@ -82,17 +82,17 @@
 
 
 def _check_flags(text: str, variant: Variant) -> None:
-    scenario = read_scenario(text, "scenario")
+    scenario = parse_scenario(text, "scenario")
     scenario.flags |= variant.flags
-    read_scenario(write_scenario(scenario), f"variant {variant.name}")
+    parse_scenario(format_scenario(scenario), f"variant {variant.name}")
 
 
-class Failed(Exception):
-    """A run that came to nothing, and what it said."""
+class RunFailed(Exception):
+    """A run without an outcome, with its last line of error output."""
 
 
-def run_job(job: Job, started: Callable[[subprocess.Popen], object] = lambda process: None) -> Outcome:
-    """One run in a process of its own. Raises Failed."""
+def run_job(job: Job, on_start: Callable[[subprocess.Popen], object] = lambda process: None) -> Outcome:
+    """Runs a job in a process of its own, with the build that it names. Raises RunFailed."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith("DRIFTSHED_")}
     if job.build:
         environment["PYTHONPATH"] = str(Path(job.build).resolve())
@@ -105,52 +105,54 @@
         env=environment,
         cwd=job.build or None,
     )
-    started(process)
+    on_start(process)
     try:
-        out, said = process.communicate(task, LONGEST)
+        output, error_output = process.communicate(task, RUN_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.communicate()
-        raise Failed(f"not done within {LONGEST:g} s") from None
+        raise RunFailed(f"not finished within {RUN_TIMEOUT_S:g} s") from None
     if process.returncode:
-        raise Failed(said.decode(errors="replace").strip().rpartition("\n")[2] or f"exit code {process.returncode}")
-    return msgspec.msgpack.decode(out, type=Outcome)
+        raise RunFailed(
+            error_output.decode(errors="replace").strip().rpartition("\n")[2] or f"exit code {process.returncode}"
+        )
+    return msgspec.msgpack.decode(output, type=Outcome)
 
 
-def perform(
-    store: Store, label: str, jobs: int, told: Callable[[Job, Outcome | None, str], object] = lambda *_: None
+def run_pending(
+    store: RunStore, label: str, jobs: int, on_done: Callable[[Job, Outcome | None, str], object] = lambda *_: None
 ) -> int:
-    """Does what is to be done of an experiment, `jobs` at a time; how many failed. Runs for real are done one at a time
-    on a machine, whoever else runs some."""
+    """Runs what is pending of an experiment, `jobs` at a time, and returns the number of failures. Runs in real
+    time go one at a time on a machine, across all processes."""
     lock, stopped, running = threading.Lock(), threading.Event(), set()
     failures = 0
 
-    def one(number: int, job: Job) -> None:
+    def run_one(number: int, job: Job) -> None:
         nonlocal failures
         if stopped.is_set():
             return
-        outcome, why = None, ""
+        outcome, reason = None, ""
         try:
-            with _Alone(job.clock == "real"):
+            with _ExclusiveLock(job.clock == "real"):
                 outcome = run_job(job, running.add)
-        except Failed as error:
-            why = str(error)
+        except RunFailed as error:
+            reason = str(error)
         with lock:
             if stopped.is_set():
                 return
             if outcome is not None:
-                store.done(number, outcome, version("driftshed"))
+                store.record_outcome(number, outcome, version("driftshed"))
             else:
                 failures += 1
-                store.failed(number, why)
-            told(job, outcome, why)
+                store.record_failure(number, reason)
+            on_done(job, outcome, reason)
 
-    todo = store.to_do(label)
-    real = any(job.clock == "real" for _, job in todo)
+    pending = store.pending_jobs(label)
+    real = any(job.clock == "real" for _, job in pending)
     with ThreadPoolExecutor(1 if real else jobs) as pool:
         try:
-            for done in [pool.submit(one, number, job) for number, job in todo]:
-                done.result()
+            for future in [pool.submit(run_one, number, job) for number, job in pending]:
+                future.result()
         except BaseException:
             stopped.set()
             pool.shutdown(wait=False, cancel_futures=True)
@@ -161,14 +163,14 @@
     return failures
 
 
-class _Alone:
-    """Guards against two runs for real at once on one machine, which would slow one another."""
+class _ExclusiveLock:
+    """Prevents two real-time runs at once on one machine, which would slow each other down."""
 
-    def __init__(self, wanted: bool) -> None:
-        self.wanted, self.file = wanted, None
+    def __init__(self, exclusive: bool) -> None:
+        self.exclusive, self.file = exclusive, None
 
     def __enter__(self) -> None:
-        if self.wanted:
+        if self.exclusive:
             self.file = (Path(tempfile.gettempdir()) / f"driftshed-lab-{os.getuid()}.lock").open("w")
             fcntl.flock(self.file, fcntl.LOCK_EX)
 
--- a/driftshed/lab/model.py
+++ b/driftshed/lab/model.py
@@ -1,4 +1,4 @@
-"""Explicit-state search: every state that a model can come to, by the shortest ways first."""
+"""Explicit-state search: all states that a model can reach, in breadth-first order."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class Found(NamedTuple):
-    """`broken`: what does not hold in the last state of `way`, the shortest that leads there; empty where all does.
-    `whole`: every state was seen, none left out for want of room."""
+    """`broken`: the property violated in the last state of `way`, the shortest path to it; empty where none is.
+    `whole`: every reachable state was visited, none left out for the limit on states."""
 
     states: int
     steps: int
@@ -22,33 +22,33 @@
 def explore(
     start: Hashable,
     moves: Callable[[Hashable], Iterable[tuple[str, Hashable]]],
-    wrong: Callable[[Hashable], str],
-    most: int = 2_000_000,
+    find_violation: Callable[[Hashable], str],
+    max_states: int = 2_000_000,
 ) -> Found:
-    """Searches from `start` by `moves(state)`, which brings names and next states, until `wrong(state)` says something
-    or nothing new comes up; at most `most` states are kept."""
-    came: dict[Hashable, tuple[Hashable, str] | None] = {start: None}
-    queue, steps, depth, whole = deque([(start, 0)]), 0, 0, True
+    """Searches from `start` by `moves(state)`, which yields names and next states, until `find_violation(state)`
+    returns a text or no new state comes up; at most `max_states` states are stored."""
+    reached_by: dict[Hashable, tuple[Hashable, str] | None] = {start: None}
+    queue, steps, depth, complete = deque([(start, 0)]), 0, 0, True
 
-    def way(state: Hashable) -> list[str]:
+    def path(state: Hashable) -> list[str]:
         names = []
-        while came[state] is not None:
-            state, name = came[state]
+        while reached_by[state] is not None:
+            state, name = reached_by[state]
             names.append(name)
         return names[::-1]
 
     while queue:
         state, depth = queue.popleft()
-        said = wrong(state)
-        if said:
-            return Found(len(came), steps, depth, False, said, way(state))
+        violation = find_violation(state)
+        if violation:
+            return Found(len(reached_by), steps, depth, False, violation, path(state))
         for name, following in moves(state):
             steps += 1
-            if following in came:
+            if following in reached_by:
                 continue
-            if len(came) >= most:
-                whole = False
+            if len(reached_by) >= max_states:
+                complete = False
                 continue
-            came[following] = state, name
+            reached_by[following] = state, name
             queue.append((following, depth + 1))
-    return Found(len(came), steps, depth, whole, "", [])
+    return Found(len(reached_by), steps, depth, complete, "", [])
--- a/driftshed/lab/once.py
+++ b/driftshed/lab/once.py
@@ -1,5 +1,6 @@
-"""One job in a process of its own: `python -m driftshed.lab.once` reads it on standard input and writes what came of it
-on standard output. A build of its own is another folder that Python finds this package in."""
+"""One run in a process of its own: `python -m driftshed.lab.once` reads a task on standard input and writes the outcome
+to standard output. Another build is another folder in which Python finds this package, so the module's name and both
+formats must stay."""
 
 from __future__ import annotations
 
@@ -8,11 +9,11 @@
 import msgspec
 
 from driftshed.lab.run import run
-from driftshed.lab.scenario import read_scenario
+from driftshed.lab.scenario import parse_scenario
 
 
 class Task(msgspec.Struct):
-    """`flags` are set over those of the scenario."""
+    """One run; `flags` are set over those of the scenario."""
 
     text: str
     seed: int
@@ -21,11 +22,12 @@
     flags: dict[str, str | int | float | bool] = {}
 
 
-def perform(task: Task):
-    scenario = read_scenario(task.text, "scenario")
+def run_task(task: Task):
+    """Runs the scenario of a task. Raises BadScenario."""
+    scenario = parse_scenario(task.text, "scenario")
     scenario.flags |= task.flags
     return run(scenario, task.seed, task.clock, task.policy)
 
 
 if __name__ == "__main__":
-    sys.stdout.buffer.write(msgspec.msgpack.encode(perform(msgspec.json.decode(sys.stdin.buffer.read(), type=Task))))
+    sys.stdout.buffer.write(msgspec.msgpack.encode(run_task(msgspec.json.decode(sys.stdin.buffer.read(), type=Task))))
--- a/driftshed/lab/report.py
+++ b/driftshed/lab/report.py
@@ -1,4 +1,4 @@
-"""Reports: pictures of a run, or of two side by side, and one page of HTML that holds them all."""
+"""Reports: plots of a run, or of two side by side, and one HTML page that contains them all."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 import numpy as np
 
 from driftshed.lab.run import Outcome
-from driftshed.lab.scenario import read_scenario
+from driftshed.lab.scenario import parse_scenario
 
-SMOOTH = 3  # seconds that service over time is a running mean of
-MOST_BANDS = 12  # of troubles, that are told by name
+SMOOTHING_S = 3  # window of the running mean of service over time
+MAX_FAULT_BANDS = 12  # faults beyond these are not drawn
 COLOURS = ["#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb"]
 
 
@@ -36,17 +36,17 @@
     return out.getvalue()
 
 
-def _mark_bands(axes, outcome: Outcome, seconds: float, named: bool) -> None:
-    """Troubles as coloured bands; each has its name on a line of its own above the picture."""
-    for k, (since, till, what) in enumerate(outcome.bands[:MOST_BANDS]):
+def _mark_faults(axes, outcome: Outcome, seconds: float, named: bool) -> None:
+    """Draws faults as coloured bands; with `named`, each has its name on a line of its own above the plot."""
+    for k, (since, till, what) in enumerate(outcome.bands[:MAX_FAULT_BANDS]):
         colour = COLOURS[k % len(COLOURS)]
         axes.axvspan(since, min(till, seconds), color=colour, alpha=0.13, lw=0)
         if named:
-            depth = 1.04 + 0.075 * (k % MOST_BANDS)
-            axes.text(since, depth, what, transform=axes.get_xaxis_transform(), color=colour, fontsize=7.5)
+            height = 1.04 + 0.075 * (k % MAX_FAULT_BANDS)
+            axes.text(since, height, what, transform=axes.get_xaxis_transform(), color=colour, fontsize=7.5)
             axes.plot(
                 [since, min(till, seconds)],
-                [depth - 0.012] * 2,
+                [height - 0.012] * 2,
                 color=colour,
                 lw=2,
                 clip_on=False,
@@ -59,41 +59,43 @@
     figure, grid = _figure(2, len(outcomes), 8.5 * len(outcomes), 6.4)
     for column, (name, outcome) in enumerate(outcomes):
         seconds = len(outcome.over_time)
-        got, due = (np.array([row[k] for row in outcome.over_time]) for k in (0, 1))
-        window = np.ones(SMOOTH)
-        parts = np.convolve(due, window, "same")
-        share = np.divide(np.convolve(got, window, "same"), parts, out=np.ones(seconds), where=parts > 0)
+        earned, requested = (np.array([row[k] for row in outcome.over_time]) for k in (0, 1))
+        window = np.ones(SMOOTHING_S)
+        window_requested = np.convolve(requested, window, "same")
+        share = np.divide(
+            np.convolve(earned, window, "same"), window_requested, out=np.ones(seconds), where=window_requested > 0
+        )
         axes = grid[0][column]
         axes.plot(np.arange(seconds) + 0.5, share, color="black", lw=1.4)
         axes.axhline(outcome.bound, color="grey", lw=0.8, ls="--")
         axes.text(seconds, outcome.bound, " bound", va="center", fontsize=7.5, color="grey")
-        at = _worst_at(outcome)
+        at = _worst_window_start(outcome)
         if at is not None:
             axes.plot([at, min(seconds, at + 10)], [outcome.worst] * 2, color="red", lw=2)
             axes.text(at, outcome.worst - 0.04, f"worst 10 s: {outcome.worst:.3f}", color="red", va="top", fontsize=7.5)
-        axes.set(ylim=(0, 1.03), xlim=(0, seconds), ylabel=f"service, mean of {SMOOTH} s", xlabel="seconds")
-        # Names of bands stand between the picture and its title.
-        count = min(MOST_BANDS, len(outcome.bands))
+        axes.set(ylim=(0, 1.03), xlim=(0, seconds), ylabel=f"service, mean of {SMOOTHING_S} s", xlabel="seconds")
+        # Leaves room for the names of the faults, between the plot and its title.
+        count = min(MAX_FAULT_BANDS, len(outcome.bands))
         axes.set_title(f"{name}: service {outcome.service:.3f}", pad=8 + 12.5 * count, loc="left")
-        _mark_bands(axes, outcome, seconds, True)
-        below = grid[1][column]
-        _mark_bands(below, outcome, seconds, False)
+        _mark_faults(axes, outcome, seconds, True)
+        lower_axes = grid[1][column]
+        _mark_faults(lower_axes, outcome, seconds, False)
         if outcome.waiting:
             at, waiting = zip(*outcome.waiting, strict=True)
-            below.plot(at, waiting, color="#4477aa", lw=1.2)
-        below.axhline(outcome.cap, color="red", lw=1, ls="--")
-        below.text(0, outcome.cap, "cap", color="red", va="bottom", fontsize=7.5)
-        below.set(xlim=(0, seconds), ylim=(0, outcome.cap * 1.12), ylabel="lines in the channel", xlabel="seconds")
+            lower_axes.plot(at, waiting, color="#4477aa", lw=1.2)
+        lower_axes.axhline(outcome.cap, color="red", lw=1, ls="--")
+        lower_axes.text(0, outcome.cap, "cap", color="red", va="bottom", fontsize=7.5)
+        lower_axes.set(xlim=(0, seconds), ylim=(0, outcome.cap * 1.12), ylabel="lines in the channel", xlabel="seconds")
     return _png(figure)
 
 
-def _worst_at(outcome: Outcome) -> int | None:
+def _worst_window_start(outcome: Outcome) -> int | None:
     rows = outcome.over_time
     best = None
     for k in range(max(1, len(rows) - 9)):
-        due = sum(row[1] for row in rows[k : k + 10])
-        if due:
-            share = sum(row[0] for row in rows[k : k + 10]) / due
+        requested = sum(row[1] for row in rows[k : k + 10])
+        if requested:
+            share = sum(row[0] for row in rows[k : k + 10]) / requested
             if best is None or share < best[0]:
                 best = share, k
     return best[1] if best else None
@@ -103,7 +105,7 @@
     """Latency of good answers by operation, with the latency objectives."""
     figure, grid = _figure(1, 1, 8.5, 3.4)
     axes = grid[0][0]
-    objectives = {o.name: o.latency_objective for o in read_scenario(outcomes[0][1].scenario, "run").facts.operations}
+    objectives = {o.name: o.latency_objective for o in parse_scenario(outcomes[0][1].scenario, "run").facts.operations}
     names = [name for name in objectives if any(name in outcome.latency for _, outcome in outcomes)]
     levels = ["50", "90", "99", "99.9"]
     width = 0.8 / (len(outcomes) * len(levels))
@@ -128,9 +130,9 @@
 
 
 def servers_plot(outcomes: list[tuple[str, Outcome]]) -> bytes:
-    """What each server was sent against what it could do, second by second; withdrawn stretches are framed."""
-    most = max((len(outcome.carried) for _, outcome in outcomes), default=1)
-    figure, grid = _figure(1, len(outcomes), 8.5 * len(outcomes), min(16.0, 1.6 + 0.085 * max(20, most)))
+    """Work sent to each server against its capacity, second by second; withdrawn periods are marked."""
+    max_servers = max((len(outcome.carried) for _, outcome in outcomes), default=1)
+    figure, grid = _figure(1, len(outcomes), 8.5 * len(outcomes), min(16.0, 1.6 + 0.085 * max(20, max_servers)))
     for column, (name, outcome) in enumerate(outcomes):
         axes, seconds = grid[0][column], len(outcome.over_time)
         servers = sorted(outcome.carried, key=lambda each: [int(part) for part in each.partition(":")[0].split(".")])
@@ -148,10 +150,10 @@
             interpolation="nearest",
             extent=(0, seconds + 1, len(servers), 0),
         )
-        places = {server: row for row, server in enumerate(servers)}
+        row_of = {server: row for row, server in enumerate(servers)}
         for server, since, till, _ in outcome.out:
-            if server in places:
-                axes.plot([since, till], [places[server] + 0.5] * 2, color="black", lw=1.6)
+            if server in row_of:
+                axes.plot([since, till], [row_of[server] + 0.5] * 2, color="black", lw=1.6)
         axes.set(xlabel="seconds", ylabel="servers, by zone", xlim=(0, seconds))
         axes.set_yticks([])
         axes.set_title(f"{name}: work sent / capacity; black: withdrawn; white: down", loc="left")
@@ -160,7 +162,7 @@
 
 
 def margins_plot(outcomes: list[tuple[str, Outcome]]) -> bytes:
-    """How near each rule came to breaking."""
+    """How close each rule came to being broken."""
     figure, grid = _figure(1, 1, 8.5, 2.6)
     axes = grid[0][0]
     rules = ["bare", "drains", "failback", "queue", "twice"]
@@ -171,8 +173,8 @@
         axes.barh(at, used, height * 0.9, color=COLOURS[k], label=name)
         for rule, y, width in zip(rules, at, used, strict=True):
             row = outcome.rules[rule]
-            said = f"BROKEN {row['broken']}" if row["broken"] else f"kept, {row['checked']} checks"
-            axes.text(width + 0.01, y, said, va="center", fontsize=7.5, color="red" if row["broken"] else "black")
+            label = f"BROKEN {row['broken']}" if row["broken"] else f"kept, {row['checked']} checks"
+            axes.text(width + 0.01, y, label, va="center", fontsize=7.5, color="red" if row["broken"] else "black")
     axes.axvline(1.0, color="red", lw=1, ls="--")
     axes.set_yticks(range(len(rules)), rules)
     axes.set(xlim=(0, 1.45), xlabel="of what the rule allows, the most that was used")
@@ -186,10 +188,10 @@
 
 
 def write_report(outcomes: list[tuple[str, Outcome]], path: Path, pictures: Path | None = None) -> None:
-    """One page that needs nothing else; with `pictures`, the PNGs in that folder besides."""
+    """Writes one self-contained page, and with `pictures` also the PNGs into that folder. Raises OSError."""
     parts = [f"<h1>{html.escape(' against '.join(name for name, _ in outcomes))}</h1>"]
     if any(not outcome.counts for _, outcome in outcomes):
-        parts.append("<p class=bad>The load tool could not keep up: these figures do not count.</p>")
+        parts.append("<p class=bad>The load generator could not keep up: these figures do not count.</p>")
     parts.append(_summary(outcomes))
     for name, plot in PLOTS.items():
         png = plot(outcomes)
@@ -241,7 +243,7 @@
         parts.append(f"<p class=bad>{html.escape(text)}</p>")
     parts.append(_table(["operation", "service"], [[n, f"{share:.3f}"] for n, share in outcome.operations.items()]))
     rows = [[server, f"{since:g}", f"{till:g}", why] for server, since, till, why in outcome.out]
-    parts.append("<p>Withdrawn servers (looked at each second):</p>" if rows else "<p>No server was withdrawn.</p>")
+    parts.append("<p>Withdrawn servers (sampled each second):</p>" if rows else "<p>No server was withdrawn.</p>")
     if rows:
         parts.append(_table(["server", "since", "till", "why"], rows[:200]))
     parts.append(f"<details><summary>the scenario</summary><pre>{html.escape(outcome.scenario)}</pre></details>")
--- a/driftshed/lab/run.py
+++ b/driftshed/lab/run.py
@@ -20,7 +20,7 @@
 from driftshed.day.traffic import read_traffic
 from driftshed.lab.baselines import POLICIES
 from driftshed.lab.grounds import RealEnvironment, VirtualGround, decisions_in_log
-from driftshed.lab.scenario import Scenario, check, write_scenario
+from driftshed.lab.scenario import Scenario, check, format_scenario
 from driftshed.lab.world import SETTLE_S, World
 
 WORST_WINDOW_S = 10.0  # length of the window whose service is reported as the worst
@@ -144,7 +144,7 @@
     lag = world.load.lag
     carried, digest = _work_by_server(world, kinds)
     return Outcome(
-        write_scenario(scenario),
+        format_scenario(scenario),
         world.seed,
         "",
         "",
--- a/driftshed/lab/scenario.py
+++ b/driftshed/lab/scenario.py
@@ -1,6 +1,5 @@
-"""A scenario: a deployment, its traffic and its troubles, as a TOML file checked by a schema; and drawing one.
-
-Times are seconds from the start of the day. Troubles overlap freely; whom they strike is drawn by the run's seed."""
+"""Scenarios: a deployment, its traffic and its faults, as a TOML file checked against a schema; and random scenarios.
+Times are seconds from the start of the day. Faults may overlap; what they strike is drawn by the run's seed."""
 
 from __future__ import annotations
 
@@ -20,166 +19,174 @@
 from driftshed.standins.emulator import Machine
 from driftshed.supervisor.flags import facts_of
 
-At = Annotated[float, Meta(ge=0, le=86400)]
-Span = Annotated[float, Meta(gt=0, le=86400)]
-Part = Annotated[float, Meta(ge=0, le=1)]
-Many = Annotated[int, Meta(ge=1, le=4000)]
-Which = Annotated[int, Meta(ge=0, le=8)]
-Times = Annotated[float, Meta(gt=0, le=1000)]
+Seconds = Annotated[float, Meta(ge=0, le=86400)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=86400)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+Count = Annotated[int, Meta(ge=1, le=4000)]
+SupervisorNumber = Annotated[int, Meta(ge=0, le=8)]
+Factor = Annotated[float, Meta(gt=0, le=1000)]
 
 
 class BadScenario(Exception):
-    """What is wrong with a scenario, and where."""
+    """Raised with what is wrong with a scenario, and where."""
 
 
-class Kind(Struct, forbid_unknown_fields=True):
-    """A kind of machine, as `emulator.Machine` says it; `count`: its part among those of its zone."""
+class ServerKind(Struct, forbid_unknown_fields=True):
+    """A kind of server, with the fields of `emulator.Machine`."""
 
-    cores: Many = 2
-    speed: Times = 1.0
+    cores: Count = 2
+    speed: Factor = 1.0
     room: Annotated[int, Meta(ge=0, le=100000)] = 40
     connections: Annotated[int, Meta(ge=1, le=100000)] = 4000
-    connect_cost: Part = 0.0
+    connect_cost: Fraction = 0.0
     stops_cancelled: bool = False
     heeds_timeouts: bool = False
-    key_share: Part = 1.0
-    load_lag: At = 0.0
-    load_noise: Part = 0.0
+    key_share: Fraction = 1.0
+    load_lag: Seconds = 0.0
+    load_noise: Fraction = 0.0
 
 
 class Fleet(Struct, forbid_unknown_fields=True):
-    """The machines, zone by zone in turn; one entry of `kinds` for each that the flags name."""
+    """The servers, assigned to the zones in turn, and the supervisors; `kinds` has one entry for each kind that the
+    flags name."""
 
-    servers: Many
-    kinds: list[Kind] = msgspec.field(default_factory=lambda: [Kind()])
+    servers: Count
+    kinds: list[ServerKind] = msgspec.field(default_factory=lambda: [ServerKind()])
     cells: Annotated[int, Meta(ge=1, le=1000)] = 1
-    roster_lag: At = 0.5
-    store: bool = False  # servers announce themselves by nodes in a store, in virtual time
-    session_timeout: Span = 2.0
-    supervisors: Annotated[int, Meta(ge=1, le=9)] = 1  # more than one know each other by the store
-    fleet_timeout: Span = 2.0  # of their sessions
-    hears_within: Span = 2.0  # until a proxy gives a silent one of several up
-    leave_zones: bool = False  # zones that fail are left as a fleet
-    zone_limits: str = ""  # as `--zone-limits`
-    regions: str = ""  # as `--regions`
+    roster_lag: Seconds = 0.5
+    store: bool = False  # servers register by nodes in a store; only in virtual time
+    session_timeout: PositiveSeconds = 2.0
+    supervisors: Annotated[int, Meta(ge=1, le=9)] = 1  # more than one find each other by the store
+    fleet_timeout: PositiveSeconds = 2.0  # of the supervisors' sessions
+    hears_within: PositiveSeconds = 2.0  # seconds until a proxy leaves a silent supervisor for another
+    leave_zones: bool = False  # failing zones are evacuated, by agreement of the supervisors
+    zone_limits: str = ""  # in the form of `--zone-limits`
+    regions: str = ""  # in the form of `--regions`
 
 
 class Traffic(Struct, forbid_unknown_fields=True):
-    """`rate`: invocations a second over all proxies; `shares` and `work` (least and most seconds, or the mean twice)
-    by operation; `uneven`: the busiest proxy's rate over the least one's. A diurnal day swings by `swing` of the rate
-    within `period`. `trace`: a file of invocations, one "seconds operation" a line, that stands for rate and shape."""
+    """`rate`: invocations a second over all proxies; `shares` and `work` (least and most seconds, or the mean
+    twice) by operation; `uneven`: the rate of the busiest proxy over that of the least busy. With the shape
+    "diurnal" the rate swings by the share `swing` within `period`. `trace`: a file of invocations, one "SECONDS
+    OPERATION" a line, that replaces rate and shape."""
 
     rate: Annotated[float, Meta(ge=0, le=100000)]
     shares: list[Annotated[float, Meta(ge=0)]]
-    work: list[tuple[Span, Span]]
+    work: list[tuple[PositiveSeconds, PositiveSeconds]]
     spread: Literal["uniform", "fixed", "exponential"] = "uniform"
     shape: Literal["poisson", "diurnal"] = "poisson"
-    swing: Part = 0.5
-    period: Span = 60.0
+    swing: Fraction = 0.5
+    period: PositiveSeconds = 60.0
     uneven: Annotated[float, Meta(ge=1, le=1000)] = 4.0
-    keys: Many = 1000
+    keys: Count = 1000
     zipf: Annotated[float, Meta(ge=0, le=5)] = 1.1
-    patience: tuple[Span, Span] = (0.6, 1.0)  # of the integration timeout
+    # When clients give up: least and most, as shares of the integration timeout.
+    patience: tuple[PositiveSeconds, PositiveSeconds] = (0.6, 1.0)
     repeats: bool = True
     trace: str = ""
 
 
-class Network(Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds one way, within a zone, between zones and to the supervisor; `jitter`: its mean, as a share of them."""
+class NetworkDelays(Struct, frozen=True, forbid_unknown_fields=True):
+    """One-way delays in seconds within a zone (`near`), between zones (`far`) and to the supervisor (`control`);
+    `jitter`: its mean, as a share of the delay."""
 
-    near: Part = 0.0005
-    far: Part = 0.004
-    control: Part = 0.002
-    jitter: Part = 0.2
+    near: Fraction = 0.0005
+    far: Fraction = 0.004
+    control: Fraction = 0.002
+    jitter: Fraction = 0.2
 
 
 class Whom(Struct, frozen=True, forbid_unknown_fields=True):
-    """Servers, drawn among those that fit: so many or such a share (one, unless said)."""
+    """Servers drawn among those that match: `count` of them, or the share `share`; one if neither is set."""
 
     count: Annotated[int, Meta(ge=0, le=4000)] = 0
-    share: Part = 0.0
+    share: Fraction = 0.0
     kind: str = ""
     zone: str = ""
     cell: int = -1
 
 
 class Sick(Struct, tag="sick", forbid_unknown_fields=True):
-    """Servers slow (`hard` times), hanging, erring at once or answering nothing they work on (for a share `hard`),
-    refusing connections, left with a share `hard` of them, with a share `hard` of the cores taken, or slower by `hard`
-    for each minute since their start. `every`: it comes and goes with this period. `operation`: of one alone."""
+    """Faulty servers. `how`: slow (`hard` times), hang, errors at once (for a share `hard` of requests),
+    lost-answers (for a share `hard` of completed work), refuse (connections), squeeze (only a share `hard` of
+    connections left), neighbour (a share `hard` of the cores taken), or ageing (slower by `hard` for each minute
+    since their start). `every`: the fault comes and goes with this period. `operation`: only this one is affected."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     how: Literal["slow", "hang", "errors", "lost-answers", "refuse", "squeeze", "neighbour", "ageing"]
     hard: Annotated[float, Meta(ge=0, le=1000)] = 1.0
     whom: Whom = Whom()
-    every: At = 0.0
+    every: Seconds = 0.0
     operation: str = ""
 
 
 class Crash(Struct, tag="crash", forbid_unknown_fields=True):
-    """Servers die at once and come back cold after `down`; the roster tells late, as of anything."""
+    """Servers die at once and are started cold after `down`; the roster lists it with its usual lag."""
 
-    at: At
+    at: Seconds
     whom: Whom = Whom()
-    down: Span = 2.0
+    down: PositiveSeconds = 2.0
 
 
 class Deploy(Struct, tag="deploy", forbid_unknown_fields=True):
-    """Servers drain, `batch` at a time each `every`, die `drain` later, and cold successors at new addresses start
-    `down` after that."""
+    """Servers drain, `batch` at a time every `every` seconds, stop `drain` later, and cold successors at new
+    addresses start `down` after that."""
 
-    at: At
+    at: Seconds
     whom: Whom = Whom(share=1.0)
-    every: Span = 2.0
-    batch: Many = 1
-    drain: Span = 4.0
-    down: At = 0.5
+    every: PositiveSeconds = 2.0
+    batch: Count = 1
+    drain: PositiveSeconds = 4.0
+    down: Seconds = 0.5
 
 
 class Drain(Struct, tag="drain", forbid_unknown_fields=True):
-    """Servers are listed as draining and die `drain` later; they start anew, cold, when it is over."""
+    """Servers are listed as draining and stop `drain` later; they are started cold when the fault is over."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     whom: Whom = Whom()
-    drain: Span = 4.0
+    drain: PositiveSeconds = 4.0
 
 
 class ZoneLost(Struct, tag="zone-lost", forbid_unknown_fields=True):
-    """All servers of a zone die, and nothing passes between it and the others; the servers start anew afterwards."""
+    """All servers of a zone die, and nothing passes between it and the others; the servers are started cold
+    afterwards."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     zone: str
 
 
 class Link(Struct, tag="link", forbid_unknown_fields=True):
-    """What passes from zone `here` to zone `there` ("control" stands for the supervisor, "control1" for the second of
-    several, "roster" for the store, "" for every zone) takes `delay` longer, gets lost for a share `loss` at each
-    sending, or is `cut`; `both`: and the other way."""
+    """Messages from zone `here` to zone `there` ("control" is the supervisor's, "control1" that of the second of
+    several, "roster" the store's, "" every zone) take `delay` longer, are lost with probability `loss` at each
+    sending, or are `cut`; `both`: in the other direction too."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     here: str = ""
     there: str = ""
-    delay: At = 0.0
+    delay: Seconds = 0.0
     loss: Annotated[float, Meta(ge=0, le=0.95)] = 0.0
     cut: bool = False
     both: bool = True
 
 
 class LateRoster(Struct, tag="late-roster", forbid_unknown_fields=True):
-    at: At
-    lasts: Span
-    by: Span
+    """The roster's lag grows by `by`."""
+
+    at: Seconds
+    lasts: PositiveSeconds
+    by: PositiveSeconds
 
 
 class LyingRoster(Struct, tag="lying-roster", forbid_unknown_fields=True):
-    """The roster lists servers as what they are not."""
+    """The roster lists servers in a state that they are not in."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     says: Literal["draining", "gone", "started just now"]
     whom: Whom = Whom()
 
@@ -187,85 +194,85 @@
 class Clock(Struct, tag="clock", forbid_unknown_fields=True):
     """The roster's wall clock is off by `step`."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     step: Annotated[float, Meta(ge=-86400, le=86400)]
 
 
 class Kill(Struct, tag="kill", forbid_unknown_fields=True):
-    """A supervisor dies by SIGKILL and is started anew. `which`: its number."""
+    """A supervisor is killed by SIGKILL and restarted after `down`. `which`: its number."""
 
-    at: At
-    down: Span = 2.0
-    which: Which = 0
+    at: Seconds
+    down: PositiveSeconds = 2.0
+    which: SupervisorNumber = 0
 
 
 class Pause(Struct, tag="pause", forbid_unknown_fields=True):
-    """The supervisor, or a share of the proxies, stands still and goes on later, sockets open all the while."""
+    """The supervisor, or a share of the proxies, stops and resumes later, with its sockets open throughout."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     who: Literal["supervisor", "proxies"] = "supervisor"
-    share: Part = 1.0
-    which: Which = 0  # of several supervisors
+    share: Fraction = 1.0
+    which: SupervisorNumber = 0  # of several supervisors
 
 
 class Rejoin(Struct, tag="rejoin", forbid_unknown_fields=True):
     """Every stream of a share of the proxies is reset at the same instant."""
 
-    at: At
-    share: Part = 1.0
+    at: Seconds
+    share: Fraction = 1.0
 
 
 class Surge(Struct, tag="surge", forbid_unknown_fields=True):
-    """Invocations, of one operation or all, come `times` as often; `ramp`: rising from and falling to that."""
+    """The rate of one operation, or of all, is `times` as high."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
     times: Annotated[float, Meta(ge=0, le=1000)]
     operation: str = ""
 
 
 class Grow(Struct, tag="grow", forbid_unknown_fields=True):
-    """New servers start, cold, one each `every`."""
+    """New servers are started cold, one every `every` seconds."""
 
-    at: At
-    servers: Many
-    every: Span = 1.0
+    at: Seconds
+    servers: Count
+    every: PositiveSeconds = 1.0
 
 
 class Shrink(Struct, tag="shrink", forbid_unknown_fields=True):
-    """Servers drain and go, one each `every`."""
+    """Servers drain and stop, one every `every` seconds."""
 
-    at: At
+    at: Seconds
     whom: Whom = Whom()
-    every: Span = 1.0
-    drain: Span = 4.0
+    every: PositiveSeconds = 1.0
+    drain: PositiveSeconds = 4.0
 
 
 class Lapse(Struct, tag="lapse", forbid_unknown_fields=True):
-    """Sessions of servers with a store are ended on purpose, all within `within`."""
+    """Sessions of servers with the store are ended, all within `within` seconds."""
 
-    at: At
+    at: Seconds
     whom: Whom = Whom(share=1.0)
-    within: At = 0.0
+    within: Seconds = 0.0
 
 
 class StoreDown(Struct, tag="store-down", forbid_unknown_fields=True):
-    """The store dies and is started anew from its disk."""
+    """The store dies and is restarted from its disk after `down`."""
 
-    at: At
-    down: Span = 2.0
+    at: Seconds
+    down: PositiveSeconds = 2.0
 
 
 class StorePause(Struct, tag="store-pause", forbid_unknown_fields=True):
-    """The store stands still and goes on later."""
+    """The store stops and resumes later."""
 
-    at: At
-    lasts: Span
+    at: Seconds
+    lasts: PositiveSeconds
 
 
-Trouble = (
+Fault = (
     Lapse
     | StoreDown
     | StorePause
@@ -288,28 +295,29 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
-    """`flags`: of the supervisor, by name; `operations`: as `--operation` takes them."""
+    """`flags`: of the supervisor, by name; `operations`: in the form of `--operation`."""
 
     about: str
     seconds: Annotated[float, Meta(ge=3, le=86400)]
     operations: Annotated[list[str], Meta(min_length=1)]
     fleet: Fleet
     traffic: Traffic
-    network: Network = Network()
+    network: NetworkDelays = NetworkDelays()
     flags: dict[str, str | int | float | bool] = {}
-    troubles: list[Trouble] = []
-    seed: Annotated[int, Meta(ge=0, lt=2**31)] = 1  # unless a run is given another
+    troubles: list[Fault] = []
+    seed: Annotated[int, Meta(ge=0, lt=2**31)] = 1  # unless a run sets another
 
     @property
     def facts(self) -> face.StartFacts:
+        """The start facts that flags and operations amount to. Raises click.ClickException for invalid flags."""
         return facts_of(self.flags, self.operations)
 
     def machine(self, kind: int, facts: face.StartFacts) -> Machine:
-        """What a kind is, warming up and falling over as the facts have it."""
-        given = self.fleet.kinds[kind % len(self.fleet.kinds)]
+        """The emulated server of a kind, with the warm-up and overload behaviour that the facts state."""
+        settings = self.fleet.kinds[kind % len(self.fleet.kinds)]
         marks = max((o.repeat_window or 0.0 for o in facts.operations), default=0.0)
         return Machine(
-            **msgspec.structs.asdict(given),
+            **msgspec.structs.asdict(settings),
             cold_share=facts.cold_share,
             warm_within=facts.warm_within,
             tip_multiple=facts.tip_multiple,
@@ -318,26 +326,28 @@
         )
 
 
-def known_scenarios() -> list[str]:
+def shipped_scenarios() -> list[str]:
     """The names of the scenarios that come with the program."""
     folder = resources.files("driftshed.lab") / "scenarios"
     return sorted(file.name.removesuffix(".toml") for file in folder.iterdir() if file.name.endswith(".toml"))
 
 
 def load_scenario(name: str) -> Scenario:
-    """A scenario by the name of one that comes along, or by its path; BadScenario says what is wrong with it."""
-    if name in known_scenarios():
+    """A scenario by the name of a shipped one, or by path. Raises BadScenario."""
+    if name in shipped_scenarios():
         text = (resources.files("driftshed.lab") / "scenarios" / f"{name}.toml").read_text()
     else:
         try:
             text = Path(name).read_text()
         except (OSError, UnicodeDecodeError) as error:
-            raise BadScenario(f"{name}: no file, and none of {', '.join(known_scenarios())} ({error})") from None
-    return read_scenario(text, name)
+            raise BadScenario(
+                f"{name}: neither a readable file nor one of {', '.join(shipped_scenarios())} ({error})"
+            ) from None
+    return parse_scenario(text, name)
 
 
-def read_scenario(text: str, name: str) -> Scenario:
-    """A scenario of its text; BadScenario says what is wrong with it."""
+def parse_scenario(text: str, name: str) -> Scenario:
+    """A scenario from the text of its file; `name` is for messages. Raises BadScenario."""
     try:
         scenario = msgspec.convert(tomllib.loads(text), Scenario)
         return check(scenario)
@@ -346,12 +356,12 @@
 
 
 def control_zone(number: int) -> str:
-    """The zone that stands for a supervisor."""
+    """The zone name that stands for a supervisor in the network."""
     return f"control{number or ''}"
 
 
 def check(scenario: Scenario) -> Scenario:
-    """Whether its parts go together; BadScenario says which do not."""
+    """Returns the scenario if its parts are consistent; raises BadScenario otherwise."""
     try:
         facts = scenario.facts
     except click.ClickException as error:
@@ -360,9 +370,9 @@
     if not len(scenario.traffic.shares) == len(scenario.traffic.work) == len(names):
         raise BadScenario("traffic.shares and traffic.work need one entry for each operation")
     if sum(scenario.traffic.shares) <= 0:
-        raise BadScenario("traffic.shares: one must be above 0")
+        raise BadScenario("traffic.shares: at least one must be above 0")
     if len(scenario.fleet.kinds) != len(facts.kinds):
-        raise BadScenario(f"fleet.kinds: one entry is wanted for each of {', '.join(facts.kinds)}")
+        raise BadScenario(f"fleet.kinds: needs one entry for each of {', '.join(facts.kinds)}")
     if len(facts.zones) > 10 or facts.proxies > 250 * 15 * len(facts.zones):
         raise BadScenario("at most 10 zones, and 3,750 proxies in each")
     try:
@@ -371,48 +381,48 @@
     except ValueError as error:
         raise BadScenario(f"fleet.zone_limits or fleet.regions: {error}") from None
     if scenario.fleet.leave_zones and scenario.fleet.supervisors == 1:
-        raise BadScenario("fleet.leave_zones: zones are left as a fleet: several supervisors are wanted")
+        raise BadScenario("fleet.leave_zones: evacuation needs several supervisors")
     if scenario.fleet.supervisors > 1 and not scenario.fleet.store:
-        raise BadScenario("fleet.supervisors: several want fleet.store = true: they know each other by it")
+        raise BadScenario("fleet.supervisors: more than one need fleet.store = true, which they find each other by")
     controls = [control_zone(k) for k in range(scenario.fleet.supervisors)]
-    for trouble in scenario.troubles:
-        what = f"{type(trouble).__struct_config__.tag} at {trouble.at} s"
-        if trouble.at >= scenario.seconds:
-            raise BadScenario(f"{what}: it begins after the day's end")
-        if isinstance(trouble, Lapse | StoreDown | StorePause) and not scenario.fleet.store:
-            raise BadScenario(f"{what}: it wants fleet.store = true")
-        if isinstance(trouble, LateRoster | LyingRoster) and scenario.fleet.store:
-            raise BadScenario(f"{what}: a store neither lags nor lies; take store-pause or lapse")
-        if getattr(trouble, "which", 0) >= scenario.fleet.supervisors:
-            raise BadScenario(f"{what}: which: there are {scenario.fleet.supervisors} supervisors, counted from 0")
-        whom = getattr(trouble, "whom", Whom())
+    for fault in scenario.troubles:
+        where = f"{type(fault).__struct_config__.tag} at {fault.at} s"
+        if fault.at >= scenario.seconds:
+            raise BadScenario(f"{where}: begins after the end of the day")
+        if isinstance(fault, Lapse | StoreDown | StorePause) and not scenario.fleet.store:
+            raise BadScenario(f"{where}: needs fleet.store = true")
+        if isinstance(fault, LateRoster | LyingRoster) and scenario.fleet.store:
+            raise BadScenario(f"{where}: not possible with a store; use store-pause or lapse")
+        if getattr(fault, "which", 0) >= scenario.fleet.supervisors:
+            raise BadScenario(f"{where}: which: the fleet has {scenario.fleet.supervisors} supervisors, counted from 0")
+        whom = getattr(fault, "whom", Whom())
         for field, value, known in (
-            ("zone", whom.zone or getattr(trouble, "zone", ""), facts.zones),
+            ("zone", whom.zone or getattr(fault, "zone", ""), facts.zones),
             ("kind", whom.kind, facts.kinds),
-            ("operation", getattr(trouble, "operation", ""), names),
-            ("here", getattr(trouble, "here", ""), (*facts.zones, *controls, "roster")),
-            ("there", getattr(trouble, "there", ""), (*facts.zones, *controls, "roster")),
+            ("operation", getattr(fault, "operation", ""), names),
+            ("here", getattr(fault, "here", ""), (*facts.zones, *controls, "roster")),
+            ("there", getattr(fault, "there", ""), (*facts.zones, *controls, "roster")),
         ):
             if value and value not in known:
-                raise BadScenario(f"{what}: {field} {value!r} is none of {', '.join(known)}")
+                raise BadScenario(f"{where}: {field} {value!r} is none of {', '.join(known)}")
     return scenario
 
 
-def write_scenario(scenario: Scenario) -> str:
-    """The scenario as the text of a file that reads back as the same."""
-    return "\n".join(_toml(msgspec.to_builtins(scenario), "")) + "\n"
+def format_scenario(scenario: Scenario) -> str:
+    """The text of a scenario file, which `parse_scenario` reads back as an equal scenario."""
+    return "\n".join(_toml_lines(msgspec.to_builtins(scenario), "")) + "\n"
 
 
-def _toml(table: dict, path: str) -> list[str]:
-    plain = {k: v for k, v in table.items() if not _is_table(v)}
-    lines = [f"{k} = {_value(v)}" for k, v in plain.items()]
+def _toml_lines(table: dict, path: str) -> list[str]:
+    values = {k: v for k, v in table.items() if not _is_table(v)}
+    lines = [f"{k} = {_toml_value(v)}" for k, v in values.items()]
     for name, value in table.items():
-        whole = f"{path}{name}"
+        full_name = f"{path}{name}"
         if isinstance(value, dict):
-            lines += ["", f"[{whole}]", *_toml(value, f"{whole}.")]
+            lines += ["", f"[{full_name}]", *_toml_lines(value, f"{full_name}.")]
         elif _is_table(value):
-            for each in value:
-                lines += ["", f"[[{whole}]]", *_toml(each, f"{whole}.")]
+            for entry in value:
+                lines += ["", f"[[{full_name}]]", *_toml_lines(entry, f"{full_name}.")]
     return lines
 
 
@@ -420,13 +430,13 @@
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
-def _value(value: object) -> str:
+def _toml_value(value: object) -> str:
     if isinstance(value, list | tuple):
-        return "[" + ", ".join(map(_value, value)) + "]"
-    return msgspec.json.encode(value).decode()  # TOML writes strings, numbers and booleans as JSON does
+        return "[" + ", ".join(map(_toml_value, value)) + "]"
+    return msgspec.json.encode(value).decode()  # strings, numbers and booleans are written the same in TOML and JSON
 
 
-# ---- drawing ----------------------------------------------------------------------------------------------------
+# ---- random scenarios -------------------------------------------------------------------------------------------
 
 SIZES = {  # servers, proxies, invocations a second, seconds
     "small": (26, 37, 210.0, 40.0),
@@ -443,14 +453,14 @@
 
 
 def bare_day(size: str, seconds: float | None = None, load: float = 0.55) -> Scenario:
-    """A day of this size without troubles; `load`: of the capacity that the invocations take up."""
+    """A day of this size without faults; `load`: the share of the capacity that its invocations use."""
     servers, proxies, rate, length = SIZES[size]
     work, shares = [(0.03, 0.09), (0.05, 0.1), (0.08, 0.14)], [6.0, 2.0, 2.0]
     mean = sum(s * (a + b) / 2 for s, (a, b) in zip(shares, work, strict=True)) / sum(shares)
     machines = ((2, 0.9), (1, 0.8))
-    # Speeds so that the load is what it is to be, whatever the size.
+    # Speeds are scaled so that the load is as requested at every size.
     scale = rate * mean / load / (servers * sum(cores * speed for cores, speed in machines) / len(machines))
-    kinds = [Kind(cores, round(speed * scale, 3), load_noise=0.1, load_lag=0.2) for cores, speed in machines]
+    kinds = [ServerKind(cores, round(speed * scale, 3), load_noise=0.1, load_lag=0.2) for cores, speed in machines]
     flags = {
         "zones": "east,west,north",
         "kinds": "large,small",
@@ -470,7 +480,7 @@
             list(OPERATIONS),
             Fleet(servers, kinds, cells=4),
             Traffic(rate, shares, work),
-            Network(),
+            NetworkDelays(),
             flags,
             [],
         )
@@ -478,16 +488,16 @@
 
 
 def drawn(seed: int, size: str, seconds: float | None = None) -> Scenario:
-    """A day with three to seven troubles drawn at random."""
+    """A day with three to seven random faults."""
     random = Random(f"scenario {seed}")
     day = bare_day(size, seconds, random.uniform(0.4, 0.7))
     day.about = f"drawn by seed {seed}"
-    day.troubles = sorted((drawn_trouble(random, day) for _ in range(random.randint(3, 7))), key=lambda t: t.at)
+    day.troubles = sorted((random_fault(random, day) for _ in range(random.randint(3, 7))), key=lambda t: t.at)
     return check(day)
 
 
-def drawn_trouble(random: Random, day: Scenario) -> Trouble:
-    """One trouble of any kind, its time within the day, with room before the end for its being over."""
+def random_fault(random: Random, day: Scenario) -> Fault:
+    """A fault of any kind at a random time, early enough to end before the day does."""
     facts, length = day.facts, day.seconds
     at = round(random.uniform(0.1, 0.7) * length, 2)
     lasts = round(random.uniform(0.1, 0.4) * length, 2)
--- a/driftshed/lab/store.py
+++ b/driftshed/lab/store.py
@@ -1,4 +1,4 @@
-"""One SQLite file of runs: what was to be run, what came of it, and all that is needed to run each again."""
+"""The store of runs, one SQLite file: jobs, their outcomes, and what is needed to repeat each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from driftshed.lab.run import Outcome
 
-TABLES = """
+SCHEMA = """
 create table if not exists run (
     id integer primary key, label text not null, scenario text not null, text text not null, variant text not null,
     policy text not null, flags text not null, build text not null, clock text not null, seed integer not null,
@@ -23,7 +23,7 @@
 
 
 class Job(msgspec.Struct):
-    """One run that is to be done: `text` is the scenario's file, `flags` what the variant sets over it."""
+    """One run to be done: `text` is the scenario's file, `flags` are set over its flags by the variant."""
 
     label: str
     scenario: str
@@ -36,8 +36,8 @@
     seed: int
 
 
-class Row(NamedTuple):
-    """One run of the store, without its outcome."""
+class RunRow(NamedTuple):
+    """One run of the store, without its outcome. The field names are the columns."""
 
     id: int
     label: str
@@ -55,19 +55,20 @@
     wall: float | None
 
 
-class Store:
-    """Every change is a transaction of its own: a run killed halfway is to be done still."""
+class RunStore:
+    """Every change is a transaction of its own, so a run that was killed stays pending."""
 
     def __init__(self, path: Path) -> None:
-        self.file = sqlite3.connect(path, timeout=30.0, isolation_level=None, check_same_thread=False)
-        self.file.execute("pragma journal_mode = wal")
-        self.file.execute(TABLES)
-
-    def plan(self, jobs: list[Job]) -> int:
-        """Adds what is not in it yet; how many were new."""
-        before = self.file.total_changes
+        """Opens or creates the file. Raises sqlite3.Error."""
+        self.database = sqlite3.connect(path, timeout=30.0, isolation_level=None, check_same_thread=False)
+        self.database.execute("pragma journal_mode = wal")
+        self.database.execute(SCHEMA)
+
+    def add_jobs(self, jobs: list[Job]) -> int:
+        """Adds the jobs that the store does not hold yet; returns how many were new."""
+        before = self.database.total_changes
         for job in jobs:
-            self.file.execute(
+            self.database.execute(
                 "insert or ignore into run (label, scenario, text, variant, policy, flags, build, clock, seed) "
                 "values (?, ?, ?, ?, ?, ?, ?, ?, ?)",
                 (
@@ -82,20 +83,22 @@
                     job.seed,
                 ),
             )
-        return self.file.total_changes - before
+        return self.database.total_changes - before
 
-    def to_do(self, label: str) -> list[tuple[int, Job]]:
-        rows = self.file.execute(
+    def pending_jobs(self, label: str) -> list[tuple[int, Job]]:
+        """Number and job of each run of an experiment without an outcome, failed ones included."""
+        rows = self.database.execute(
             "select id, label, scenario, text, variant, policy, flags, build, clock, seed from run "
             "where label = ? and state != 'done' order by id",
             (label,),
         )
         return [(row[0], Job(*row[1:6], msgspec.json.decode(row[6]), *row[7:])) for row in rows]
 
-    def done(self, number: int, outcome: Outcome, version: str) -> None:
+    def record_outcome(self, number: int, outcome: Outcome, version: str) -> None:
+        """Records the outcome of a run, and the version that produced it."""
         blob = zstandard.compress(msgspec.msgpack.encode(outcome))
         broken = sum(row["broken"] for row in outcome.rules.values()) + len(outcome.faults)
-        self.file.execute(
+        self.database.execute(
             "update run set state = 'done', why = '', service = ?, worst = ?, bound = ?, broken = ?, counts = ?, "
             "wall = ?, outcome = ?, version = ? where id = ?",
             (
@@ -111,21 +114,27 @@
             ),
         )
 
-    def failed(self, number: int, why: str) -> None:
-        self.file.execute("update run set state = 'failed', why = ? where id = ?", (why, number))
+    def record_failure(self, number: int, why: str) -> None:
+        """Records why a run failed; it stays pending."""
+        self.database.execute("update run set state = 'failed', why = ? where id = ?", (why, number))
 
-    def rows(self, label: str | None = None) -> list[Row]:
-        where, with_ = ("where label = ?", (label,)) if label else ("", ())
+    def rows(self, label: str | None = None) -> list[RunRow]:
+        """The runs of one experiment, or all, in order of number."""
+        where, parameters = ("where label = ?", (label,)) if label else ("", ())
         return [
-            Row(*row)
-            for row in self.file.execute(f"select {', '.join(Row._fields)} from run {where} order by id", with_)
+            RunRow(*row)
+            for row in self.database.execute(
+                f"select {', '.join(RunRow._fields)} from run {where} order by id", parameters
+            )
         ]
 
     def outcome(self, number: int) -> Outcome | None:
-        row = self.file.execute("select outcome from run where id = ?", (number,)).fetchone()
+        """The outcome of a run, or None where there is none."""
+        row = self.database.execute("select outcome from run where id = ?", (number,)).fetchone()
         if row is None or row[0] is None:
             return None
         return msgspec.msgpack.decode(zstandard.decompress(row[0]), type=Outcome)
 
     def close(self) -> None:
-        self.file.close()
+        """Closes the file."""
+        self.database.close()
