--- a/driftshed/lab/model.py
+++ b/driftshed/lab/model.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Found(NamedTuple):
+class SearchResult(NamedTuple):
     """`broken`: the property violated in the last state of `way`, the shortest path to it; empty where none is.
     `whole`: every reachable state was visited, none left out for the limit on states."""
 
@@ -24,7 +24,7 @@
     moves: Callable[[Hashable], Iterable[tuple[str, Hashable]]],
     find_violation: Callable[[Hashable], str],
     max_states: int = 2_000_000,
-) -> Found:
+) -> SearchResult:
     """Searches from `start` by `moves(state)`, which yields names and next states, until `find_violation(state)`
     returns a text or no new state comes up; at most `max_states` states are stored."""
     reached_by: dict[Hashable, tuple[Hashable, str] | None] = {start: None}
@@ -41,7 +41,7 @@
         state, depth = queue.popleft()
         violation = find_violation(state)
         if violation:
-            return Found(len(reached_by), steps, depth, False, violation, path(state))
+            return SearchResult(len(reached_by), steps, depth, False, violation, path(state))
         for name, following in moves(state):
             steps += 1
             if following in reached_by:
@@ -51,4 +51,4 @@
                 continue
             reached_by[following] = state, name
             queue.append((following, depth + 1))
-    return Found(len(reached_by), steps, depth, complete, "", [])
+    return SearchResult(len(reached_by), steps, depth, complete, "", [])
