--- a/driftshed/day/__init__.py
+++ b/driftshed/day/__init__.py
@@ -1,2 +1,2 @@
-"""Scripted days: a supervisor as a process of its own, stand-ins round it, a recorder of what passes on the sockets,
-and a judge who reads those bytes and the script alone. It may import everything but the command line."""
+"""Scripted test days: supervisors run as separate processes among stand-ins, a recorder stores all socket traffic, and
+a judge checks it using only the record and the script. This package may import everything but the command line."""
--- a/driftshed/day/drawn.py
+++ b/driftshed/day/drawn.py
@@ -55,7 +55,7 @@
 
 def without(script: says.Script) -> says.Script:
     """The script without the troubles of supervisors and store; those of servers and clients stay."""
-    faults = says.Kill | says.Pause | says.OfStore | says.OfFleet
+    faults = says.Kill | says.Pause | says.StoreTrouble | says.FleetTrouble
     return replace(script, troubles=[each for each in script.troubles if not isinstance(each, faults)], drawn=None)
 
 
--- a/driftshed/day/script.py
+++ b/driftshed/day/script.py
@@ -16,214 +16,234 @@
 from driftshed.standins.emulator import Machine
 from driftshed.supervisor.flags import facts_of
 
-At = Annotated[float, Meta(ge=0, le=600)]
-Span = Annotated[float, Meta(gt=0, le=600)]
-Many = Annotated[int, Meta(ge=1, le=200)]
-Who = Annotated[int, Meta(ge=0, le=8)]
+NonNegativeSeconds = Annotated[float, Meta(ge=0, le=600)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=600)]
+Count = Annotated[int, Meta(ge=1, le=200)]
+SupervisorNumber = Annotated[int, Meta(ge=0, le=8)]
 
 
 class BadScript(Exception):
-    """What is wrong with a script, and where."""
+    """Raised when a script is invalid; the message names the script and the fault."""
 
 
 class Fleet(Struct, forbid_unknown_fields=True):
-    """The machines, zone by zone in turn; kinds as the flags name them."""
+    """Servers, supervisors and the store. Servers are assigned to zones in turn; the flags name the kinds of server."""
 
-    servers: Many
-    cores: Many = 2
+    servers: Count
+    cores: Count = 2
     speed: tuple[Annotated[float, Meta(gt=0, le=100)], ...] = (1.0,)  # by kind
-    room: Many = 40
-    roster_lag: At = 0.5
-    store: bool = False  # servers announce themselves by nodes in a store, and the supervisor follows it
-    session_timeout: Span = 1.5
-    supervisors: Annotated[int, Meta(ge=1, le=9)] = 1  # more than one know each other by the store
-    fleet_timeout: Span = 1.5  # of their sessions
-    hears_within: Span = 2.0  # until a proxy gives a silent one up
-    slow_disk: At = 0.0  # seconds that each sync of the store takes besides
-    clocks_off: At = 0.0  # seconds: by so much, drawn, the wall clocks of supervisors are off, either way
-    leave_zones: bool = False  # zones that fail are left as a fleet
+    room: Count = 40
+    roster_lag: NonNegativeSeconds = 0.5
+    store: bool = False  # servers announce themselves by nodes in a store, which the supervisor watches
+    session_timeout: PositiveSeconds = 1.5
+    supervisors: Annotated[int, Meta(ge=1, le=9)] = 1  # several find each other through the store
+    fleet_timeout: PositiveSeconds = 1.5  # of the supervisors' sessions in the store
+    hears_within: PositiveSeconds = 2.0  # until a proxy abandons a silent supervisor
+    slow_disk: NonNegativeSeconds = 0.0  # seconds added to each sync of the store
+    clocks_off: NonNegativeSeconds = (
+        0.0  # bound in seconds of the random offset of supervisors' wall clocks, either way
+    )
+    leave_zones: bool = False  # the fleet evacuates zones that fail
     zone_limits: str = ""  # as `--zone-limits`
     regions: str = ""  # as `--regions`
-    policies: bool = False  # they go by the fleet's policy, which `change` troubles change
+    policies: bool = False  # supervisors follow the fleet policy, which `change` troubles modify
 
 
 class Traffic(Struct, forbid_unknown_fields=True):
-    """`rate`: invocations a second over all proxies; `uneven`: the busiest proxy's rate over the least one's."""
+    """Client traffic. `rate`: invocations a second over all proxies; `uneven`: the bound on the ratio of the busiest
+    proxy's rate to the least busy one's; `shares` and `work` (range in seconds): one entry for each operation."""
 
     rate: Annotated[float, Meta(gt=0, le=5000)]
     shares: list[Annotated[float, Meta(ge=0)]]
-    work: list[tuple[Span, Span]]
+    work: list[tuple[PositiveSeconds, PositiveSeconds]]
     uneven: Annotated[float, Meta(ge=1, le=1000)] = 4.0
     repeats: bool = True
 
 
 class Deploy(Struct, tag="deploy", forbid_unknown_fields=True):
-    """Servers drain one after the other, die `drain` later, and a cold successor at a new address starts."""
+    """Servers drain one after the other, stop `drain` seconds later, and after `down` seconds a cold successor starts at
+    a new address."""
 
-    at: At
-    servers: Many
-    every: Span
-    drain: Span = 4.0
-    down: At = 0.5
+    at: NonNegativeSeconds
+    servers: Count
+    every: PositiveSeconds
+    drain: PositiveSeconds = 4.0
+    down: NonNegativeSeconds = 0.5
 
 
 class Restart(Struct, tag="restart", forbid_unknown_fields=True):
-    """Servers die at once and come back cold: some, or all of a zone."""
+    """Servers stop abruptly and restart cold after `down` seconds: some, or all of a zone."""
 
-    at: At
-    servers: Many = 1
-    down: Span = 2.0
+    at: NonNegativeSeconds
+    servers: Count = 1
+    down: PositiveSeconds = 2.0
     zone: str = ""
 
 
 class Sick(Struct, tag="sick", forbid_unknown_fields=True):
-    """Servers that hang, answer errors at once, or are slow: some, or all of a zone."""
+    """Servers hang, answer with errors at once, or are slow: some, or all of a zone."""
 
-    at: At
-    lasts: Span
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
     how: Literal["hang", "errors", "slow"]
-    servers: Many = 1
+    servers: Count = 1
     size: Annotated[float, Meta(gt=0, le=100)] = 1.0  # share of errors; times slower
     zone: str = ""
 
 
 class LateRoster(Struct, tag="late-roster", forbid_unknown_fields=True):
-    at: At
-    lasts: Span
-    by: Span
+    """Roster updates are delayed by `by` more seconds."""
+
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
+    by: PositiveSeconds
 
 
 class Cut(Struct, tag="cut", forbid_unknown_fields=True):
-    """Bytes of a zone's proxies do not come through: to the supervisor, to the servers of other zones, or both."""
+    """Traffic of a zone's proxies is dropped: to the supervisor, to the servers of other zones, or both."""
 
-    at: At
-    lasts: Span
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
     zone: str
     what: Literal["supervisor", "servers", "both"] = "both"
 
 
 class Kill(Struct, tag="kill", forbid_unknown_fields=True):
-    """A supervisor dies by SIGKILL and is started anew. `who`: its number."""
+    """A supervisor is killed by SIGKILL and restarted after `down` seconds. `who`: its number."""
 
-    at: At
-    down: Span = 2.0
-    who: Who = 0
+    at: NonNegativeSeconds
+    down: PositiveSeconds = 2.0
+    who: SupervisorNumber = 0
 
 
 class Pause(Struct, tag="pause", forbid_unknown_fields=True):
-    """A supervisor is stopped by SIGSTOP and goes on later, its sockets open all the while."""
+    """A supervisor is stopped by SIGSTOP and resumed later; its sockets stay open."""
 
-    at: At
-    lasts: Span
-    who: Who = 0
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
+    who: SupervisorNumber = 0
 
 
 class Apart(Struct, tag="apart", forbid_unknown_fields=True):
-    """A supervisor of several is cut off without a word: from the store, from the proxies, or from both; `way`: what it
-    says does not come through (forth to the store, back to proxies), what it is told, or neither."""
+    """One of several supervisors is partitioned without a reset: from the store, from the proxies, or from both. `way`:
+    what it sends is dropped ("said": forth to the store, back to proxies), what it receives ("told"), or both."""
 
-    at: At
-    lasts: Span
-    who: Who = 0
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
+    who: SupervisorNumber = 0
     side: Literal["store", "proxies", "both"] = "both"
     way: Literal["both", "told", "said"] = "both"
 
 
 class Lag(Struct, tag="lag", forbid_unknown_fields=True):
-    """What passes between a supervisor of several and the store, or proxies, comes `by` later, each way."""
+    """Messages between one of several supervisors and the store, proxies or both arrive `by` seconds later either way."""
 
-    at: At
-    lasts: Span
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
     by: Annotated[float, Meta(gt=0, le=2)]
-    who: Who = 0
+    who: SupervisorNumber = 0
     side: Literal["store", "proxies", "both"] = "both"
 
 
 class Lose(Struct, tag="lose", forbid_unknown_fields=True):
-    """The next message between a supervisor of several and the store is lost with its connection: what it asks, which
-    is never done then, or the answer, which it never hears."""
+    """The next message between one of several supervisors and the store is lost with its connection: a request, which
+    is then never carried out, or the answer to one that was carried out."""
 
-    at: At
-    who: Who = 0
+    at: NonNegativeSeconds
+    who: SupervisorNumber = 0
     what: Literal["request", "answer"] = "answer"
 
 
 class Change(Struct, tag="change", forbid_unknown_fields=True):
-    """A supervisor is asked to propose the day's own settings as the fleet's policy, with these in place of some.
-    `despite`: numbers of supervisors that it is to do without."""
+    """A supervisor is asked to propose the script's flags, overridden by `settings`, as the fleet policy. `despite`:
+    numbers of the supervisors whose votes the proposal does without."""
 
-    at: At
+    at: NonNegativeSeconds
     settings: dict[str, float]
-    who: Who = 0
-    despite: list[Who] = []
+    who: SupervisorNumber = 0
+    despite: list[SupervisorNumber] = []
 
 
 class BreakStreams(Struct, tag="break-streams", forbid_unknown_fields=True):
-    """Each stream of a share of the proxies breaks halfway through its next delta."""
+    """Each stream of a share of the proxies is closed in the middle of its next delta."""
 
-    at: At
-    lasts: Span = 5.0
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds = 5.0
     share: Annotated[float, Meta(gt=0, le=1)] = 1.0
 
 
 class DropStreams(Struct, tag="drop-streams", forbid_unknown_fields=True):
-    """Every stream is reset at once: all proxies join anew together."""
+    """Every stream is reset at once, so all proxies rejoin together."""
 
-    at: At
+    at: NonNegativeSeconds
 
 
 class Surge(Struct, tag="surge", forbid_unknown_fields=True):
-    at: At
-    lasts: Span
+    """Client traffic is multiplied by `times`."""
+
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
     times: Annotated[float, Meta(gt=0, le=100)]
 
 
 class Lapse(Struct, tag="lapse", forbid_unknown_fields=True):
-    """Sessions of a share of the servers are ended on purpose, all within `within`."""
+    """Store sessions of a share of the servers are ended, all within `within` seconds."""
 
-    at: At
+    at: NonNegativeSeconds
     share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    within: At = 0.0
+    within: NonNegativeSeconds = 0.0
 
 
 class StoreDown(Struct, tag="store-down", forbid_unknown_fields=True):
-    """The store dies by SIGKILL and is started anew."""
+    """The store is killed by SIGKILL and restarted after `down` seconds."""
 
-    at: At
-    down: Span = 2.0
+    at: NonNegativeSeconds
+    down: PositiveSeconds = 2.0
 
 
 class StorePause(Struct, tag="store-pause", forbid_unknown_fields=True):
-    """The store stands still and goes on later."""
+    """The store is stopped by SIGSTOP and resumed later."""
 
-    at: At
-    lasts: Span
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
 
 
 class StoreCut(Struct, tag="store-cut", forbid_unknown_fields=True):
-    """The store cannot be reached by the supervisor; the servers reach it."""
+    """The store is unreachable from the supervisors, but not from the servers."""
 
-    at: At
-    lasts: Span
+    at: NonNegativeSeconds
+    lasts: PositiveSeconds
 
 
-OfStore = Lapse | StoreDown | StorePause | StoreCut
-OfFleet = Apart | Lag | Lose | Change
+StoreTrouble = Lapse | StoreDown | StorePause | StoreCut
+FleetTrouble = Apart | Lag | Lose | Change
 Trouble = (
-    Deploy | Restart | Sick | LateRoster | Cut | Kill | Pause | BreakStreams | DropStreams | Surge | OfStore | OfFleet
+    Deploy
+    | Restart
+    | Sick
+    | LateRoster
+    | Cut
+    | Kill
+    | Pause
+    | BreakStreams
+    | DropStreams
+    | Surge
+    | StoreTrouble
+    | FleetTrouble
 )
 
 
 class Drawn(Struct, forbid_unknown_fields=True):
-    """Besides those written down, so many troubles of supervisors, drawn by the day's seed between two times."""
+    """Random troubles of supervisors besides the listed ones: at most `count`, drawn by the day's seed, between `since`
+    and `till`."""
 
     count: Annotated[int, Meta(ge=1, le=50)]
-    since: At
-    till: At
+    since: NonNegativeSeconds
+    till: NonNegativeSeconds
 
 
 class Script(Struct, forbid_unknown_fields=True):
-    """`flags`: of the supervisor, by name; `operations`: as `--operation` takes them."""
+    """One scripted day. `flags`: of the supervisor, by name; `operations`: in the form of `--operation`."""
 
     about: str
     seconds: Annotated[float, Meta(ge=3, le=600)]
@@ -236,10 +256,11 @@
 
     @property
     def facts(self) -> face.StartFacts:
-        """The start facts that the flags make, by the supervisor's own reading of them."""
+        """The start facts, parsed from the flags by the supervisor's own code."""
         return facts_of(self.flags, self.operations)
 
     def machine(self, kind: int) -> Machine:
+        """The capacity model of servers of a kind, given by its index."""
         facts, fleet = self.facts, self.fleet
         return Machine(
             fleet.cores,
@@ -253,20 +274,21 @@
 
 
 def known_scripts() -> list[str]:
-    """The names of the scripts that come with the program."""
+    """The names of the bundled scripts, sorted."""
     folder = resources.files("driftshed.day") / "scripts"
     return sorted(file.name.removesuffix(".toml") for file in folder.iterdir() if file.name.endswith(".toml"))
 
 
 def load_script(name: str) -> Script:
-    """A script by the name of one that comes along, or by its path; BadScript says what is wrong with it."""
+    """Loads a bundled script by its name, or any script by its path. Raises BadScript if it cannot be read or is
+    invalid."""
     if name in known_scripts():
         text = (resources.files("driftshed.day") / "scripts" / f"{name}.toml").read_text()
     else:
         try:
             text = Path(name).read_text()
         except (OSError, UnicodeDecodeError) as error:
-            raise BadScript(f"{name}: no file, and none of {', '.join(known_scripts())} ({error})") from None
+            raise BadScript(f"{name}: not a readable file nor one of {', '.join(known_scripts())} ({error})") from None
     try:
         script = msgspec.convert(tomllib.loads(text), Script)
         facts = script.facts
@@ -276,29 +298,33 @@
         raise BadScript(f"{name}: {error.format_message()}") from None
     if not len(script.traffic.shares) == len(script.traffic.work) == len(facts.operations):
         raise BadScript(f"{name}: traffic.shares and traffic.work need one entry for each operation")
-    few = script.fleet.supervisors == 1
-    if few and script.fleet.leave_zones:
-        raise BadScript(f"{name}: fleet.leave_zones: zones are left as a fleet, of more than one supervisor")
+    single_supervisor = script.fleet.supervisors == 1
+    if single_supervisor and script.fleet.leave_zones:
+        raise BadScript(f"{name}: fleet.leave_zones needs more than one supervisor: zones are evacuated by a fleet")
     try:
         read_regions(script.fleet.regions, facts.zones)
     except ValueError as error:
         raise BadScript(f"{name}: fleet.regions: {error}") from None
-    if script.drawn and (few or script.drawn.till <= script.drawn.since):
-        raise BadScript(f"{name}: drawn: more than one supervisor and a span of time are wanted")
-    if not few and not script.fleet.store:
-        raise BadScript(f"{name}: several supervisors want fleet.store = true: they know each other by it")
+    if script.drawn and (single_supervisor or script.drawn.till <= script.drawn.since):
+        raise BadScript(f"{name}: drawn needs more than one supervisor, and a till after its since")
+    if not single_supervisor and not script.fleet.store:
+        raise BadScript(f"{name}: several supervisors need fleet.store = true: they find each other through the store")
     for trouble in script.troubles:
         kind = type(trouble).__struct_config__.tag
         if trouble.at >= script.seconds:
             raise BadScript(f"{name}: a trouble at {trouble.at} s begins after the day's end")
-        if isinstance(trouble, OfStore) and not script.fleet.store:
-            raise BadScript(f"{name}: a trouble of the store at {trouble.at} s wants fleet.store = true")
-        if getattr(trouble, "who", 0) >= script.fleet.supervisors or isinstance(trouble, OfFleet) and few:
-            raise BadScript(f"{name}: {kind} at {trouble.at} s wants more than {script.fleet.supervisors} supervisors")
+        if isinstance(trouble, StoreTrouble) and not script.fleet.store:
+            raise BadScript(f"{name}: a trouble of the store at {trouble.at} s needs fleet.store = true")
+        if (
+            getattr(trouble, "who", 0) >= script.fleet.supervisors
+            or isinstance(trouble, FleetTrouble)
+            and single_supervisor
+        ):
+            raise BadScript(f"{name}: {kind} at {trouble.at} s needs more than {script.fleet.supervisors} supervisors")
         if isinstance(trouble, Change) and not script.fleet.policies:
-            raise BadScript(f"{name}: change at {trouble.at} s wants fleet.policies = true")
+            raise BadScript(f"{name}: change at {trouble.at} s needs fleet.policies = true")
         if isinstance(trouble, LateRoster) and script.fleet.store:
-            raise BadScript(f"{name}: late-roster at {trouble.at} s: a store does not lag; take store-pause")
+            raise BadScript(f"{name}: late-roster at {trouble.at} s: fleet.store has no lag; use store-pause")
         if getattr(trouble, "zone", "") and trouble.zone not in facts.zones:
-            raise BadScript(f"{name}: {kind}: zone {trouble.zone!r} is none of {', '.join(facts.zones)}")
+            raise BadScript(f"{name}: {kind}: zone {trouble.zone!r} is not one of {', '.join(facts.zones)}")
     return script
--- a/tests/test_day_fleet.py
+++ b/tests/test_day_fleet.py
@@ -153,8 +153,8 @@
 @pytest.mark.parametrize(
     "old, new, said",
     [
-        ("supervisors = 2", "supervisors = 1", "wants more than 1 supervisors"),
-        ("store = true", "store = false", "want fleet.store = true"),
+        ("supervisors = 2", "supervisors = 1", "needs more than 1 supervisors"),
+        ("store = true", "store = false", "need fleet.store = true"),
     ],
 )
 def test_a_bad_script_of_several_says_why(tmp_path, old, new, said):
