--- a/driftshed/day/command.py
+++ b/driftshed/day/command.py
@@ -17,7 +17,7 @@
 from driftshed.day.judge import Verdict, judge
 from driftshed.day.policies import RULE as POLICIES
 from driftshed.day.script import BadScript, Script, load_script
-from driftshed.day.stage import Stage, play
+from driftshed.day.stage import DayHarness, play
 from driftshed.day.tamper import RULES
 from driftshed.day.zones import RULE as ZONES
 
@@ -74,7 +74,7 @@
     if tamper in ACCORD and script.fleet.supervisors == 1:
         raise click.BadParameter(f"{tamper}: of several supervisors alone; play `fleet`", param_hint="--tamper")
 
-    def one(script: Script, folder: Path) -> tuple[Stage, Verdict]:
+    def one(script: Script, folder: Path) -> tuple[DayHarness, Verdict]:
         folder.mkdir(parents=True, exist_ok=True)
         stage = play(script, seed, folder, tamper, trace, tries)
         return stage, judge(script, stage.record)
--- a/driftshed/day/drawn.py
+++ b/driftshed/day/drawn.py
@@ -8,14 +8,14 @@
 
 from msgspec.structs import replace
 
-from driftshed.day import script as says
+from driftshed.day import script as schema
 
 SHORT, LONG = (0.1, 0.6), (1.5, 3.0)  # of a lease: pauses that it outlasts, and that outlast it
 Played = TypeVar("Played")
 KINDS = ("kill", "short pause", "long pause", "apart", "apart", "lag", "lose")
 
 
-def draw(script: says.Script, seed: int) -> list[says.Trouble]:
+def draw(script: schema.Script, seed: int) -> list[schema.Trouble]:
     """One after the other for each supervisor, since one that is dead cannot be stopped; over all of them at once. Each
     supervisor's come in the order of their times."""
     drawn, random = script.drawn, Random(f"troubles {seed}")
@@ -31,37 +31,37 @@
             continue
         who = random.choice(able)
         if kind == "kill":
-            trouble = says.Kill(at, lasts, who)
+            trouble = schema.Kill(at, lasts, who)
         elif kind == "apart":
-            trouble = says.Apart(at, lasts, who, side, random.choice(("both", "told", "said")))
+            trouble = schema.Apart(at, lasts, who, side, random.choice(("both", "told", "said")))
         elif kind == "lag":
-            trouble = says.Lag(at, lasts, round(random.uniform(0.02, 0.2), 3), who, side)
+            trouble = schema.Lag(at, lasts, round(random.uniform(0.02, 0.2), 3), who, side)
         elif kind == "lose":
-            trouble, lasts = says.Lose(at, who, random.choice(("request", "answer"))), 0.0
+            trouble, lasts = schema.Lose(at, who, random.choice(("request", "answer"))), 0.0
         else:
             lasts = round(lease * random.uniform(*(SHORT if kind == "short pause" else LONG)), 2)
-            trouble = says.Pause(at, lasts, who)
+            trouble = schema.Pause(at, lasts, who)
         free[who] = at + lasts + lease
         troubles.append(trouble)
     return troubles
 
 
-def with_drawn(script: says.Script, seed: int) -> says.Script:
+def with_drawn(script: schema.Script, seed: int) -> schema.Script:
     """The script with its drawn troubles written down."""
     if script.drawn is None:
         return script
     return replace(script, troubles=[*script.troubles, *draw(script, seed)], drawn=None)
 
 
-def without(script: says.Script) -> says.Script:
+def without(script: schema.Script) -> schema.Script:
     """The script without the troubles of supervisors and store; those of servers and clients stay."""
-    faults = says.Kill | says.Pause | says.StoreTrouble | says.FleetTrouble
+    faults = schema.Kill | schema.Pause | schema.StoreTrouble | schema.FleetTrouble
     return replace(script, troubles=[each for each in script.troubles if not isinstance(each, faults)], drawn=None)
 
 
 def shrunk(
-    script: says.Script, played: Played, play: Callable[[says.Script], Played], fails: Callable[[Played], bool]
-) -> tuple[says.Script, Played]:
+    script: schema.Script, played: Played, play: Callable[[schema.Script], Played], fails: Callable[[Played], bool]
+) -> tuple[schema.Script, Played]:
     """Leaves out one trouble after the other for as long as the day still `fails`."""
 
     def still(troubles: list) -> bool:
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from driftshed.core.messages import ListedServer, RosterNews, encode
-from driftshed.day.between import Between, whole_frame
+from driftshed.day.between import FaultRelay, frame_length
 from driftshed.day.stage import Launched, free_net
 from driftshed.net.loop import Loop
 
@@ -69,11 +69,11 @@
         )
         self.addresses = {name: (f"{host}.{20 + k}", 7000) for k, name in enumerate(self.names)}
         self.to_store = {
-            name: Between(self.loop, (f"{host}.{60 + k}", 2181), self.store_address, whole_frame)
+            name: FaultRelay(self.loop, (f"{host}.{60 + k}", 2181), self.store_address, frame_length)
             for k, name in enumerate(self.names)
         }
         self.to_proxies = {
-            name: Between(self.loop, (f"{host}.{100 + k}", 7000), self.addresses[name])
+            name: FaultRelay(self.loop, (f"{host}.{100 + k}", 7000), self.addresses[name])
             for k, name in enumerate(self.names)
         }
         self.supervisors = {}
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -21,7 +21,7 @@
 from driftshed.day.policies import judge_policies
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, WORK, read_record
 from driftshed.day.script import Apart, Cut, Kill, Pause, Script
-from driftshed.day.stage import Cast, owners
+from driftshed.day.stage import Cast, supervisor_directory
 from driftshed.day.traffic import Exchange, read_traffic, said_by_store
 from driftshed.day.zones import judge_zones
 from driftshed.roster import jute
@@ -538,7 +538,7 @@
         for trouble in script.troubles
         if isinstance(trouble, Pause)
     ]
-    names, owner = owners(net, script.fleet.supervisors)
+    names, owner = supervisor_directory(net, script.fleet.supervisors)
     cuts += [
         (proxy, trouble.who, trouble.at)
         for trouble in script.troubles
--- a/driftshed/day/script.py
+++ b/driftshed/day/script.py
@@ -61,8 +61,8 @@
 
 
 class Deploy(Struct, tag="deploy", forbid_unknown_fields=True):
-    """Servers drain one after the other, stop `drain` seconds later, and after `down` seconds a cold successor starts at
-    a new address."""
+    """Servers drain one after the other, stop `drain` seconds later, and after `down` seconds a cold successor starts
+    at a new address."""
 
     at: NonNegativeSeconds
     servers: Count
@@ -136,7 +136,8 @@
 
 
 class Lag(Struct, tag="lag", forbid_unknown_fields=True):
-    """Messages between one of several supervisors and the store, proxies or both arrive `by` seconds later either way."""
+    """Messages between one of several supervisors and the store, the proxies or both arrive `by` seconds
+    later, each way."""
 
     at: NonNegativeSeconds
     lasts: PositiveSeconds
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -1,5 +1,5 @@
-"""The stage of a day: starts the supervisor as a process, the stand-ins, the relays and the recorder, and brings the
-script's troubles about."""
+"""Test harness of a day: starts the supervisors and proxies as processes, the stand-ins, the relays and the recorder,
+and applies the script's troubles."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 from driftshed import interface as face
 from driftshed.core.messages import ListedServer
-from driftshed.day import script as says
-from driftshed.day.between import BACK, FORTH, Between, whole_frame
+from driftshed.day import script as schema
+from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
 from driftshed.day.recorder import ASK, CONTROL, ORDER, ROSTER, STORE, STORED, WORK, Recorder
 from driftshed.day.relay import Relay
 from driftshed.day.tamper import RULES, Tamper
@@ -28,59 +28,79 @@
 from driftshed.standins.emulator import Ill, ServerStandin
 from driftshed.standins.roster import RosterStandin, StoreRoster
 
-SETTLE = 2.5  # seconds after the last arrival, for what is under way
+COMPLETION_TIME_S = 2.5  # after the last arrival, for requests in progress
 WORK_PORT, ASK_PORT, CONTROL_PORT, ROSTER_PORT, ORDER_PORT = 8000, 9000, 7000, 7001, 7002
 
 
-# Of the addresses 127.NET.0.x, by supervisor: where proxies dial it and it dials the store, where faults are put on its
-# ways to proxies and to the store, and where what the store saw is recorded.
-CONTROLS, ROSTERS, AT_PROXIES, AT_STORE, STORES = 20, 40, 60, 80, 100
+# The first x of each kind of address 127.NET.0.x, one for each supervisor: the relays at which proxies connect to it
+# and at which it connects to the store, the fault relays toward proxies and toward the store, and the relays that
+# record what the store received.
+CONTROL_HOSTS, ROSTER_HOSTS, PROXY_FAULT_HOSTS, STORE_FAULT_HOSTS, STORE_RECORD_HOSTS = (
+    20,
+    40,
+    60,
+    80,
+    100,
+)
 
 
 class Cast:
-    """Who is on stage: the addresses that the script and a seed give to the parts. Judge and stage both use it."""
+    """Maps numbers of servers and proxies to addresses, zones and kinds, and back; used by harness and judge."""
 
     def __init__(self, facts: face.StartFacts, net: int) -> None:
+        """`net`: the second byte of all addresses (127.NET.x.x), as reserved by `free_net`."""
         self.net, self.facts = net, facts
         self.zones = self.facts.zones
 
     def server(self, number: int) -> str:
-        """Successors' numbers go on behind those of the first fleet."""
+        """The address:port of a server; successors are numbered after the initial servers."""
         zone, place = number % len(self.zones), number // len(self.zones)
         return f"127.{self.net}.{1 + zone}.{1 + place % 250}:{WORK_PORT + place // 250}"
 
     def zone_of_server(self, number: int) -> int:
+        """The index of a server's zone in `zones`."""
         return number % len(self.zones)
 
     def kind_of_server(self, number: int) -> int:
+        """The index of a server's kind in the facts' `kinds`."""
         return number // len(self.zones) % len(self.facts.kinds)
 
     def number_of_server(self, name: str) -> int:
+        """Inverse of `server`."""
         host, _, port = name.partition(":")
         _, _, zone, place = host.split(".")
         return (250 * (int(port) - WORK_PORT) + int(place) - 1) * len(self.zones) + int(zone) - 1
 
     def proxy_host(self, number: int) -> str:
+        """The host that a proxy listens on and connects from."""
         zone, place = number % len(self.zones), number // len(self.zones)
         return f"127.{self.net}.{100 + zone + 10 * (place // 250)}.{1 + place % 250}"
 
     def number_of_proxy(self, host: str) -> int:
+        """Inverse of `proxy_host`."""
         _, _, zone, place = host.split(".")
         tens, zone = divmod(int(zone) - 100, 10)
         return (250 * tens + int(place) - 1) * len(self.zones) + zone
 
     def zone_of_proxy(self, number: int) -> str:
+        """The name of a proxy's zone."""
         return self.zones[number % len(self.zones)]
 
 
-def owners(net: int, supervisors: int) -> tuple[list[str], Callable[[str], int]]:
-    """The names of a day's supervisors, and whose an address is that somebody dials to reach one, or one its store."""
-    hosts = {f"127.{net}.0.{base + k}": k for k in range(supervisors) for base in (CONTROLS, ROSTERS, STORES)}
-    return [f"s{k}" for k in range(supervisors)], lambda asked: hosts.get(asked.rpartition(":")[0], 0)
+def supervisor_directory(net: int, supervisors: int) -> tuple[list[str], Callable[[str], int]]:
+    """The names of a day's supervisors, and a function from the address:port of a relay to the number of the supervisor
+    that it serves, 0 for other addresses."""
+    hosts = {
+        f"127.{net}.0.{base + k}": k
+        for k in range(supervisors)
+        for base in (CONTROL_HOSTS, ROSTER_HOSTS, STORE_RECORD_HOSTS)
+    }
+    return [f"s{k}" for k in range(supervisors)], lambda address: hosts.get(address.rpartition(":")[0], 0)
 
 
 def free_net(first: int) -> tuple[int, socket.socket]:
-    """A part of 127.0.0.0/8 that no other day uses, and the socket that keeps it ours."""
+    """Reserves 127.NET.0.0/16 for this process. Returns NET and the bound socket that holds the reservation until it is
+    closed. Raises OSError if 200 candidates are in use."""
     for k in range(200):
         net = 10 + (first + k) % 200
         lock = socket.socket()
@@ -94,9 +114,10 @@
 
 
 class Launched:
-    """A sub-command of `driftshed` as a process of its own; its log goes to the file `logs`."""
+    """A sub-command of `driftshed` run as a process; its log is appended to the file `logs`."""
 
     def __init__(self, logs: Path) -> None:
+        """`logs`: the file for standard error. No process is started yet."""
         self.logs = logs
         self.process: subprocess.Popen | None = None
 
@@ -111,15 +132,18 @@
             )
 
     def await_listening(self) -> None:
+        """Blocks until the process reports that it is listening; RuntimeError with its log if it does not."""
         line = self.process.stdout.readline().decode()
         if not line.startswith("listening"):
-            raise RuntimeError(f"a process did not start: {self.logs.read_text()[-2000:]}")
+            raise RuntimeError(f"process did not start listening: {self.logs.read_text()[-2000:]}")
 
     def signal(self, number: int) -> None:
+        """Sends a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def end(self) -> None:
+        """Terminates the process, resumed first if it is stopped, and kills it after 5 s."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         if self.process is not None:
@@ -131,14 +155,16 @@
             self.process.stdout.close()
 
 
-class Process(Launched):
-    """One with the script's flags."""
+class ScriptProcess(Launched):
+    """A process run with the script's operations and flags."""
 
-    def __init__(self, script: says.Script, logs: Path, trace: Path | None) -> None:
+    def __init__(self, script: schema.Script, logs: Path, trace: Path | None) -> None:
+        """`trace`: the folder for traces; None for no traces."""
         super().__init__(logs)
         self.script, self.trace, self.operations = script, trace, script.operations
 
     def run(self, *command: str) -> None:
+        """Starts `driftshed COMMAND` with the script's flags added."""
         command = [*command, "--log-level", "debug"]
         for text in self.operations:
             command += ["--operation", text]
@@ -149,32 +175,39 @@
         self._launch(command)
 
 
-class SupervisorProcess(Process):
-    """At an address that it keeps when it is started anew."""
+class SupervisorProcess(ScriptProcess):
+    """A supervisor, whose address stays the same across restarts."""
 
-    def __init__(self, script: says.Script, host: str, logs: Path, trace: Path | None = None) -> None:
+    def __init__(self, script: schema.Script, host: str, logs: Path, trace: Path | None = None) -> None:
+        """`host`: where it listens, on port 7100. `extra_flags` are added at each start."""
         super().__init__(script, logs, trace)
         self.address = f"{host}:7100"
-        self.more: list[str] = []
+        self.extra_flags: list[str] = []
 
     def start(self, seed: int) -> None:
-        self.run("supervise", "--listen", self.address, "--seed", str(seed), "--silence", "2", *self.more)
+        """Starts the process; also after it was killed."""
+        self.run("supervise", "--listen", self.address, "--seed", str(seed), "--silence", "2", *self.extra_flags)
 
 
-class StoreProcess(Process):
-    """A store of nodes, at an address and in a folder that it keeps."""
+class StoreProcess(ScriptProcess):
+    """A ZooKeeper-compatible store, whose address and data folder stay the same across restarts."""
 
-    def __init__(self, script: says.Script, host: str, folder: Path) -> None:
+    def __init__(self, script: schema.Script, host: str, folder: Path) -> None:
+        """`host`: where it listens, on port 2181; its data go to `folder`/store."""
         super().__init__(script, folder / "store.log", None)
         self.address, self.folder = (host, 2181), folder / "store"
 
     def start(self) -> None:
+        """Starts the process; also after it was killed."""
         listen = f"{self.address[0]}:{self.address[1]}"
         self._launch(["roster", "serve", "--listen", listen, "--folder", str(self.folder)])
 
 
-class ProxyProcess(Process):
-    def __init__(self, script: says.Script, folder: Path, trace: Path | None) -> None:
+class ProxyProcess(ScriptProcess):
+    """A proxy; all proxies of a day share the log file proxies.log."""
+
+    def __init__(self, script: schema.Script, folder: Path, trace: Path | None) -> None:
+        """`folder`: where the log is written."""
         super().__init__(script, folder / "proxies.log", trace)
 
     def start(
@@ -188,6 +221,8 @@
         seed: int,
         *more: str,
     ) -> None:
+        """Starts the process. `rate`: expected invocations a second; `controls`: addresses of supervisors in order of
+        preference; `standing`: servers used until the first table; `more`: further flags."""
         flags = [part for name in standing for part in ("--standing", name)]
         flags += [part for control in controls for part in ("--supervisor", f"{control[0]}:{control[1]}")]
         self.run(
@@ -209,18 +244,20 @@
         )
 
 
-class Stage:
-    """Plays one day; `events` says what was done when, for whoever reads the verdict."""
+class DayHarness:
+    """Runs one day. `events` lists the faults applied, each with its time in seconds, for readers of the verdict."""
 
     def __init__(
         self,
-        script: says.Script,
+        script: schema.Script,
         seed: int,
         folder: Path,
         tamper: str | None = None,
         trace: Path | None = None,
         tries: int | None = None,
     ) -> None:
+        """`folder`: for the record and the logs; `tamper`: the rule to break; `trace`: a folder for traces; `tries`:
+        the retry mode forced on every proxy. Listens on its relays at once; processes start in `play`."""
         self.script, self.seed, self.facts = script, seed, script.facts
         self.random = Random(f"day {seed}")
         self.net, self.lock = free_net(os.getpid())
@@ -229,7 +266,7 @@
         self.record = folder / "record"
         self.recorder = Recorder(self.loop, self.record)
         self.events: list[dict] = []
-        self.cold: set[str] = set()
+        self.cold_servers: set[str] = set()
         host = f"127.{self.net}.0"
         self.trace, self.folder, self.tamper = trace, folder, tamper
         self.store: StoreProcess | None = None
@@ -237,89 +274,103 @@
             self.store = StoreProcess(script, f"{host}.8", folder)
             if script.fleet.slow_disk:
                 self.store.program = ("driftshed.day.rigged", "--slow-disk", str(script.fleet.slow_disk), "--")
-        self.names, _ = owners(self.net, script.fleet.supervisors)
+        self.names, _ = supervisor_directory(self.net, script.fleet.supervisors)
         self.supervisors: list[SupervisorProcess] = []
         self.controls: list[Relay] = []
         self.roster_relays: list[Relay] = []
-        self.between: dict[tuple[int, str], Between] = {}  # by supervisor and side
-        self.stored: list[Relay] = []
+        self.fault_relays: dict[tuple[int, str], FaultRelay] = {}  # by number of the supervisor and side
+        self.store_recorders: list[Relay] = []
         if len(self.names) > 1:
-            self.sink = HttpServer(self.loop, (f"{host}.3", ORDER_PORT), lambda request: request.answer(200))
-            self.sink.on_connection = self.recorder.accepted(ORDER, self.sink.address)
+            self.order_sink = HttpServer(self.loop, (f"{host}.3", ORDER_PORT), lambda request: request.answer(200))
+            self.order_sink.on_connection = self.recorder.accepted(ORDER, self.order_sink.address)
         for k in range(len(self.names)):
-            self._set_up(k, host)
+            self._create_supervisor(k, host)
         if tamper in RULES or tries is not None:
             for control in self.controls:
                 rule = tamper if tamper in RULES else ""
-                control.tamper = Tamper(rule, self.facts.message_cap, self.cold, tries)
+                control.tamper = Tamper(rule, self.facts.message_cap, self.cold_servers, tries)
         self.servers: dict[int, ServerStandin] = {}
-        self.gone: set[int] = set()
-        self.successors = script.fleet.servers
+        self.removed: set[int] = set()
+        self.next_number = script.fleet.servers
         self.proxies: list[ProxyProcess] = []
         self.clients: list[ClientStandin] = []
 
-    def _set_up(self, k: int, host: str) -> None:
-        """One supervisor and the ways to it; with several, faults can be put on each."""
+    def _create_supervisor(self, number: int, host: str) -> None:
+        """Creates one supervisor and its relays; in a fleet, its store and proxies connect through fault relays."""
         script, fleet, loop = self.script, self.script.fleet, self.loop
-        own = f"{host}.{9 + k}"
-        target, store = (own, 7100), self.store.address if self.store else None
-        logs = self.folder / ("supervisor.log" if k == 0 else f"supervisor{k}.log")
-        supervisor = SupervisorProcess(script, own, logs, self.trace)
+        address = f"{host}.{9 + number}"
+        target, store = (address, 7100), self.store.address if self.store else None
+        logs = self.folder / ("supervisor.log" if number == 0 else f"supervisor{number}.log")
+        supervisor = SupervisorProcess(script, address, logs, self.trace)
         if len(self.names) > 1:
-            self.stored.append(Relay(loop, self.recorder, STORED, (f"{host}.{STORES + k}", 2181), store))
-            before = self.between[k, "store"] = Between(
-                loop, (f"{host}.{AT_STORE + k}", 2181), self.stored[-1].address, whole_frame
+            self.store_recorders.append(
+                Relay(loop, self.recorder, STORED, (f"{host}.{STORE_RECORD_HOSTS + number}", 2181), store)
+            )
+            fault_relay = self.fault_relays[number, "store"] = FaultRelay(
+                loop, (f"{host}.{STORE_FAULT_HOSTS + number}", 2181), self.store_recorders[-1].address, frame_length
+            )
+            store = fault_relay.address
+            fault_relay = self.fault_relays[number, "proxies"] = FaultRelay(
+                loop, (f"{host}.{PROXY_FAULT_HOSTS + number}", 7000), target
             )
-            store = before.address
-            before = self.between[k, "proxies"] = Between(loop, (f"{host}.{AT_PROXIES + k}", 7000), target)
-            target = before.address
-        self.controls.append(Relay(loop, self.recorder, CONTROL, (f"{host}.{CONTROLS + k}", CONTROL_PORT), target))
-        at = f"{host}.{ROSTERS + k}"
-        kind, whither = (STORE, store) if store else (ROSTER, target)
-        self.roster_relays.append(Relay(loop, self.recorder, kind, (at, ROSTER_PORT), whither))
+            target = fault_relay.address
+        self.controls.append(
+            Relay(loop, self.recorder, CONTROL, (f"{host}.{CONTROL_HOSTS + number}", CONTROL_PORT), target)
+        )
+        roster_host = f"{host}.{ROSTER_HOSTS + number}"
+        kind, roster_target = (STORE, store) if store else (ROSTER, target)
+        self.roster_relays.append(Relay(loop, self.recorder, kind, (roster_host, ROSTER_PORT), roster_target))
         if store:
-            supervisor.more = [
+            supervisor.extra_flags = [
                 "--roster-connect",
-                f"{at}:{ROSTER_PORT}",
+                f"{roster_host}:{ROSTER_PORT}",
                 "--session-timeout",
                 str(fleet.session_timeout),
             ]
         if len(self.names) > 1:
-            supervisor.more += [
+            supervisor.extra_flags += [
                 "--fleet-connect",
-                f"{at}:{ROSTER_PORT}",
+                f"{roster_host}:{ROSTER_PORT}",
                 "--fleet-timeout",
                 str(fleet.fleet_timeout),
                 "--name",
-                self.names[k],
+                self.names[number],
                 "--expected",
                 ",".join(self.names),
                 "--advertise",
-                f"{host}.{CONTROLS + k}:{CONTROL_PORT}",
+                f"{host}.{CONTROL_HOSTS + number}:{CONTROL_PORT}",
                 "--supervisors",
                 str(len(self.names)),
             ]
             if fleet.leave_zones:
-                supervisor.more += ["--leave-zones", "--zone-limits", fleet.zone_limits, "--regions", fleet.regions]
+                supervisor.extra_flags += [
+                    "--leave-zones",
+                    "--zone-limits",
+                    fleet.zone_limits,
+                    "--regions",
+                    fleet.regions,
+                ]
             if fleet.policies:
-                supervisor.more += ["--policy-folder", str(self.folder / f"policy{k}")]
-            off = fleet.clocks_off * self.random.uniform(-1, 1)
-            taken_out = ["--take-out", self.tamper] if self.tamper in ("leases", "epochs", "zones", "policies") else []
+                supervisor.extra_flags += ["--policy-folder", str(self.folder / f"policy{number}")]
+            clock_offset = fleet.clocks_off * self.random.uniform(-1, 1)
+            guard_flags = (
+                ["--take-out", self.tamper] if self.tamper in ("leases", "epochs", "zones", "policies") else []
+            )
             supervisor.program = (
                 "driftshed.day.rigged",
                 "--orders-to",
                 f"{host}.3:{ORDER_PORT}",
                 "--clock-off",
-                f"{off:.3f}",
-                *taken_out,
+                f"{clock_offset:.3f}",
+                *guard_flags,
                 "--",
             )
         self.supervisors.append(supervisor)
 
-    def _note(self, what: str, **more: object) -> None:
-        self.events.append({"at": round(self.loop.clock() - self.recorder.began, 2), "what": what, **more})
+    def _record_event(self, what: str, **fields: object) -> None:
+        self.events.append({"at": round(self.loop.clock() - self.recorder.began, 2), "what": what, **fields})
 
-    def _listed(self, number: int, state: str = "ready") -> ListedServer:
+    def _listed_server(self, number: int, state: str = "ready") -> ListedServer:
         facts = self.facts
         started = RosterStandin.unix(self.servers[number].started)
         return ListedServer(
@@ -330,7 +381,7 @@
             started,
         )
 
-    def _new_server(self, number: int, cold: bool) -> None:
+    def _create_server(self, number: int, cold: bool) -> None:
         host, _, port = self.cast.server(number).rpartition(":")
         address = (host, int(port))
         machine = self.script.machine(self.cast.kind_of_server(number))
@@ -339,12 +390,13 @@
         self.servers[number].start(cold)
 
     def play(self) -> None:
+        """Runs the day to its end in real time; processes and sockets are closed even if it fails."""
         try:
             self._open()
             self.loop.run(self.recorder.began + self.script.seconds)
             for client in self.clients:
                 client.open = False
-            self.loop.run(self.loop.clock() + SETTLE)
+            self.loop.run(self.loop.clock() + COMPLETION_TIME_S)
         finally:
             self._close()
 
@@ -361,16 +413,16 @@
             self._start_proxy(number, rate)
         for process in (*self.supervisors, *self.proxies):
             process.await_listening()
-        # The loop has not turned yet: what they have sent so far waits in the relays' sockets.
+        # The loop has not run yet: what the processes have sent so far waits in the relays' sockets.
         self.recorder.begin()
         for number in range(fleet.servers):
-            self._new_server(number, cold=False)
+            self._create_server(number, cold=False)
         if self.store:
             self.roster = StoreRoster(self.loop, self.store.address, fleet.session_timeout, self.seed)
         else:
-            feeder = HttpClient(self.loop, self.roster_relays[0].address)
-            self.roster = RosterStandin(self.loop, feeder, fleet.roster_lag)
-        self.roster.begin([self._listed(number) for number in range(fleet.servers)])
+            client = HttpClient(self.loop, self.roster_relays[0].address)
+            self.roster = RosterStandin(self.loop, client, fleet.roster_lag)
+        self.roster.begin([self._listed_server(number) for number in range(fleet.servers)])
         for number, rate in enumerate(rates):
             address = (self.cast.proxy_host(number), ASK_PORT)
             self.clients.append(
@@ -387,20 +439,22 @@
                 )
             )
         for trouble in script.troubles:
-            act = getattr(self, f"_begin_{type(trouble).__name__.lower()}")
-            self._at(trouble.at, lambda act=act, trouble=trouble: act(trouble))
+            handler = getattr(self, f"_begin_{type(trouble).__name__.lower()}")
+            self._schedule(trouble.at, lambda handler=handler, trouble=trouble: handler(trouble))
 
     def _start_proxy(self, number: int, rate: float) -> None:
         facts, servers = self.facts, range(self.script.fleet.servers)
         zone = number % len(facts.zones)
-        near = [n for n in servers if self.cast.zone_of_server(n) == zone] or list(servers)
-        standing = self.random.sample(near, min(len(near), max(1, facts.standing_lines)))
+        nearby = [n for n in servers if self.cast.zone_of_server(n) == zone] or list(servers)
+        standing = self.random.sample(nearby, min(len(nearby), max(1, facts.standing_lines)))
         proxy = ProxyProcess(self.script, self.folder, self.trace)
-        if self.tamper == "twice":  # it sends nothing again in doubt, whatever it is told, unless it knows no better
+        # A proxy repeats no side-effecting try in doubt, whatever its tables allow, unless its own configuration calls
+        # the operation idempotent.
+        if self.tamper == "twice":
             proxy.operations = [text.replace("effect=side-effecting", "effect=idempotent") for text in proxy.operations]
         controls = [control.address for control in self.controls]
         controls = controls[number % len(controls) :] + controls[: number % len(controls)]
-        more = ["--hears-within", str(self.script.fleet.hears_within)] if len(controls) > 1 else []
+        extra_flags = ["--hears-within", str(self.script.fleet.hears_within)] if len(controls) > 1 else []
         if self.tamper == "owners":
             proxy.program = ("driftshed.day.rigged", "--take-out", "owners", "--")
         proxy.start(
@@ -411,11 +465,11 @@
             controls,
             [self.cast.server(n) for n in standing],
             self.random.getrandbits(32),
-            *more,
+            *extra_flags,
         )
         self.proxies.append(proxy)
 
-    def _at(self, seconds: float, call: Callable[[], object]) -> None:
+    def _schedule(self, seconds: float, call: Callable[[], object]) -> None:
         self.loop.at(self.recorder.began + seconds, call)
 
     def _close(self) -> None:
@@ -430,72 +484,72 @@
             process.end()
         for server in self.servers.values():
             server.stop()
-        for relay in (*self.controls, *self.roster_relays, *self.stored, *self.between.values()):
+        for relay in (*self.controls, *self.roster_relays, *self.store_recorders, *self.fault_relays.values()):
             relay.close()
         if len(self.names) > 1:
-            self.sink.close()
+            self.order_sink.close()
         self.recorder.close()
         self.loop.close()
         self.lock.close()
 
     # ---- troubles ---------------------------------------------------------------------------------------------
 
-    def _some(self, count: int, zone: str = "") -> list[int]:
-        """Servers that are well, drawn by chance, or all of a zone."""
-        well = [n for n, server in self.servers.items() if n not in self.gone and server.up and not server.ills]
+    def _pick_servers(self, count: int, zone: str = "") -> list[int]:
+        """Randomly chosen healthy servers, or all healthy servers of a zone."""
+        healthy = [n for n, server in self.servers.items() if n not in self.removed and server.up and not server.ills]
         if zone:
-            return [n for n in well if self.facts.zones[self.cast.zone_of_server(n)] == zone]
-        return sorted(self.random.sample(well, min(count, len(well))))
+            return [n for n in healthy if self.facts.zones[self.cast.zone_of_server(n)] == zone]
+        return sorted(self.random.sample(healthy, min(count, len(healthy))))
 
-    def _begin_deploy(self, trouble: says.Deploy) -> None:
-        self.left_to_deploy = [n for n in self.servers if n not in self.gone]
+    def _begin_deploy(self, trouble: schema.Deploy) -> None:
+        self.servers_to_deploy = [n for n in self.servers if n not in self.removed]
         for k in range(trouble.servers):
-            self.loop.after(k * trouble.every, lambda: self._deploy_one(trouble))
+            self.loop.after(k * trouble.every, lambda: self._replace_next_server(trouble))
 
-    def _deploy_one(self, trouble: says.Deploy) -> None:
-        if not self.left_to_deploy:
+    def _replace_next_server(self, trouble: schema.Deploy) -> None:
+        if not self.servers_to_deploy:
             return
-        number = self.left_to_deploy.pop(0)
-        self.gone.add(number)
-        self._note("drains", server=self.cast.server(number))
-        self.roster.change(self._listed(number, "draining"))
+        number = self.servers_to_deploy.pop(0)
+        self.removed.add(number)
+        self._record_event("drains", server=self.cast.server(number))
+        self.roster.change(self._listed_server(number, "draining"))
 
-        def die() -> None:
-            self._note("dies", server=self.cast.server(number))
+        def stop() -> None:
+            self._record_event("dies", server=self.cast.server(number))
             self.servers[number].stop()
-            self.roster.change(self._listed(number, "gone"))
-            self.loop.after(trouble.down, succeed)
+            self.roster.change(self._listed_server(number, "gone"))
+            self.loop.after(trouble.down, start_successor)
 
-        def succeed() -> None:
-            successor, self.successors = self.successors, self.successors + 1
-            # In the zone of the one that it follows.
+        def start_successor() -> None:
+            successor, self.next_number = self.next_number, self.next_number + 1
+            # A successor is in the zone of the server that it replaces.
             while self.cast.zone_of_server(successor) != self.cast.zone_of_server(number):
-                successor, self.successors = self.successors, self.successors + 1
-            self._begin_cold(successor)
+                successor, self.next_number = self.next_number, self.next_number + 1
+            self._start_cold(successor)
 
-        self.loop.after(trouble.drain, die)
+        self.loop.after(trouble.drain, stop)
 
-    def _begin_cold(self, number: int) -> None:
+    def _start_cold(self, number: int) -> None:
         if number in self.servers:
             self.servers[number].start()
         else:
-            self._new_server(number, cold=True)
-        self.cold.add(self.cast.server(number))
-        self._note("starts", server=self.cast.server(number))
-        self.roster.change(self._listed(number))
-
-    def _begin_restart(self, trouble: says.Restart) -> None:
-        for number in self._some(trouble.servers, trouble.zone):
-            self._note("dies", server=self.cast.server(number))
+            self._create_server(number, cold=True)
+        self.cold_servers.add(self.cast.server(number))
+        self._record_event("starts", server=self.cast.server(number))
+        self.roster.change(self._listed_server(number))
+
+    def _begin_restart(self, trouble: schema.Restart) -> None:
+        for number in self._pick_servers(trouble.servers, trouble.zone):
+            self._record_event("dies", server=self.cast.server(number))
             self.servers[number].stop()
-            self.roster.change(self._listed(number, "gone"))
-            self.loop.after(trouble.down, lambda number=number: self._begin_cold(number))
+            self.roster.change(self._listed_server(number, "gone"))
+            self.loop.after(trouble.down, lambda number=number: self._start_cold(number))
 
-    def _begin_sick(self, trouble: says.Sick) -> None:
-        numbers = self._some(trouble.servers, trouble.zone)
+    def _begin_sick(self, trouble: schema.Sick) -> None:
+        numbers = self._pick_servers(trouble.servers, trouble.zone)
         for number in numbers:
             server = self.servers[number]
-            self._note(trouble.how, server=self.cast.server(number))
+            self._record_event(trouble.how, server=self.cast.server(number))
             server.fall_ill(
                 (trouble.how, trouble.at),
                 {
@@ -505,24 +559,24 @@
                 }[trouble.how],
             )
 
-        def well() -> None:
+        def recover() -> None:
             for number in numbers:
-                self._note("well", server=self.cast.server(number))
+                self._record_event("well", server=self.cast.server(number))
                 self.servers[number].recover((trouble.how, trouble.at))
 
-        self.loop.after(trouble.lasts, well)
+        self.loop.after(trouble.lasts, recover)
 
-    def _begin_lateroster(self, trouble: says.LateRoster) -> None:
-        self._note("roster late", by=trouble.by)
+    def _begin_lateroster(self, trouble: schema.LateRoster) -> None:
+        self._record_event("roster late", by=trouble.by)
         self.roster.lag += trouble.by
 
-        def over() -> None:
+        def restore() -> None:
             self.roster.lag -= trouble.by
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_cut(self, trouble: says.Cut) -> None:
-        self._note("zone cut off", zone=trouble.zone, way=trouble.what)
+    def _begin_cut(self, trouble: schema.Cut) -> None:
+        self._record_event("zone cut off", zone=trouble.zone, way=trouble.what)
         zone = self.facts.zones.index(trouble.zone)
         hosts = {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(self.facts.zones) == zone}
         if trouble.what != "servers":
@@ -533,177 +587,177 @@
                 if self.cast.zone_of_server(number) != zone:
                     server.unreachable |= hosts
 
-        def over() -> None:
-            self._note("zone back", zone=trouble.zone)
+        def restore() -> None:
+            self._record_event("zone back", zone=trouble.zone)
             for control in self.controls:
                 control.blocked_hosts -= hosts
             for server in self.servers.values():
                 server.unreachable -= hosts
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_kill(self, trouble: says.Kill) -> None:
-        supervisor, more = self.supervisors[trouble.who], self._which(trouble.who)
-        self._note("supervisor killed", **more)
+    def _begin_kill(self, trouble: schema.Kill) -> None:
+        supervisor, fields = self.supervisors[trouble.who], self._supervisor_field(trouble.who)
+        self._record_event("supervisor killed", **fields)
         supervisor.signal(signal.SIGKILL)
 
-        def anew() -> None:
-            self._note("supervisor started anew", **more)
+        def restart() -> None:
+            self._record_event("supervisor started anew", **fields)
             supervisor.process.wait()
             supervisor.process.stdout.close()
             supervisor.start(self.random.getrandbits(32))
 
-        self.loop.after(trouble.down, anew)
+        self.loop.after(trouble.down, restart)
 
-    def _which(self, who: int) -> dict[str, str]:
+    def _supervisor_field(self, who: int) -> dict[str, str]:
         return {"supervisor": self.names[who]} if len(self.names) > 1 else {}
 
-    def _sides(self, who: int, side: str) -> list[tuple[str, Between]]:
-        return [(each, self.between[who, each]) for each in ("store", "proxies") if side in (each, "both")]
+    def _selected_relays(self, who: int, side: str) -> list[tuple[str, FaultRelay]]:
+        return [(each, self.fault_relays[who, each]) for each in ("store", "proxies") if side in (each, "both")]
 
-    def _begin_apart(self, trouble: says.Apart) -> None:
+    def _begin_apart(self, trouble: schema.Apart) -> None:
         def cut(step: int) -> None:
-            for side, between in self._sides(trouble.who, trouble.side):
-                said, told = (FORTH, BACK) if side == "store" else (BACK, FORTH)
-                for way, name in ((said, "said"), (told, "told")):
+            for side, relay in self._selected_relays(trouble.who, trouble.side):
+                sent, received = (FORTH, BACK) if side == "store" else (BACK, FORTH)
+                for way, name in ((sent, "said"), (received, "told")):
                     if trouble.way in ("both", name):
-                        between.cut(way, step)
+                        relay.cut(way, step)
 
-        self._note("cut off", **self._which(trouble.who), side=trouble.side, way=trouble.way)
+        self._record_event("cut off", **self._supervisor_field(trouble.who), side=trouble.side, way=trouble.way)
         cut(+1)
 
-        def over() -> None:
-            self._note("reached again", **self._which(trouble.who))
+        def restore() -> None:
+            self._record_event("reached again", **self._supervisor_field(trouble.who))
             cut(-1)
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_lag(self, trouble: says.Lag) -> None:
-        self._note("slow ways", **self._which(trouble.who), side=trouble.side, by=trouble.by)
-        for _, between in self._sides(trouble.who, trouble.side):
-            between.delay += trouble.by
+    def _begin_lag(self, trouble: schema.Lag) -> None:
+        self._record_event("slow ways", **self._supervisor_field(trouble.who), side=trouble.side, by=trouble.by)
+        for _, relay in self._selected_relays(trouble.who, trouble.side):
+            relay.delay += trouble.by
 
-        def over() -> None:
-            for _, between in self._sides(trouble.who, trouble.side):
-                between.delay = max(0.0, between.delay - trouble.by)
+        def restore() -> None:
+            for _, relay in self._selected_relays(trouble.who, trouble.side):
+                relay.delay = max(0.0, relay.delay - trouble.by)
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_lose(self, trouble: says.Lose) -> None:
-        self._note(f"one {trouble.what} is lost", **self._which(trouble.who))
-        self.between[trouble.who, "store"].lose[FORTH if trouble.what == "request" else BACK] += 1
+    def _begin_lose(self, trouble: schema.Lose) -> None:
+        self._record_event(f"one {trouble.what} is lost", **self._supervisor_field(trouble.who))
+        self.fault_relays[trouble.who, "store"].drop_next[FORTH if trouble.what == "request" else BACK] += 1
 
-    def _begin_lapse(self, trouble: says.Lapse) -> None:
+    def _begin_lapse(self, trouble: schema.Lapse) -> None:
         names = sorted(self.roster.announcers)
         names = self.random.sample(names, max(1, round(trouble.share * len(names))))
-        self._note("sessions end", servers=len(names))
+        self._record_event("sessions end", servers=len(names))
         for name in names:
             end = lambda name=name: name in self.roster.announcers and self.roster.end_session(name)  # noqa: E731
             self.loop.after(self.random.uniform(0, trouble.within), end)
 
-    def _begin_storedown(self, trouble: says.StoreDown) -> None:
-        self._note("store killed")
+    def _begin_storedown(self, trouble: schema.StoreDown) -> None:
+        self._record_event("store killed")
         self.store.signal(signal.SIGKILL)
 
-        def anew() -> None:
-            self._note("store started anew")
+        def restart() -> None:
+            self._record_event("store started anew")
             self.store.process.wait()
             self.store.process.stdout.close()
             self.store.start()
 
-        self.loop.after(trouble.down, anew)
+        self.loop.after(trouble.down, restart)
 
-    def _begin_storepause(self, trouble: says.StorePause) -> None:
-        self._note("store stopped")
+    def _begin_storepause(self, trouble: schema.StorePause) -> None:
+        self._record_event("store stopped")
         self.store.signal(signal.SIGSTOP)
 
-        def over() -> None:
-            self._note("store goes on")
+        def restore() -> None:
+            self._record_event("store goes on")
             self.store.signal(signal.SIGCONT)
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_storecut(self, trouble: says.StoreCut) -> None:
-        self._note("store cut off from the supervisor")
+    def _begin_storecut(self, trouble: schema.StoreCut) -> None:
+        self._record_event("store cut off from the supervisor")
         hosts = {*(each.address.partition(":")[0] for each in self.supervisors), "127.0.0.1"}
         for relay in self.roster_relays:
             relay.blocked_hosts |= hosts
 
-        def over() -> None:
-            self._note("store reached again")
+        def restore() -> None:
+            self._record_event("store reached again")
             for relay in self.roster_relays:
                 relay.blocked_hosts -= hosts
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_change(self, trouble: says.Change) -> None:
+    def _begin_change(self, trouble: schema.Change) -> None:
         document = policies.of_flags({**self.script.flags, **trouble.settings}, self.script.operations)
         despite = [self.names[number] for number in trouble.despite]
-        asked = {"what": "propose", "who": "the day", "text": policies.as_toml(document), "despite": despite}
+        proposal = {"what": "propose", "who": "the day", "text": policies.as_toml(document), "despite": despite}
         client = HttpClient(self.loop, (f"127.{self.net}.0.{9 + trouble.who}", 7100), idle_most=1)
 
-        def answered(answer: Answer) -> None:
-            self._note(
+        def on_answer(answer: Answer) -> None:
+            self._record_event(
                 "policy proposed",
                 status=answer.status,
                 said=answer.body.decode("utf-8", "replace")[:120],
-                **self._which(trouble.who),
+                **self._supervisor_field(trouble.who),
             )
             client.close()
 
-        client.call("POST", "/v1/policy", msgspec.json.encode(asked), answered, 3.0)
+        client.call("POST", "/v1/policy", msgspec.json.encode(proposal), on_answer, 3.0)
 
-    def _begin_pause(self, trouble: says.Pause) -> None:
-        supervisor, more = self.supervisors[trouble.who], self._which(trouble.who)
-        self._note("supervisor stopped", **more)
+    def _begin_pause(self, trouble: schema.Pause) -> None:
+        supervisor, fields = self.supervisors[trouble.who], self._supervisor_field(trouble.who)
+        self._record_event("supervisor stopped", **fields)
         supervisor.signal(signal.SIGSTOP)
 
-        def over() -> None:
-            self._note("supervisor goes on", **more)
+        def restore() -> None:
+            self._record_event("supervisor goes on", **fields)
             supervisor.signal(signal.SIGCONT)
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_breakstreams(self, trouble: says.BreakStreams) -> None:
+    def _begin_breakstreams(self, trouble: schema.BreakStreams) -> None:
         count = max(1, round(trouble.share * len(self.proxies)))
         hosts = {self.cast.proxy_host(n) for n in self.random.sample(range(len(self.proxies)), count)}
-        self._note("streams break halfway through a delta", proxies=count)
+        self._record_event("streams break halfway through a delta", proxies=count)
         for control in self.controls:
             control.break_hosts |= hosts
 
-        def over() -> None:
-            self._note("streams broken so", proxies=sum(len(control.broken) for control in self.controls))
+        def restore() -> None:
+            self._record_event("streams broken so", proxies=sum(len(control.broken) for control in self.controls))
             for control in self.controls:
                 control.break_hosts -= hosts
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
-    def _begin_dropstreams(self, trouble: says.DropStreams) -> None:
-        self._note("every stream is reset")
+    def _begin_dropstreams(self, trouble: schema.DropStreams) -> None:
+        self._record_event("every stream is reset")
         for control in self.controls:
             control.reset_all()
 
-    def _begin_surge(self, trouble: says.Surge) -> None:
-        self._note("surge", times=trouble.times)
+    def _begin_surge(self, trouble: schema.Surge) -> None:
+        self._record_event("surge", times=trouble.times)
         for client in self.clients:
             client.surge *= trouble.times
 
-        def over() -> None:
+        def restore() -> None:
             for client in self.clients:
                 client.surge /= trouble.times
 
-        self.loop.after(trouble.lasts, over)
+        self.loop.after(trouble.lasts, restore)
 
 
 def play(
-    script: says.Script,
+    script: schema.Script,
     seed: int,
     folder: Path,
     tamper: str | None = None,
     trace: Path | None = None,
     tries: int | None = None,
-) -> Stage:
-    """Plays a day; what passed is in the stage's `record`, and in traces where a folder for them is given."""
-    stage = Stage(script, seed, folder, tamper, trace, tries)
+) -> DayHarness:
+    """Runs a day and returns its harness; the traffic is in the file `record`, and in traces if a folder is given."""
+    stage = DayHarness(script, seed, folder, tamper, trace, tries)
     stage.play()
     return stage
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from driftshed.core.messages import ListedServer, RosterNews, encode
-from driftshed.day.between import BACK, FORTH, Between, whole_frame
+from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
 from driftshed.day.fleet import OPERATION, TURN, FleetProcess
 from driftshed.day.judge import Verdict
 from driftshed.day.recorder import CONTROL, ORDER, STORED, Recorder, read_record
@@ -187,7 +187,7 @@
         self.sink.on_connection = self.recorder.accepted(ORDER, self.sink.address)
         self.stores = {name: self._store_process(k, name) for k, name in enumerate(("", *REGIONS))}
         self.store_addresses = {name: self._at(STORES, 1 + k, 2181) for k, name in enumerate(("", *REGIONS))}
-        self.ways: dict[tuple[str, str], Between] = {}  # by supervisor and side
+        self.ways: dict[tuple[str, str], FaultRelay] = {}  # by supervisor and side
         self.relays: list[Relay] = []
         self.controls: dict[str, Relay] = {}
         self.addresses, self.supervisors, self.clients = {}, {}, {}
@@ -213,7 +213,7 @@
         """The way of a supervisor to a store: faults at its own end, what passes recorded at the store's."""
         relay = Relay(self.loop, self.recorder, STORED, self._at(stored, 1 + k, 2181), self.store_addresses[store])
         self.relays.append(relay)
-        between = Between(self.loop, self._at(at, 1 + k, 2181), relay.address, whole_frame)
+        between = FaultRelay(self.loop, self._at(at, 1 + k, 2181), relay.address, frame_length)
         self.ways[name, side] = between
         return told(between.address)
 
@@ -222,7 +222,7 @@
         self.addresses[name], self.clients[name] = address, HttpClient(self.loop, address, idle_most=1)
         whole = self._way(name, "whole", k, WHOLE_WAYS, AT_WHOLE, "")
         near = self._way(name, "region", k, REGION_WAYS, AT_REGION, region)
-        between = Between(self.loop, self._at(AT_PROXIES, 1 + k, 7000), address)
+        between = FaultRelay(self.loop, self._at(AT_PROXIES, 1 + k, 7000), address)
         self.ways[name, "proxies"] = between
         control = Relay(self.loop, self.recorder, CONTROL, self._at(CONTROLS, 1 + k, 7000), between.address)
         self.relays.append(control)
@@ -505,7 +505,7 @@
 
     def _lose(self, fault: Fault) -> None:
         for side in fault.sides:
-            self.ways[fault.who, side].lose[FORTH if fault.way == "said" else BACK] += 1
+            self.ways[fault.who, side].drop_next[FORTH if fault.way == "said" else BACK] += 1
 
     def _ask(self, asking: Asking) -> None:
         for name in asking.who if asking.slowly else ():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -79,8 +79,8 @@
 @pytest.mark.parametrize("way", [FORTH, BACK])
 def test_requests_and_answers_that_are_lost_on_the_way_to_the_store_change_nothing(stage, way):
     for name in stage.names:
-        stage.to_store[name].lose[way] = 3
-    stage.until(lambda: all(len(each.lost) == 3 for each in stage.to_store.values()), 20)
+        stage.to_store[name].drop_next[way] = 3
+    stage.until(lambda: all(len(each.dropped) == 3 for each in stage.to_store.values()), 20)
     everybody_up(stage)
     assert all(stage.get(name, "fleet")["incarnation"] == 1 for name in stage.names)
 
--- a/tests/test_tiers_processes.py
+++ b/tests/test_tiers_processes.py
@@ -85,7 +85,7 @@
             if not pattern.search(message) or lost:
                 return False
             for other, between in ways.items():
-                between.lose[FORTH] = int(other == name)
+                between.drop_next[FORTH] = int(other == name)
             then(name)
             lost.append(name)
             return True
@@ -94,7 +94,7 @@
 
     def arm() -> None:
         for name, between in ways.items():
-            between.loses, between.lose[FORTH] = loses(name), 1
+            between.may_drop, between.drop_next[FORTH] = loses(name), 1
 
     stage.do(arm)
     return lost
