--- a/driftshed/day/accord.py
+++ b/driftshed/day/accord.py
@@ -14,7 +14,7 @@
 
 from driftshed.coordination import agreement
 from driftshed.day.recorder import CONTROL, ORDER, STORED
-from driftshed.day.traffic import said_by_store
+from driftshed.day.traffic import store_answers
 from driftshed.roster import jute
 
 FLEET_ROOT = "/driftshed/fleet"
@@ -43,12 +43,12 @@
         self,
         kinds: dict[str, list],
         owner: Callable[[str], int],
-        check: Callable,
-        broken: Callable,
+        count_check: Callable,
+        report_violation: Callable,
         root: str = FLEET_ROOT,
         names: frozenset[str] | None = None,
     ) -> None:
-        self.kinds, self.owner, self.check, self.broken = kinds, owner, check, broken
+        self.kinds, self.owner, self.count_check, self.report_violation = kinds, owner, count_check, report_violation
         self.root, self.names = root, names
         self.records: list[agreement.Record] = []  # as somebody read them, or as they were surely written
         # By start of a supervisor: when it had made its node, and when anybody was told that it is gone.
@@ -62,7 +62,7 @@
         self._judge_owners()
 
     def _said(self, talk: object) -> Iterable[tuple[float, object, object]]:
-        return said_by_store(talk)
+        return store_answers(talk)
 
     def _read(self, talk: object) -> None:
         folder, records, there = f"{self.root}/members", f"{self.root}/records/", set()
@@ -95,9 +95,11 @@
         """An epoch of the fleet has one proposal, and that one end."""
         tokens, ends = {}, defaultdict(set)
         for record in self.records:
-            self.check("epochs")
+            self.count_check("epochs")
             if tokens.setdefault(record.epoch, record.token) != record.token:
-                self.broken("epochs", f"epoch {record.epoch} is both {tokens[record.epoch]} and {record.token}")
+                self.report_violation(
+                    "epochs", f"epoch {record.epoch} is both {tokens[record.epoch]} and {record.token}"
+                )
             if record.state in ("settled", "void"):
                 ends[record.epoch].add(record.state)
             standing = record.standing
@@ -105,19 +107,21 @@
                 # A copy also tells of an end above that came while nobody here listened; above it is held to that.
                 token = tokens.setdefault(standing.epoch, standing.token)
                 if token != standing.token:
-                    self.broken("epochs", f"epoch {standing.epoch} is both {token} and {standing.token}")
+                    self.report_violation("epochs", f"epoch {standing.epoch} is both {token} and {standing.token}")
                 ends[standing.epoch].add("settled")
         for epoch, states in ends.items():
             if len(states) > 1:
-                self.broken("epochs", f"epoch {epoch} was both settled and voided")
+                self.report_violation("epochs", f"epoch {epoch} was both settled and voided")
         last: dict[tuple[str, str], int] = {}
         for at, order in self._orders():
             for topic, (epoch, token) in order.rests_on.items():
                 if epoch < last.get((order.name, topic), 0):
-                    self.broken("epochs", f"{order.name} went back to epoch {epoch} of {topic} at {at:.2f} s")
+                    self.report_violation("epochs", f"{order.name} went back to epoch {epoch} of {topic} at {at:.2f} s")
                 last[order.name, topic] = max(epoch, last.get((order.name, topic), 0))
                 if tokens.get(epoch) != token or "settled" not in ends[epoch]:
-                    self.broken("epochs", f"{order.name} acts at {at:.2f} s on {token}, which was never settled")
+                    self.report_violation(
+                        "epochs", f"{order.name} acts at {at:.2f} s on {token}, which was never settled"
+                    )
 
     def _orders(self) -> Iterator[tuple[float, Ordered]]:
         rows = [
@@ -136,7 +140,7 @@
         for rows in self.stays.values():
             rows.sort()
         for at, order in self._orders():
-            self.check("leases")
+            self.count_check("leases")
             node = f"{order.name}~{order.incarnation}"
             made, left = NEVER, NEVER
             for then, there in self.stays[node]:
@@ -145,9 +149,9 @@
                 elif then < at - SLACK and (made == NEVER or then > made + SLACK):  # else it tells of one before
                     left = min(left, then)
             if left != NEVER:
-                self.broken("leases", f"{node} ordered at {at:.2f} s, gone since {left:.2f} s")
+                self.report_violation("leases", f"{node} ordered at {at:.2f} s, gone since {left:.2f} s")
             if order.incarnation < highest.get(order.name, 0):
-                self.broken("leases", f"{node} ordered at {at:.2f} s, after start {highest[order.name]} had")
+                self.report_violation("leases", f"{node} ordered at {at:.2f} s, after start {highest[order.name]} had")
             highest[order.name] = max(order.incarnation, highest.get(order.name, 0))
 
     def _judge_owners(self) -> None:
@@ -167,16 +171,18 @@
         for proxy, rows in joins.items():
             highest = -1
             for at, term in sorted(rows):
-                self.check("owners")
+                self.count_check("owners")
                 if term <= highest:
-                    self.broken("owners", f"proxy {proxy} was joined with term {term} at {at:.2f} s, after {highest}")
+                    self.report_violation(
+                        "owners", f"proxy {proxy} was joined with term {term} at {at:.2f} s, after {highest}"
+                    )
                 highest = max(highest, term)
         for proxy, rows in polls.items():
             highest = -1
             for at, owner, stream in sorted(rows):
                 term = terms.get((owner, stream), -1)
                 if term < highest:
-                    self.broken(
+                    self.report_violation(
                         "owners",
                         f"proxy {proxy} heeds supervisor {owner} under term {term} at {at:.2f} s, "
                         f"having heeded term {highest}",
@@ -188,4 +194,4 @@
     """Adds the three rules to a verdict."""
     for rule in RULES:
         verdict.rules[rule] = {"checked": 0, "broken": 0}
-    Accord(kinds, owner, verdict.check, verdict.broken).judge()
+    Accord(kinds, owner, verdict.count_check, verdict.report_violation).judge()
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -1,8 +1,8 @@
-"""The judge: holds what passed on the sockets to the five rules, and counts service by billed value. It knows the
-script and the recorder's file, and nothing of the memory or logs of any part.
+"""The judge: checks the recorded socket traffic against the five rules, and computes service by billed value. Its only
+inputs are the script and the recorder's file, not the memory or logs of any process.
 
-All supervisors of a day are judged together: a proxy is held to what the one that it is joined to knows, a cold server
-to what all proxies send it, whoever tells them to."""
+All supervisors of a day are judged together: a proxy is checked against what the supervisor that it is joined to has
+received, a cold server against the load from all proxies, whichever supervisors they follow."""
 
 from __future__ import annotations
 
@@ -22,64 +22,71 @@
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, WORK, read_record
 from driftshed.day.script import Apart, Cut, Kill, Pause, Script
 from driftshed.day.stage import Cast, supervisor_directory
-from driftshed.day.traffic import Exchange, read_traffic, said_by_store
+from driftshed.day.traffic import Exchange, read_traffic, store_answers
 from driftshed.day.zones import judge_zones
 from driftshed.roster import jute
 from driftshed.roster.nodes import Said
 from driftshed.standins.emulator import Machine
 from driftshed.standins.roster import ROOT as SERVERS_ROOT
 
-FROM = 1.0  # seconds; service counts from here on
-SLACK = 1e-3  # seconds: what clocks and rounding may differ
-CHANGES, NEWS = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterNews)
+SERVICE_START_S = 1.0  # requests before this time do not count toward service
+CLOCK_TOLERANCE_S = 1e-3  # allowance for differences of clocks and for rounding
+CHANGES, ROSTER_UPDATES = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterNews)
 NEVER = float("inf")
 
 
-class Stretch:
-    """A time for which something held, `till` not included."""
+class Interval:
+    """A half-open interval of time, `since` to `till` in seconds, with the value that held during it."""
 
-    __slots__ = ("since", "till", "what")
+    __slots__ = ("since", "till", "value")
 
-    def __init__(self, since: float, till: float, what: object = None) -> None:
-        self.since, self.till, self.what = since, till, what
+    def __init__(self, since: float, till: float, value: object = None) -> None:
+        """`till` may be NEVER, and may be set later."""
+        self.since, self.till, self.value = since, till, value
 
 
-def overlap(a: Stretch, b: Stretch) -> tuple[float, float] | None:
+def overlap(a: Interval, b: Interval) -> tuple[float, float] | None:
+    """The start and end of the intersection; None where it is empty."""
     since, till = max(a.since, b.since), min(a.till, b.till)
     return (since, till) if till > since else None
 
 
 class Verdict:
-    """By rule, how often it was checked and how often broken, and the first few breaks in words."""
+    """By rule, the counts of checks and violations, with texts of the first five violations; and the service."""
 
     def __init__(self) -> None:
+        """Has the five rules of any day; checkers of fleets, zones and policies add theirs to `rules`."""
         self.rules = {rule: {"checked": 0, "broken": 0} for rule in ("bare", "twice", "drains", "failback", "queue")}
         self.breaks: list[str] = []
         self.service, self.operations, self.asked = 0.0, {}, 0
-        # By zone and supervisor, where zones are left: when it read which share stands.
+        # By zone and supervisor, where zones are evacuated: (time, share to evacuate) as the supervisor read them.
         self.left: dict[str, dict[int, list[tuple[float, float]]]] = {}
-        self.margins: dict[str, float] = {}  # by rule: the most that was used of what it allows
+        self.margins: dict[str, float] = {}  # by rule: the largest share used of its bound
 
-    def used(self, rule: str, share: float) -> None:
+    def record_usage(self, rule: str, share: float) -> None:
+        """Raises the rule's margin to a share of its bound; over 1 is a violation."""
         self.margins[rule] = max(self.margins.get(rule, 0.0), round(share, 4))
 
-    def check(self, rule: str, count: int = 1) -> None:
+    def count_check(self, rule: str, count: int = 1) -> None:
+        """Adds to the number of times that a rule was checked."""
         self.rules[rule]["checked"] += count
 
-    def broken(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
+        """Counts a violation; the texts of the first five of each rule are kept."""
         self.rules[rule]["broken"] += 1
         if sum(text.startswith(rule) for text in self.breaks) < 5:
             self.breaks.append(f"{rule}: {text}")
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was violated."""
         return not any(row["broken"] for row in self.rules.values())
 
 
 class Case(NamedTuple):
-    """What passed, and what is known of the day besides: who is who, the machine of each server's number, the cuts
-    between proxies and supervisors (proxy, supervisor or None for all, since when), when supervisors were killed and
-    when they stood still. `owner`: the number of the supervisor that an address leads to."""
+    """The recorded traffic and the faults of a day: `machine`: the capacity model by number of a server; `cuts`:
+    (proxy, supervisor or None for all, time) of each partition between them; `kills`: (supervisor, time); `owner`: the
+    number of the supervisor that a relay's address leads to. Times in seconds from the start of the day."""
 
     facts: face.StartFacts
     cast: Cast
@@ -95,19 +102,23 @@
 
 
 class Judge:
+    """Judges one day. Construction reads the traffic; `judge` checks the rules."""
+
     def __init__(self, case: Case) -> None:
+        """Extracts joins, changes, roster updates and requests, by proxy, supervisor and server."""
         self.case, self.facts, self.began, self.cast = case, case.facts, case.began, case.cast
         kinds = case.kinds
         self.control, self.roster, self.work, self.ask = (kinds.get(kind, []) for kind in (CONTROL, ROSTER, WORK, ASK))
-        self.talks = kinds.get(STORE, [])
+        self.store_connections = kinds.get(STORE, [])
         self.operations = {operation.name: operation for operation in self.facts.operations}
         self.verdict = Verdict()
-        self.end = max((c.now for each in kinds.values() for c in each), default=0.0) + SLACK
+        self.end = max((c.now for each in kinds.values() for c in each), default=0.0) + CLOCK_TOLERANCE_S
         self._read_control()
         self._read_roster()
         self._read_work()
 
     def judge(self) -> Verdict:
+        """Checks the five rules and computes the service; call it once."""
         self._judge_bare()
         self._judge_twice()
         self._judge_drains()
@@ -119,12 +130,12 @@
     # ---- reading ----------------------------------------------------------------------------------------------
 
     def _read_control(self) -> None:
-        """Who was joined when, and what each proxy was told when."""
+        """Reads the intervals in which proxies were joined to a supervisor, and the changes that each received."""
         cuts: dict[int, list[tuple[int | None, float]]] = defaultdict(list)
         for proxy, owner, at in self.case.cuts:
             cuts[proxy].append((owner, at))
-        self.joined: dict[int, list[Stretch]] = defaultdict(list)
-        self.told: dict[int, list[tuple[float, Changes]]] = defaultdict(list)
+        self.joined: dict[int, list[Interval]] = defaultdict(list)
+        self.changes_received: dict[int, list[tuple[float, Changes]]] = defaultdict(list)
         joins: dict[int, list[tuple[float, Exchange]]] = defaultdict(list)
         for connection in self.control:
             for exchange in connection.exchanges:
@@ -137,7 +148,7 @@
                 elif parts[4] == "changes":
                     changes = CHANGES.decode(exchange.body)
                     if changes.changes:
-                        self.told[proxy].append((exchange.answered_at, changes))
+                        self.changes_received[proxy].append((exchange.answered_at, changes))
         for proxy, rows in joins.items():
             rows.sort(key=lambda row: row[0])
             for k, (at, exchange) in enumerate(rows):
@@ -148,91 +159,93 @@
                 ends += [cut for by, cut in cuts[proxy] if by in (None, owner)]
                 ends += [kill for by, kill in self.case.kills if by == owner]
                 till = min([end for end in ends if end is not None and end > at], default=self.end)
-                self.joined[proxy].append(Stretch(at, till, owner))
-        for rows in self.told.values():
+                self.joined[proxy].append(Interval(at, till, owner))
+        for rows in self.changes_received.values():
             rows.sort(key=lambda row: row[0])
-        self._read_slow()
+        self._read_slow_applies()
 
-    def _read_slow(self) -> None:
-        """When a proxy was slower to apply what it was told than the worst transit that is stated: what it does for so
-        long is no supervisor's doing."""
+    def _read_slow_applies(self) -> None:
+        """Reads the intervals in which a proxy took longer than the stated worst transit to apply its changes; what it
+        sends in them is not attributed to its supervisor."""
         acks: dict[int, list[tuple[int, float]]] = defaultdict(list)
         for connection in self.control:
             for exchange in connection.exchanges:
                 parts = exchange.path.split("/")
                 if len(parts) == 5 and parts[4] == "changes":
                     acks[int(parts[3])].append((int(exchange.query.get("after", 0)), exchange.asked_at))
-        self.slow: dict[int, list[Stretch]] = defaultdict(list)
-        for proxy, rows in self.told.items():
+        self.slow_applies: dict[int, list[Interval]] = defaultdict(list)
+        for proxy, rows in self.changes_received.items():
             for at, changes in rows:
                 applied = min(
                     (then for after, then in acks[proxy] if after >= changes.version and then >= at), default=at
                 )
                 if applied - at > self.facts.worst_transit:
-                    self.slow[proxy].append(Stretch(at, applied))
+                    self.slow_applies[proxy].append(Interval(at, applied))
 
-    def _is_slow(self, proxy: int, since: float, till: float) -> bool:
-        return any(each.since < till and since < each.till for each in self.slow[proxy])
+    def _applies_slowly(self, proxy: int, since: float, till: float) -> bool:
+        return any(each.since < till and since < each.till for each in self.slow_applies[proxy])
 
     def _read_roster(self) -> None:
-        """What each supervisor was told of each server, stretch by stretch: (state, when it last started)."""
-        owners = {self.case.owner(each.asked) for each in (*self.control, *self.roster, *self.talks)}
-        self.listed: dict[int, dict[str, list[Stretch]]] = {owner: self._read_listed(owner) for owner in owners}
-
-    def heard_at(self, owner: int, at: float) -> float:
-        """When a supervisor could know what came to it at this time: one that stood still knew it later."""
+        """Reads the intervals of each server as received by each supervisor: (state, time of its last start)."""
+        owners = {self.case.owner(each.asked) for each in (*self.control, *self.roster, *self.store_connections)}
+        self.listed: dict[int, dict[str, list[Interval]]] = {
+            owner: self._read_supervisor_roster(owner) for owner in owners
+        }
+
+    def observable_at(self, owner: int, at: float) -> float:
+        """When a supervisor could act on what reached it at this time: after the pause, if it was paused."""
         return max([at, *(till for by, since, till in self.case.pauses if by == owner and since <= at < till)])
 
-    def _read_listed(self, owner: int) -> dict[str, list[Stretch]]:
-        all_listed: dict[str, list[Stretch]] = defaultdict(list)
-        news = [
-            (each.answered_at, NEWS.decode(each.asked))
+    def _read_supervisor_roster(self, owner: int) -> dict[str, list[Interval]]:
+        intervals: dict[str, list[Interval]] = defaultdict(list)
+        updates = [
+            (each.answered_at, ROSTER_UPDATES.decode(each.asked))
             for connection in self.roster
             if self.case.owner(connection.asked) == owner
             for each in connection.exchanges
             if each.status == 200 and each.method == "POST"
         ]
         kills = [kill for by, kill in self.case.kills if by == owner]
-        rows: list[tuple[float, RosterNews | None]] = [*news, *((kill, None) for kill in kills)]
-        present: dict[str, Stretch] = {}
+        rows: list[tuple[float, RosterNews | None]] = [*updates, *((kill, None) for kill in kills)]
+        open_intervals: dict[str, Interval] = {}
 
-        def say(at: float, server: str, what: object) -> None:
-            old = present.pop(server, None)
-            if old is not None and old.what == what:
-                present[server] = old
+        def set_state(at: float, server: str, state: object) -> None:
+            current = open_intervals.pop(server, None)
+            if current is not None and current.value == state:
+                open_intervals[server] = current
                 return
-            if old is not None:
-                old.till = at
-            if what is not None:
-                present[server] = Stretch(at, NEVER, what)
-                all_listed[server].append(present[server])
-
-        for at, server, what in self._read_store(owner, kills):
-            say(at, server, what)
+            if current is not None:
+                current.till = at
+            if state is not None:
+                open_intervals[server] = Interval(at, NEVER, state)
+                intervals[server].append(open_intervals[server])
+
+        for at, server, state in self._read_store(owner, kills):
+            set_state(at, server, state)
         for at, each in sorted(rows, key=lambda row: row[0]):
-            if each is None:  # a new supervisor knows nothing
-                for server in list(present):
-                    say(at, server, None)
+            if each is None:  # a restarted supervisor has no list
+                for server in list(open_intervals):
+                    set_state(at, server, None)
                 continue
             named = {listed.server for listed in each.servers}
             if each.whole:
-                for server in [server for server in present if server not in named]:
-                    say(at, server, ("gone", None))
+                for server in [server for server in open_intervals if server not in named]:
+                    set_state(at, server, ("gone", None))
             for listed in each.servers:
                 started = None if listed.started is None else round(listed.started - self.began, 3)
-                say(at, listed.server, (listed.state, started))
-        return all_listed
+                set_state(at, listed.server, (listed.state, started))
+        return intervals
 
     def _read_store(self, owner: int, kills: list[float]) -> list[tuple[float, str, object]]:
-        """What a store told a supervisor: nodes that it read, and nodes that vanished. One that vanished without a
-        word is "lapsed": it is listed ready no more, and that it is gone was not said."""
+        """What a supervisor read from the store: contents of nodes, and deletions. A node deleted while its server was
+        ready is "lapsed": the server is no longer listed as ready, but was not announced as gone."""
         rows: list[tuple[float, str, object]] = [(kill, "", None) for kill in kills]
         root = self.case.servers_root
-        for talk in self.talks:
-            if self.case.owner(talk.asked) != owner:
+        for connection in self.store_connections:
+            if self.case.owner(connection.asked) != owner:
                 continue
-            for at, request, result in said_by_store(talk):
-                at, path = self.heard_at(owner, at), getattr(request, "path", "")
+            for at, request, result in store_answers(connection):
+                at, path = self.observable_at(owner, at), getattr(request, "path", "")
                 if path != root and not path.startswith(f"{root}/"):
                     continue
                 if isinstance(request, jute.Event):
@@ -242,43 +255,43 @@
                     rows.append((at, path, result[0]))
                 elif isinstance(request, jute.GetChildren):
                     rows.append((at, "", result[0]))
-        nodes: dict[str, tuple[str, float | None, int]] = {}  # by path: state, started, epoch
-        told: list[tuple[float, str, object]] = []
+        nodes: dict[str, tuple[str, float | None, int]] = {}  # by path: (state, started, epoch)
+        observations: list[tuple[float, str, object]] = []
 
-        def tell(at: float, server: str) -> None:
-            own = [
+        def emit(at: float, server: str) -> None:
+            own_nodes = [
                 (epoch, state, started)
                 for path, (state, started, epoch) in nodes.items()
                 if path.rpartition("/")[2].partition("~")[0] == server
             ]
-            _, state, started = max(own)
-            told.append((at, server, (state, started)))
+            _, state, started = max(own_nodes)
+            observations.append((at, server, (state, started)))
 
-        def vanish(at: float, path: str) -> None:
+        def remove_node(at: float, path: str) -> None:
             if path in nodes:
                 state, _, epoch = nodes[path]
                 nodes[path] = ("lapsed" if state == "ready" else state if state == "lapsed" else "gone"), None, epoch
-                tell(at, path.rpartition("/")[2].partition("~")[0])
+                emit(at, path.rpartition("/")[2].partition("~")[0])
 
         for at, path, what in sorted(rows, key=lambda row: row[0]):
-            if what is None:  # a new supervisor knows nothing
-                told += [(at, path.rpartition("/")[2].partition("~")[0], None) for path in nodes]
+            if what is None:  # a restarted supervisor has no list
+                observations += [(at, path.rpartition("/")[2].partition("~")[0], None) for path in nodes]
                 nodes.clear()
             elif isinstance(what, list):
-                there = set(what)
-                for each in [each for each in nodes if each.rpartition("/")[2] not in there]:
-                    vanish(at, each)
+                listed_nodes = set(what)
+                for each in [each for each in nodes if each.rpartition("/")[2] not in listed_nodes]:
+                    remove_node(at, each)
             elif what == "vanished":
-                vanish(at, path)
+                remove_node(at, path)
             else:
-                said = msgspec.json.decode(what, type=Said)
-                started = None if said.started is None else round(said.started - self.began, 3)
-                nodes[path] = said.state, started, said.epoch
-                tell(at, path.rpartition("/")[2].partition("~")[0])
-        return told
+                content = msgspec.json.decode(what, type=Said)
+                started = None if content.started is None else round(content.started - self.began, 3)
+                nodes[path] = content.state, started, content.epoch
+                emit(at, path.rpartition("/")[2].partition("~")[0])
+        return observations
 
     def _read_work(self) -> None:
-        """What each server was sent: when, by whom, and the exchange."""
+        """Reads the requests to each server: (time, proxy, exchange)."""
         self.sent: dict[str, list[tuple[float, int, Exchange]]] = defaultdict(list)
         for connection in self.work:
             proxy = self.cast.number_of_proxy(connection.host)
@@ -287,17 +300,18 @@
         for rows in self.sent.values():
             rows.sort(key=lambda row: row[0])
 
-    def joined_at(self, proxy: int, at: float) -> Stretch | None:
+    def joined_interval(self, proxy: int, at: float) -> Interval | None:
+        """The interval in which a proxy was joined at this time, its value the supervisor; None if it was not."""
         return next((each for each in self.joined[proxy] if each.since <= at < each.till), None)
 
     # ---- the rules --------------------------------------------------------------------------------------------
 
-    def _warm_listed(self, owner: int) -> list[Stretch]:
-        """When at least one server was listed ready to a supervisor and was no longer cold."""
+    def _warm_ready_intervals(self, owner: int) -> list[Interval]:
+        """When a supervisor had at least one server listed as ready and no longer cold."""
         edges = []
-        for stretches in self.listed[owner].values():
-            for each in stretches:
-                state, started = each.what
+        for intervals in self.listed[owner].values():
+            for each in intervals:
+                state, started = each.value
                 since = each.since if started is None else max(each.since, started + self.facts.warm_within)
                 if state == "ready" and since < min(each.till, self.end):
                     edges += [(since, 1), (min(each.till, self.end), -1)]
@@ -307,221 +321,238 @@
                 since = at
             depth += step
             if depth == 0:
-                merged.append(Stretch(since, at))
+                merged.append(Interval(since, at))
         return merged
 
     def _judge_bare(self) -> None:
-        warm = {owner: self._warm_listed(owner) for owner in self.listed}
+        """While a warm server is listed, no joined proxy is without a usable server for longer than `bare_for`."""
+        warm = {owner: self._warm_ready_intervals(owner) for owner in self.listed}
         refusals: dict[int, list[tuple[float, Exchange]]] = defaultdict(list)
         for connection in self.ask:
             proxy = self.cast.number_of_proxy(connection.asked.rpartition(":")[0])
             refusals[proxy] += [(e.answered_at, e) for e in connection.exchanges if e.answered_at is not None]
         for proxy, joined in self.joined.items():
             for k, operation in enumerate(self.operations):
-                self.verdict.check("bare", len(joined))
-                for bare in self._bare_stretches(proxy, k, operation, refusals[proxy]):
-                    spans = [(*ab, stretch.what) for stretch in joined if (ab := overlap(bare, stretch))]
+                self.verdict.count_check("bare", len(joined))
+                for bare in self._bare_intervals(proxy, k, operation, refusals[proxy]):
+                    spans = [(*ab, interval.value) for interval in joined if (ab := overlap(bare, interval))]
                     for a, b, owner in spans:
                         for each in warm[owner]:
-                            both = overlap(Stretch(a, b), each)
-                            if both and self._is_slow(proxy, *both):
+                            both = overlap(Interval(a, b), each)
+                            if both and self._applies_slowly(proxy, *both):
                                 continue
                             if both:
-                                self.verdict.used("bare", (both[1] - both[0]) / self.facts.bare_for)
-                            if both and both[1] - both[0] > self.facts.bare_for + SLACK:
-                                self.verdict.broken(
+                                self.verdict.record_usage("bare", (both[1] - both[0]) / self.facts.bare_for)
+                            if both and both[1] - both[0] > self.facts.bare_for + CLOCK_TOLERANCE_S:
+                                self.verdict.report_violation(
                                     "bare",
                                     f"proxy {proxy} had no line for {operation} from {both[0]:.2f} to "
                                     f"{both[1]:.2f} s, {self.facts.bare_for} s are allowed",
                                 )
 
-    def _bare_stretches(self, proxy: int, k: int, operation: str, answers: list) -> list[Stretch]:
-        """When a proxy had nothing to pick for an operation. Before it was on a table its own answers tell."""
-        rows = [(at, 0, changes) for at, changes in self.told[proxy]]
+    def _bare_intervals(self, proxy: int, operation_index: int, operation: str, answers: list) -> list[Interval]:
+        """When a proxy had no server for an operation. Before it was assigned a table this is read from its answers."""
+        rows = [(at, 0, changes) for at, changes in self.changes_received[proxy]]
         rows += [(at, 1, e) for at, e in answers if e.path.endswith(f"/{operation}")]
-        held: dict = {}
-        since, stretches = None, []
-        for at, _, what in sorted(rows, key=lambda row: row[:2]):
-            if isinstance(what, Changes):
-                fold(held, what.changes, what.whole)
-                bare = ("use", k) in held and not lines_of(held, k)
-            elif ("use", k) in held:
+        tables: dict = {}
+        since, intervals = None, []
+        for at, _, row in sorted(rows, key=lambda row: row[:2]):
+            if isinstance(row, Changes):
+                fold(tables, row.changes, row.whole)
+                bare = ("use", operation_index) in tables and not lines_of(tables, operation_index)
+            elif ("use", operation_index) in tables:
                 continue
             else:
-                bare = what.headers.get(b"x-reason") == b"bare"
+                bare = row.headers.get(b"x-reason") == b"bare"
             if bare and since is None:
                 since = at
             elif not bare and since is not None:
-                stretches.append(Stretch(since, at))
+                intervals.append(Interval(since, at))
                 since = None
-        return [*stretches, Stretch(since, self.end)] if since is not None else stretches
+        return [*intervals, Interval(since, self.end)] if since is not None else intervals
 
     def _judge_twice(self) -> None:
-        """No try of a proxy after one that may have run, unless the operation may run again."""
+        """No proxy tries an invocation again after a try that may have run, unless the operation may be repeated."""
         tries: dict[tuple, list[Exchange]] = defaultdict(list)
         for rows in self.sent.values():
             for _, proxy, exchange in rows:
                 tries[proxy, exchange.query.get("inv"), exchange.query.get("ask"), exchange.path].append(exchange)
-        for (proxy, inv, _, path), made in tries.items():
+        for (proxy, inv, _, path), attempts in tries.items():
             operation = self.operations[path.rpartition("/")[2]]
             if operation.effect == "idempotent":
                 continue
-            self.verdict.check("twice")
-            made.sort(key=lambda exchange: exchange.asked_at)
-            for k, later in enumerate(made[1:], 1):
-                for earlier in made[:k]:
-                    never = earlier.status == 503 and earlier.headers.get(b"x-never-ran") == b"1"
-                    if never and not self.facts.full_may_have_run:
+            self.verdict.count_check("twice")
+            attempts.sort(key=lambda exchange: exchange.asked_at)
+            for k, later in enumerate(attempts[1:], 1):
+                for earlier in attempts[:k]:
+                    never_ran = earlier.status == 503 and earlier.headers.get(b"x-never-ran") == b"1"
+                    if never_ran and not self.facts.full_may_have_run:
                         continue
-                    apart = later.asked_at - earlier.asked_at
-                    if operation.effect == "side-effecting" or apart > operation.repeat_window:
-                        self.verdict.broken(
+                    interval_s = later.asked_at - earlier.asked_at
+                    if operation.effect == "side-effecting" or interval_s > operation.repeat_window:
+                        self.verdict.report_violation(
                             "twice",
                             f"proxy {proxy} sent invocation {inv} of {operation.name} again at "
-                            f"{later.asked_at:.2f} s, {apart:.2f} s after a try that may have run",
+                            f"{later.asked_at:.2f} s, {interval_s:.2f} s after a try that may have run",
                         )
                         break
 
     def _judge_drains(self) -> None:
+        """A proxy sends nothing to a server that its supervisor sees draining or gone, after the grace."""
         grace = self.facts.drain_grace
         rows = [(owner, *row) for owner, listed in self.listed.items() for row in listed.items()]
-        for owner, server, stretches in rows:
-            for told in merge_ends(stretches):
+        for owner, server, intervals in rows:
+            for unavailable in unavailable_intervals(intervals):
                 for proxy, joined in self.joined.items():
-                    for each in [each for each in joined if each.what == owner]:
-                        since = max(told.since, each.since) + grace
-                        till = min(told.till, each.till, self.end)
+                    for each in [each for each in joined if each.value == owner]:
+                        since = max(unavailable.since, each.since) + grace
+                        till = min(unavailable.till, each.till, self.end)
                         if since >= till:
                             continue
-                        self.verdict.check("drains")
+                        self.verdict.count_check("drains")
                         sent = (e.sent_at for _, sender, e in self.sent[server] if sender == proxy)
                         sent = [at for at in sent if since - grace < at < till]
                         if sent:
-                            self.verdict.used("drains", (sent[-1] - since + grace) / grace)
-                        late = [at for at in sent if at > since + SLACK and not self._is_slow(proxy, at, at + SLACK)]
+                            self.verdict.record_usage("drains", (sent[-1] - since + grace) / grace)
+                        late = [
+                            at
+                            for at in sent
+                            if at > since + CLOCK_TOLERANCE_S
+                            and not self._applies_slowly(proxy, at, at + CLOCK_TOLERANCE_S)
+                        ]
                         if late:
-                            self.verdict.broken(
+                            self.verdict.report_violation(
                                 "drains",
                                 f"proxy {proxy} sent to {server} at {late[0]:.2f} s and {len(late)} times in "
-                                f"all; told at {told.since:.2f} s, {grace} s are allowed",
+                                f"all; unavailable since {unavailable.since:.2f} s, {grace} s are allowed",
                             )
 
     def _judge_failback(self) -> None:
+        """A cold server is sent at most `tip_multiple` times its capacity over any span of `tip_span`. Spans count in
+        which at least two thirds of the work come from proxies whose supervisor was informed of the start."""
         all_starts: dict[str, dict[float, dict[int, float]]] = defaultdict(lambda: defaultdict(dict))
         for owner, listed in self.listed.items():
-            for server, stretches in listed.items():
-                for each in reversed(stretches):
-                    if each.what[1] is not None:
-                        all_starts[server][each.what[1]][owner] = each.since
+            for server, intervals in listed.items():
+                for each in reversed(intervals):
+                    if each.value[1] is not None:
+                        all_starts[server][each.value[1]][owner] = each.since
         for server, starts in all_starts.items():
             machine = self.case.machine(self.cast.number_of_server(server))
-            for started, told in starts.items():
-                self.verdict.check("failback")
+            for started, informed_at in starts.items():
+                self.verdict.count_check("failback")
                 window: deque[tuple[float, float, bool]] = deque()
                 for at, proxy, exchange in self.sent[server]:
                     if not started <= at < started + machine.warm_within:
                         continue
-                    window.append((at, float(exchange.query.get("work", 0)), self._knows(proxy, at, told)))
+                    window.append((at, float(exchange.query.get("work", 0)), self._informed(proxy, at, informed_at)))
                     while window[0][0] < at - machine.tip_span:
                         window.popleft()
-                    whole = sum(work for _, work, _ in window)
-                    can = machine.cores * machine.speed * machine.grown(at - started) * machine.tip_span
-                    knowing = sum(work for _, work, knows in window if knows)
-                    if knowing >= 2 / 3 * whole:
-                        self.verdict.used("failback", whole / (machine.tip_multiple * can))
-                    if whole > machine.tip_multiple * can and knowing >= 2 / 3 * whole:
-                        self.verdict.broken(
+                    total_work = sum(work for _, work, _ in window)
+                    capacity = machine.cores * machine.speed * machine.grown(at - started) * machine.tip_span
+                    informed_work = sum(work for _, work, informed in window if informed)
+                    if informed_work >= 2 / 3 * total_work:
+                        self.verdict.record_usage("failback", total_work / (machine.tip_multiple * capacity))
+                    if total_work > machine.tip_multiple * capacity and informed_work >= 2 / 3 * total_work:
+                        self.verdict.report_violation(
                             "failback",
-                            f"{server}, started at {started:.2f} s, was sent {whole / can:.1f} times what "
+                            f"{server}, started at {started:.2f} s, was sent {total_work / capacity:.1f} times what "
                             f"it could do in the {machine.tip_span} s to {at:.2f} s; "
                             f"{machine.tip_multiple} are allowed",
                         )
                         break
 
-    def _knows(self, proxy: int, at: float, all_told: dict[int, float]) -> bool:
-        """Whether what a proxy sends now is its supervisor's doing; `all_told`: when each was told of the start."""
-        joined = self.joined_at(proxy, at)
-        told = all_told.get(joined.what, NEVER) if joined is not None else NEVER
-        if told == NEVER:
+    def _informed(self, proxy: int, at: float, informed_at: dict[int, float]) -> bool:
+        """Whether what a proxy sends at this time is attributed to its supervisor. `informed_at`: by supervisor, when
+        it received the server's start."""
+        joined = self.joined_interval(proxy, at)
+        supervisor_informed_at = informed_at.get(joined.value, NEVER) if joined is not None else NEVER
+        if supervisor_informed_at == NEVER:
             return False
-        rows = self.told[proxy]
+        rows = self.changes_received[proxy]
         last = rows[bisect_right([row[0] for row in rows], at) - 1][0] if rows and rows[0][0] <= at else -1.0
-        return at >= max(told, joined.since) + self.facts.drain_grace or last >= max(told, joined.since)
+        return at >= max(supervisor_informed_at, joined.since) + self.facts.drain_grace or last >= max(
+            supervisor_informed_at, joined.since
+        )
 
     def _judge_queue(self) -> None:
-        edges: dict[int, list[tuple[float, float]]] = defaultdict(list)  # by supervisor: each has a channel
-        for proxy, rows in self.told.items():
-            for stretch in self.joined[proxy]:
-                within: deque[float] = deque()
+        """No more lines wait in a supervisor's channel than `queue_cap`, and no proxy receives more messages than
+        `message_cap` in a span."""
+        # By supervisor, since each has a channel of its own.
+        edges: dict[int, list[tuple[float, float]]] = defaultdict(list)
+        for proxy, rows in self.changes_received.items():
+            for interval in self.joined[proxy]:
+                recent: deque[float] = deque()
                 for at, changes in rows:
-                    if not stretch.since <= at < stretch.till:
+                    if not interval.since <= at < interval.till:
                         continue
-                    self.verdict.check("queue")
+                    self.verdict.count_check("queue")
                     for since, till, lines in changes.stood or [(changes.waited, 0.0, changes.lines)]:
-                        edges[stretch.what] += [(at - since, lines), (at - till, -lines)]
-                    within.append(at)
-                    while within[0] <= at - self.facts.message_span:
-                        within.popleft()
-                    if self.facts.message_cap and len(within) > self.facts.message_cap:
-                        self.verdict.broken(
+                        edges[interval.value] += [(at - since, lines), (at - till, -lines)]
+                    recent.append(at)
+                    while recent[0] <= at - self.facts.message_span:
+                        recent.popleft()
+                    if self.facts.message_cap and len(recent) > self.facts.message_cap:
+                        self.verdict.report_violation(
                             "queue",
-                            f"proxy {proxy} was sent {len(within)} messages in the "
+                            f"proxy {proxy} was sent {len(recent)} messages in the "
                             f"{self.facts.message_span} s to {at:.2f} s; {self.facts.message_cap} are allowed",
                         )
                         break
-        for waits in edges.values():
+        for changes_in_queue in edges.values():
             waiting = 0.0
-            for at, lines in sorted(waits):
+            for at, lines in sorted(changes_in_queue):
                 waiting += lines
-                self.verdict.used("queue", waiting / self.facts.queue_cap)
+                self.verdict.record_usage("queue", waiting / self.facts.queue_cap)
                 if waiting > self.facts.queue_cap:
-                    self.verdict.broken(
+                    self.verdict.report_violation(
                         "queue", f"{waiting:.0f} lines waited at {at:.2f} s; {self.facts.queue_cap:.0f} are allowed"
                     )
                     break
 
     def _count_service(self) -> None:
-        first: dict[tuple, float] = {}
-        best: dict[tuple, float] = {}
+        """The earned share of the billed value. A client's repeats count with its first request; an answer after the
+        latency objective earns the operation's late share."""
+        first_request: dict[tuple, float] = {}
+        first_success: dict[tuple, float] = {}
         for connection in self.ask:
             for exchange in connection.exchanges:
                 if not exchange.query.get("inv"):
                     continue
                 key = connection.asked, exchange.query["inv"], exchange.path.rpartition("/")[2]
-                first[key] = min(first.get(key, NEVER), exchange.asked_at)
+                first_request[key] = min(first_request.get(key, NEVER), exchange.asked_at)
                 if exchange.status == 200:
-                    best[key] = min(best.get(key, NEVER), exchange.answered_at)
-        got, due = defaultdict(float), defaultdict(float)
-        for key, asked_at in first.items():
-            if not FROM <= asked_at <= self.case.seconds:
+                    first_success[key] = min(first_success.get(key, NEVER), exchange.answered_at)
+        earned, billed = defaultdict(float), defaultdict(float)
+        for key, asked_at in first_request.items():
+            if not SERVICE_START_S <= asked_at <= self.case.seconds:
                 continue
             operation = self.operations[key[2]]
-            took = best.get(key, NEVER) - asked_at
-            due[key[2]] += operation.billed_value
-            if took <= operation.latency_objective:
-                got[key[2]] += operation.billed_value
-            elif took <= operation.integration_timeout:
-                got[key[2]] += operation.billed_value * operation.late_share
+            latency = first_success.get(key, NEVER) - asked_at
+            billed[key[2]] += operation.billed_value
+            if latency <= operation.latency_objective:
+                earned[key[2]] += operation.billed_value
+            elif latency <= operation.integration_timeout:
+                earned[key[2]] += operation.billed_value * operation.late_share
             self.verdict.asked += 1
-        self.verdict.service = sum(got.values()) / (sum(due.values()) or 1.0)
-        self.verdict.operations = {name: got[name] / due[name] for name in due}
+        self.verdict.service = sum(earned.values()) / (sum(billed.values()) or 1.0)
+        self.verdict.operations = {name: earned[name] / billed[name] for name in billed}
 
 
-def merge_ends(stretches: list[Stretch]) -> list[Stretch]:
-    """The stretches in which a server was draining or gone, those that follow on one another as one."""
-    merged: list[Stretch] = []
-    for each in stretches:
-        if each.what[0] not in ("draining", "gone"):
+def unavailable_intervals(intervals: list[Interval]) -> list[Interval]:
+    """The intervals in which a server was draining or gone, adjacent ones merged."""
+    merged: list[Interval] = []
+    for each in intervals:
+        if each.value[0] not in ("draining", "gone"):
             continue
         if merged and merged[-1].till >= each.since:
             merged[-1].till = each.till
         else:
-            merged.append(Stretch(each.since, each.till))
+            merged.append(Interval(each.since, each.till))
     return merged
 
 
 def judge(script: Script, record: Path) -> Verdict:
-    """Reads a day's record and judges it."""
+    """Reads a day's record and returns the verdict; ValueError where the record is cut short."""
     began, kinds = read_traffic(read_record(record))
     net = next((int(connection.asked.split(".")[1]) for connection in kinds.get(CONTROL, [])), 0)
     cast = Cast(script.facts, net)
@@ -557,12 +588,12 @@
         owner,
         pauses,
     )
-    found = Judge(case)
-    verdict = found.judge()
+    day_judge = Judge(case)
+    verdict = day_judge.judge()
     if len(names) > 1:
         judge_accord(verdict, kinds, owner)
     if script.fleet.leave_zones:
-        judge_zones(found, script.fleet.regions)
+        judge_zones(day_judge, script.fleet.regions)
     if script.fleet.policies:
-        judge_policies(found, script.fleet.fleet_timeout)
+        judge_policies(day_judge, script.fleet.fleet_timeout)
     return verdict
--- a/driftshed/day/policies.py
+++ b/driftshed/day/policies.py
@@ -18,10 +18,10 @@
 def judge_policies(judge: Judge, timeout: float) -> None:
     """Adds the rule to the judge's verdict; the moment of a version is that of the first orders by it."""
     first: dict[int, float] = {}
-    for rows in judge.told.values():
+    for rows in judge.changes_received.values():
         for at, changes in rows:
             first[changes.policy] = min(first.get(changes.policy, at), at)
-    judge_told(judge.verdict, judge.told, first, everywhere_within(timeout, AHEAD, DRIFT) + ALLOWED)
+    judge_told(judge.verdict, judge.changes_received, first, everywhere_within(timeout, AHEAD, DRIFT) + ALLOWED)
 
 
 def judge_told(
@@ -34,15 +34,17 @@
     for proxy, rows in told.items():
         heeded = 0
         for at, changes in sorted(rows, key=lambda row: row[0]):
-            verdict.check(RULE)
+            verdict.count_check(RULE)
             if changes.policy < heeded:
-                verdict.broken(RULE, f"proxy {proxy} was told by policy {changes.policy} at {at:.2f} s, after {heeded}")
+                verdict.report_violation(
+                    RULE, f"proxy {proxy} was told by policy {changes.policy} at {at:.2f} s, after {heeded}"
+                )
             heeded = max(heeded, changes.policy)
             ordered_at = at - changes.waited
             newer = [each for each, since in first.items() if each > changes.policy and ordered_at > since + bound]
             adds = any(isinstance(change, Line) and change.weight for change in changes.changes)
             if newer and adds:
-                verdict.broken(
+                verdict.report_violation(
                     RULE,
                     f"proxy {proxy} was told lines by policy {changes.policy} at {at:.2f} s; "
                     f"{newer[0]} holds since {first[newer[0]]:.2f} s",
--- a/driftshed/day/recorder.py
+++ b/driftshed/day/recorder.py
@@ -1,4 +1,5 @@
-"""The recorder: every byte that passes on the sockets between the parts, when and on which connection; and its file."""
+"""Records all socket traffic between the processes of a day, with times and connections, in a file, and reads it
+back."""
 
 from __future__ import annotations
 
@@ -12,15 +13,15 @@
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Stream, Tap
 
-# Kinds of links, named from the one who asks: proxies to the supervisor, the roster to it, proxies to servers, clients
-# to proxies, the supervisor to a store of nodes; and, with faults between, what of it the store saw. Orders that rest
-# on an agreement go to the rig itself.
+# Kinds of connections, from the side that connects: proxies to the supervisor, the roster to it, proxies to servers,
+# clients to proxies, the supervisor to the store; STORED is the latter as the store received it, behind the fault
+# relays. ORDER: supervisors report to the harness the orders that rest on committed values.
 CONTROL, ROSTER, WORK, ASK, STORE = "control", "roster", "work", "ask", "store"
 STORED, ORDER = "stored", "order"
 
 
 class Passed(NamedTuple):
-    """Bytes that passed: `back` from the one who was asked; none at the connection's end."""
+    """Bytes received on a connection. `back`: from the side that accepted it; empty `data`: the connection ended."""
 
     at: float  # seconds from the start of the day
     connection: int
@@ -29,21 +30,25 @@
 
 
 class Opened(NamedTuple):
+    """A new connection. The first row of a file is the kind "began", with the unix time in `asks`."""
+
     connection: int
     kind: str
-    asks: str  # "address:port" of the one who dialled
-    asked: str  # and of the one who was
+    asks: str  # address:port of the side that connects
+    asked: str  # address:port that accepts
 
 
 class Recorder:
-    """Writes what passes to a file as it passes."""
+    """Appends traffic to a file as it is observed."""
 
     def __init__(self, loop: Loop, path: Path) -> None:
+        """Opens `path`, replacing an earlier file; `bytes` counts what was written."""
         self.loop, self.file, self.connections, self.began = loop, path.open("wb"), 0, loop.clock()
         self.bytes = 0
 
     def begin(self) -> None:
-        """The day begins now; its unix time is kept, since the roster's wire tells starts by it."""
+        """Sets the start of the day to now. Its unix time is written, since roster messages give starts of servers in
+        it."""
         self.began = self.loop.clock()
         self._write(Opened(0, "began", repr(time.time()), ""))
 
@@ -53,14 +58,14 @@
         self.file.write(len(data).to_bytes(4, "little") + data)
 
     def open(self, kind: str, asks: tuple[str, int], asked: tuple[str, int]) -> Tap:
-        """A tap for a new connection, called as tap(back, data)."""
+        """Registers a new connection and returns its tap, called as tap(back, data)."""
         self.connections += 1
         number = self.connections
         self._write(Opened(number, kind, f"{asks[0]}:{asks[1]}", f"{asked[0]}:{asked[1]}"))
         return lambda back, data: self._write(Passed(self.loop.clock() - self.began, number, back, data))
 
     def accepted(self, kind: str, asked: tuple[str, int]):
-        """For a server's `on_connection`: taps each stream that it accepts."""
+        """A callback for a server's `on_connection` that taps each accepted stream."""
 
         def on_connection(stream: Stream) -> None:
             stream.tap = self.open(kind, stream.peer, asked)
@@ -68,16 +73,18 @@
         return on_connection
 
     def asking(self, kind: str, asked: tuple[str, int]) -> Tap:
-        """A tap for the one who dials: what goes out is asked, what comes in is the answer."""
+        """A tap for the connecting side, called as tap(outward, data): outward data are requests, inward data
+        answers."""
         tap = self.open(kind, ("", 0), asked)
         return lambda outward, data: tap(not outward, data)
 
     def close(self) -> None:
+        """Closes the file; nothing may be tapped afterwards."""
         self.file.close()
 
 
 def read_record(path: Path) -> Iterator[Opened | Passed]:
-    """What a recorder wrote, in order; ValueError where the file is cut short."""
+    """Yields the rows that a recorder wrote, in order; ValueError where the file is cut short."""
     with path.open("rb") as file:
         while head := file.read(4):
             data = file.read(int.from_bytes(head, "little"))
--- a/driftshed/day/relay.py
+++ b/driftshed/day/relay.py
@@ -1,4 +1,4 @@
-"""Relays between the parts and the supervisor: what passes is recorded, and may be held, broken or tampered with."""
+"""Relays between other processes and a supervisor: traffic is recorded, and may be blocked, cut short or modified."""
 
 from __future__ import annotations
 
@@ -8,61 +8,65 @@
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Listener, Stream, dial
 
-HALF = b'"changes":[['  # in the answer to a poll that has something to tell
+CHANGES_PREFIX = b'"changes":[['  # start of a non-empty list of changes in an answer to a poll
 
 
-class Pair:
-    """One connection through a relay: the one who dialled, and the one that was meant."""
+class RelayedConnection:
+    """One connection through a relay: the stream `near` that the relay accepted, and `far` that it opened to the
+    target."""
 
     def __init__(self, relay: Relay, near: Stream) -> None:
-        self.relay, self.near, self.held = relay, near, False
+        """Connects to the relay's target at once."""
+        self.relay, self.near, self.blocked = relay, near, False
         self.tap = relay.recorder.open(relay.kind, near.peer, relay.address)
         self.far = dial(relay.loop, relay.target)
-        self.back = b""  # of an answer, not yet whole, while tampered with
-        near.on_data, near.on_end = self._forth, lambda reason: self._over(self.far, reason, True)
-        self.far.on_data, self.far.on_end = self._data_back, lambda reason: self._over(self.near, reason, False)
+        self.incomplete_answer = b""  # buffered only while a tamper modifies answers
+        near.on_data, near.on_end = self._on_near_data, lambda reason: self._on_end(self.far, reason, True)
+        self.far.on_data, self.far.on_end = self._on_far_data, lambda reason: self._on_end(self.near, reason, False)
 
-    def _forth(self, data: bytes) -> None:
+    def _on_near_data(self, data: bytes) -> None:
         self.tap(False, data)
-        if self.held or self.relay.blocked(self):
-            self.held = True  # the stream is of no more use: what was lost is not sent again
+        if self.blocked or self.relay.is_blocked(self):
+            self.blocked = True  # for good: the dropped bytes are not sent again, so the stream cannot resume
             return
         tamper = self.relay.tamper
         answer = tamper.instead(self.near.peer[0], data) if tamper else None
         if answer is not None:
-            self.to_near(answer)
+            self.send_to_near(answer)
         else:
             self.far.write(data)
 
-    def _data_back(self, data: bytes) -> None:
-        if self.held or self.relay.blocked(self):
-            self.held = True
+    def _on_far_data(self, data: bytes) -> None:
+        if self.blocked or self.relay.is_blocked(self):
+            self.blocked = True
             return
         if self.relay.tamper is None:
-            self.to_near(data)
+            self.send_to_near(data)
             return
-        self.back += data
-        while (whole := _whole(self.back)) and self.near.sock is not None:
-            answer, self.back = self.back[:whole], self.back[whole:]
-            self.to_near(self.relay.tamper.answer(self.near.peer[0], answer))
-
-    def to_near(self, data: bytes) -> None:
-        if HALF in data and self.relay.breaks(self):
-            cut = data.index(HALF) + len(HALF) + 3
-            self.tap(True, data[:cut])
-            self.near.write(data[:cut])
+        self.incomplete_answer += data
+        while (length := _answer_length(self.incomplete_answer)) and self.near.sock is not None:
+            answer, self.incomplete_answer = self.incomplete_answer[:length], self.incomplete_answer[length:]
+            self.send_to_near(self.relay.tamper.answer(self.near.peer[0], answer))
+
+    def send_to_near(self, data: bytes) -> None:
+        """Sends data to the connecting side; if a break is due, closes the stream in the middle of a list of
+        changes."""
+        if CHANGES_PREFIX in data and self.relay.take_break(self):
+            length = data.index(CHANGES_PREFIX) + len(CHANGES_PREFIX) + 3
+            self.tap(True, data[:length])
+            self.near.write(data[:length])
             self.near.finish()
             return
         self.tap(True, data)
         self.near.write(data)
 
-    def _over(self, other: Stream, reason: str, by_near: bool) -> None:
+    def _on_end(self, other: Stream, reason: str, by_near: bool) -> None:
         self.tap(not by_near, b"")
-        self.relay.pairs.discard(self)
+        self.relay.connections.discard(self)
         if other.sock is None:
             return
-        if self.held or self.relay.blocked(self):
-            # Neither end learns of the other's: that is what a cut way is like.
+        if self.blocked or self.relay.is_blocked(self):
+            # As in a network partition, neither end learns that the other closed.
             other.on_end = lambda reason: None
             return
         if reason in ("reset", "refused", "unreachable"):
@@ -71,8 +75,8 @@
             other.finish()
 
 
-def _whole(data: bytes) -> int:
-    """The length of the first whole answer of these bytes; 0 while it is not whole."""
+def _answer_length(data: bytes) -> int:
+    """The length of the first HTTP answer, head and body; 0 while it is incomplete."""
     end = data.find(b"\r\n\r\n")
     if end < 0:
         return 0
@@ -84,36 +88,45 @@
 
 
 class Relay:
-    """Takes connections at one address and passes them on to another."""
+    """Accepts connections at one address and forwards them to another.
+
+    `blocked_hosts`: connections from these are dropped silently; `break_hosts`: the next list of changes to each of
+    these is cut short, then it moves to `broken`; `tamper`: None, or what modifies answers to proxies.
+    """
 
     def __init__(
         self, loop: Loop, recorder: Recorder, kind: str, address: tuple[str, int], target: tuple[str, int]
     ) -> None:
+        """Listens at once; `kind`: the recorder's kind of connection."""
         self.loop, self.recorder, self.kind, self.target = loop, recorder, kind, target
-        self.pairs: set[Pair] = set()
+        self.connections: set[RelayedConnection] = set()
         self.blocked_hosts: set[str] = set()
         self.break_hosts: set[str] = set()
         self.broken: list[str] = []
         self.tamper = None
-        self.listener = Listener(loop, address, lambda near: self.pairs.add(Pair(self, near)))
+        self.listener = Listener(loop, address, lambda near: self.connections.add(RelayedConnection(self, near)))
         self.address = self.listener.address
 
-    def blocked(self, pair: Pair) -> bool:
-        return pair.near.peer[0] in self.blocked_hosts
+    def is_blocked(self, connection: RelayedConnection) -> bool:
+        """Whether traffic of this connection is dropped."""
+        return connection.near.peer[0] in self.blocked_hosts
 
-    def breaks(self, pair: Pair) -> bool:
-        host = pair.near.peer[0]
+    def take_break(self, connection: RelayedConnection) -> bool:
+        """Whether this connection is to be cut short; true once for each host in `break_hosts`."""
+        host = connection.near.peer[0]
         if host in self.break_hosts:
             self.break_hosts.discard(host)
             self.broken.append(host)
             return True
         return False
 
-    def reset_all(self, but: Callable[[Pair], bool] = lambda pair: False) -> None:
-        for pair in [pair for pair in self.pairs if not but(pair)]:
-            pair.near.abort("reset", hard=True)
+    def reset_all(self, exclude: Callable[[RelayedConnection], bool] = lambda connection: False) -> None:
+        """Resets the accepted streams, but for those that `exclude` selects."""
+        for connection in [connection for connection in self.connections if not exclude(connection)]:
+            connection.near.abort("reset", hard=True)
 
     def close(self) -> None:
+        """Stops listening and closes all connections."""
         self.listener.close()
-        for pair in list(self.pairs):
-            pair.near.abort("closed")
+        for connection in list(self.connections):
+            connection.near.abort("closed")
--- a/driftshed/day/tiers_accord.py
+++ b/driftshed/day/tiers_accord.py
@@ -136,22 +136,22 @@
         last: dict[str, Seen] = {}
         for seen in sorted((each for each in self.seen if each.mzxid), key=lambda each: each.mzxid):
             topic, old = seen.record.topic, last.get(seen.record.topic)
-            self.check("epochs")
+            self.count_check("epochs")
             if old is not None and not agreement.newer(seen.record, old.record):
                 was, now = (f"{each.record.state} in epoch {each.record.epoch}" for each in (old, seen))
-                self.broken("epochs", f"{self.root}: {topic} fell from {was} to {now} at {seen.at:.2f} s")
+                self.report_violation("epochs", f"{self.root}: {topic} fell from {was} to {now} at {seen.at:.2f} s")
             last[topic] = seen
         for (epoch, name), said in self.words.items():
-            self.check("epochs")
+            self.count_check("epochs")
             if len(said) > 1:
-                self.broken("epochs", f"{self.root}: {name} both assented and objected to epoch {epoch}")
+                self.report_violation("epochs", f"{self.root}: {name} both assented and objected to epoch {epoch}")
 
     def judge_words(self, timeout: float, state: str) -> None:
         """What was counted as agreed had the word of everyone that it names, but of those that were away for as long as
         it says: nobody saw these there in that time, but for the last moments, of which the counter may not know."""
         for epoch, seen in self.since(state).items():
             waits = getattr(seen.record, "waits", msgspec.UNSET)
-            self.check("epochs")
+            self.count_check("epochs")
             for name in seen.record.needs:
                 said = self.words.get((epoch, name), {})
                 if said.get(True, accord.NEVER) <= seen.at + accord.SLACK:
@@ -162,7 +162,7 @@
                 met = [at for at in self.there[name] if since + LATE < at < till]
                 if not away or met:
                     why = f"it was there at {met[-1]:.2f} s" if met else "it waits for every word"
-                    self.broken(
+                    self.report_violation(
                         "epochs",
                         f"{self.root}: epoch {epoch} was {seen.record.state} at {seen.at:.2f} s "
                         f"without the word of {name}; {why}",
@@ -193,7 +193,9 @@
         said: dict[StoreTalk, list[tuple]] = {}
         for name, root in fleets.roots.items():
             whose = frozenset(fleets.cells.get(name, ()))
-            self.accords[name] = FleetAccord(kinds, owner, verdict.check, verdict.broken, root, whose, said=said)
+            self.accords[name] = FleetAccord(
+                kinds, owner, verdict.count_check, verdict.report_violation, root, whose, said=said
+            )
         self.settled: dict[int, Seen] = {}  # by version
         runs = [
             (each.asked_at, RUNNING.decode(each.asked))
@@ -225,9 +227,9 @@
                 continue
             version = standing.body["version"]
             first = self.settled.setdefault(version, seen)
-            self.verdict.check("epochs")
+            self.verdict.count_check("epochs")
             if first.record.standing.token != standing.token:
-                self.verdict.broken(
+                self.verdict.report_violation(
                     "epochs", f"version {version} was settled as {first.record.standing.token} and as {standing.token}"
                 )
 
@@ -242,10 +244,10 @@
                 standing = seen.record.standing
                 if standing is None:
                     continue
-                self.verdict.check("epochs")
+                self.verdict.count_check("epochs")
                 since = whole.get((seen.record.topic, standing.epoch, standing.token), accord.NEVER)
                 if since > seen.at + accord.SLACK:
-                    self.verdict.broken(
+                    self.verdict.report_violation(
                         "epochs",
                         f"{accord_of.root}: epoch {standing.epoch} of {standing.token} "
                         f"stands at {seen.at:.2f} s, not settled in the whole by then",
@@ -258,19 +260,21 @@
         proofs, named = self._proofs(cell, region, lasts), self._named(cell, region)
         seen = [sorted(rows) for node, rows in self.accords[""].presence.items() if node.partition("~")[0] == region]
         for at, order in self.accords[cell]._orders():
-            self.verdict.check("leases", 3)
+            self.verdict.count_check("leases", 3)
             until = max((end for heard, end in proofs[order.name] if heard <= at), default=0.0)
             if at > until + LATE:
-                self.verdict.broken(
+                self.verdict.report_violation(
                     "leases",
                     f"{order.name} acts at {at:.2f} s; that {region} is in touch was proven until {until:.2f} s",
                 )
             heard = [there for then, there in named[order.name] if then <= at - LATE]
             if not heard or not (heard[-1] or any(at - LATE < then for then, _ in named[order.name] if then <= at)):
-                self.verdict.broken("leases", f"{order.name} acts at {at:.2f} s, told that nobody speaks for {cell}")
+                self.verdict.report_violation(
+                    "leases", f"{order.name} acts at {at:.2f} s, told that nobody speaks for {cell}"
+                )
             since = at - lasts * (1 + DRIFT) - LATE
             if not any(was_there(rows, since, at) for rows in seen):
-                self.verdict.broken(
+                self.verdict.report_violation(
                     "leases", f"{order.name} acts at {at:.2f} s; {region} had no node in the whole since {since:.2f} s"
                 )
 
@@ -311,42 +315,42 @@
         since = {version: seen.at for version, seen in self.settled.items()}
         judge_told(self.verdict, told(self.kinds), since, self.bound)
         for at, runs in self.runs:
-            self.verdict.check(POLICIES)
+            self.verdict.count_check(POLICIES)
             if runs.version and since.get(runs.version, accord.NEVER) > at + accord.SLACK:
-                self.verdict.broken(
+                self.verdict.report_violation(
                     POLICIES,
                     f"{runs.name} goes by version {runs.version} at {at:.2f} s, which was "
                     "not settled in the whole by then",
                 )
             newer = [version for version, then in since.items() if version > runs.version and at > then + self.bound]
             if newer:
-                self.verdict.broken(
+                self.verdict.report_violation(
                     POLICIES,
                     f"{runs.name} goes by version {runs.version} at {at:.2f} s; {newer[0]} "
                     f"is settled since {since[newer[0]]:.2f} s",
                 )
             else:
                 later = [at - then for version, then in since.items() if version > runs.version]
-                self.verdict.used(POLICIES, max(later, default=0.0) / self.bound)
+                self.verdict.record_usage(POLICIES, max(later, default=0.0) / self.bound)
 
     def _judge_ends(self) -> None:
         """With the faults over everybody goes by what stands, and nothing is open any more."""
         stands = max(self.settled, default=0)
         last = {runs.name: runs for at, runs in self.runs if at > self.end - LAST}
         for name in self.names:
-            self.verdict.check("ends")
+            self.verdict.count_check("ends")
             if name not in last or last[name].version != stands:
                 said = f"goes by version {last[name].version}" if name in last else "holds still"
-                self.verdict.broken("ends", f"{name} {said} at the end; version {stands} stands")
+                self.verdict.report_violation("ends", f"{name} {said} at the end; version {stands} stands")
         for accord_of in self.accords.values():
             by_topic = {}
             for seen in accord_of.seen:
                 old = by_topic.get(seen.record.topic)
                 by_topic[seen.record.topic] = seen if old is None or agreement.newer(seen.record, old.record) else old
             for topic, seen in by_topic.items():
-                self.verdict.check("ends")
+                self.verdict.count_check("ends")
                 if agreement.pending(seen.record):
-                    self.verdict.broken(
+                    self.verdict.report_violation(
                         "ends",
                         f"{accord_of.root}: epoch {seen.record.epoch} of {topic} is {seen.record.state} at the end",
                     )
--- a/driftshed/day/traffic.py
+++ b/driftshed/day/traffic.py
@@ -1,4 +1,4 @@
-"""What passed on the sockets, read back as HTTP: one exchange for each request that was made."""
+"""Parses recorded traffic: HTTP connections into exchanges of request and answer, store connections into frames."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 class Exchange:
-    """One request and what came back. Times are seconds from the start of the day; `answered_at` is None where no
-    whole answer passed, `status` 0."""
+    """One request and its answer; `asked` is the request's body. Times are seconds from the start of the day. Without a
+    complete answer `answered_at` is None and `status` 0."""
 
     __slots__ = (
         "connection",
@@ -30,50 +30,62 @@
     )
 
     def __init__(self, connection: Connection, asked_at: float) -> None:
+        """Created at the first byte of the request; the parser fills in the rest."""
         self.connection, self.asked_at, self.answered_at, self.status = connection, asked_at, None, 0
         self.method, self.path, self.query = "", "", {}
         self.asked, self.body, self.headers = b"", b"", {}
 
     @property
     def sent_at(self) -> float:
-        """On loopback, when it came."""
+        """When the request was sent; on loopback the time at which it was received."""
         return self.asked_at
 
 
 class Connection:
-    """One connection and the exchanges on it; `ended_at`: when either end was seen to end."""
+    """One HTTP connection and its exchanges.
+
+    `asks` and `asked`: address:port of the connecting and of the accepting side; `host`: of the connecting side;
+    `ended_at`: when the first end closed, or None; `now`: time of the last record; `malformed`: a parser failed.
+    """
 
     def __init__(self, opened: Opened) -> None:
+        """`opened`: the record of its start."""
         self.kind, self.asks, self.asked, self.number = opened.kind, opened.asks, opened.asked, opened.connection
         self.host = opened.asks.rpartition(":")[0]
         self.exchanges: list[Exchange] = []
-        self.answered = 0
+        self.answered_count = 0
         self.ended_at: float | None = None
         self.now = 0.0
-        self.forth, self.back = httptools.HttpRequestParser(_Asked(self)), httptools.HttpResponseParser(_Answered(self))
+        self.request_parser, self.answer_parser = (
+            httptools.HttpRequestParser(_RequestCallbacks(self)),
+            httptools.HttpResponseParser(_AnswerCallbacks(self)),
+        )
         self.malformed = False
 
     def feed(self, passed: Passed) -> None:
+        """Adds a record of this connection, in order of time."""
         self.now = passed.at
         if not passed.data:
             self.ended_at = passed.at if self.ended_at is None else self.ended_at
             return
         try:
-            (self.back if passed.back else self.forth).feed_data(passed.data)
+            (self.answer_parser if passed.back else self.request_parser).feed_data(passed.data)
         except httptools.HttpParserError:
             self.malformed = True
 
 
 class StoreTalk:
-    """One connection to a store: what was asked and answered on it, frame by frame, as (when, back, payload)."""
+    """One connection to a store; `rows`: its frames as (time, back, payload), where `back` is true from the store."""
 
     def __init__(self, opened: Opened) -> None:
+        """`opened`: the record of its start."""
         self.kind, self.asks, self.asked, self.now = opened.kind, opened.asks, opened.asked, 0.0
         self.rows: list[tuple[float, bool, bytes]] = []
         self.frames = {False: Frames(1 << 24), True: Frames(1 << 24)}
         self.ended_at: float | None = None
 
     def feed(self, passed: Passed) -> None:
+        """Adds a record of this connection, in order of time."""
         self.now = passed.at
         if not passed.data:
             self.ended_at = passed.at if self.ended_at is None else self.ended_at
@@ -81,20 +93,20 @@
         self.rows += [(passed.at, passed.back, payload) for payload in self.frames[passed.back].feed(passed.data)]
 
 
-def said_by_store(talk: StoreTalk) -> Iterator[tuple[float, object, object]]:
-    """What a store answered without an error, as (when, request, result), and its events, as (when, event, None).
-    Results are of what was read, and of what was written together."""
-    asked: dict[int, object] = {}
-    opened = {False: False, True: False}
-    for at, back, payload in talk.rows:
-        if not opened[back]:
-            opened[back] = True  # the session's opening
+def store_answers(connection: StoreTalk) -> Iterator[tuple[float, object, object]]:
+    """Yields the store's successful answers as (time, request, result), and watch events as (time, event, None).
+    Results of single writes are None."""
+    pending: dict[int, object] = {}
+    session_opened = {False: False, True: False}
+    for at, back, payload in connection.rows:
+        if not session_opened[back]:
+            session_opened[back] = True  # the frame that opens the session
         elif not back:
             xid, request = jute.read_request(payload)
-            asked[xid] = request
+            pending[xid] = request
         else:
             reply, reader = jute.read_reply(payload)
-            request = asked.pop(reply.xid, None)
+            request = pending.pop(reply.xid, None)
             if reply.xid == jute.XID_EVENT:
                 yield at, jute.read_event(reader), None
             elif reply.error == jute.OK and request is not None:
@@ -102,7 +114,7 @@
                 yield at, request, jute.read_result(request, reader) if read else None
 
 
-class _Asked:
+class _RequestCallbacks:
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
 
@@ -118,12 +130,12 @@
 
     def on_message_complete(self) -> None:
         exchange = self.connection.exchanges[-1]
-        exchange.method = self.connection.forth.get_method().decode()
+        exchange.method = self.connection.request_parser.get_method().decode()
         exchange.path, _, query = self.url.decode("latin-1").partition("?")
         exchange.query = dict(parse_qsl(query))
 
 
-class _Answered:
+class _AnswerCallbacks:
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
         self.headers: dict[bytes, bytes] = {}
@@ -140,23 +152,23 @@
 
     def on_message_complete(self) -> None:
         connection = self.connection
-        if connection.answered < len(connection.exchanges):
-            exchange = connection.exchanges[connection.answered]
-            exchange.answered_at, exchange.status = connection.now, connection.back.get_status_code()
+        if connection.answered_count < len(connection.exchanges):
+            exchange = connection.exchanges[connection.answered_count]
+            exchange.answered_at, exchange.status = connection.now, connection.answer_parser.get_status_code()
             exchange.headers, exchange.body = self.headers, self.body
-        connection.answered += 1
+        connection.answered_count += 1
 
 
 def read_traffic(record: Iterable[Opened | Passed]) -> tuple[float, dict[str, list[Connection]]]:
-    """The unix time at which the day began, and its connections by kind, in the order in which they were opened."""
-    began, all_of_them, kinds = 0.0, {}, {}
+    """The unix time of the start of the day, and its connections by kind, in the order in which they were opened."""
+    began, by_number, kinds = 0.0, {}, {}
     for each in record:
         if isinstance(each, Passed):
-            all_of_them[each.connection].feed(each)
+            by_number[each.connection].feed(each)
         elif each.kind == "began":
             began = float(each.asks)
         else:
             connection = StoreTalk(each) if each.kind in (STORE, STORED) else Connection(each)
-            all_of_them[each.connection] = connection
+            by_number[each.connection] = connection
             kinds.setdefault(each.kind, []).append(connection)
     return began, kinds
--- a/driftshed/day/zones.py
+++ b/driftshed/day/zones.py
@@ -10,7 +10,7 @@
 from driftshed.coordination import agreement
 from driftshed.day.accord import FLEET_ROOT
 from driftshed.day.recorder import STORED
-from driftshed.day.traffic import said_by_store
+from driftshed.day.traffic import store_answers
 from driftshed.evacuation.places import places, read_regions
 from driftshed.evacuation.stages import Stage
 from driftshed.roster import jute
@@ -30,7 +30,7 @@
     known = {place.topic: place for place in places(zones, read_regions(regions, zones))}
     for talk in sorted(judge.case.kinds.get(STORED, []), key=lambda talk: talk.rows[0][0] if talk.rows else 0.0):
         owner = judge.case.owner(talk.asked)
-        for at, request, result in said_by_store(talk):
+        for at, request, result in store_answers(talk):
             topic = request.path.removeprefix(folder) if isinstance(request, jute.GetData) else ""
             if topic not in known:
                 continue
@@ -58,26 +58,26 @@
         verdict.left.setdefault(zone, {})[owner] = [(round(at, 2), share) for at, share in rows]
         for k, (at, share) in enumerate(rows):
             till = rows[k + 1][0] if k + 1 < len(rows) else judge.end
-            since = judge.heard_at(owner, at) + facts.drain_grace + ALLOWED
+            since = judge.observable_at(owner, at) + facts.drain_grace + ALLOWED
             if share <= 0 or since >= till:
                 continue
-            verdict.check(RULE)
+            verdict.count_check(RULE)
             own = {
                 name
                 for name, stretches in judge.listed[owner].items()
                 if cast.zone_of_server(cast.number_of_server(name)) == number
-                and any(each.what[0] == "ready" and each.since < till and at < each.till for each in stretches)
+                and any(each.value[0] == "ready" and each.since < till and at < each.till for each in stretches)
             }
             met = set()
             for name in own:
                 for sent_at, proxy, _ in judge.sent[name]:
-                    joined = judge.joined_at(proxy, sent_at)
-                    if joined is None or joined.what != owner or not since <= sent_at < till:
+                    joined = judge.joined_interval(proxy, sent_at)
+                    if joined is None or joined.value != owner or not since <= sent_at < till:
                         continue
                     if sent_at >= joined.since + facts.drain_grace + ALLOWED:
                         met.add(name)
             if len(met) > ceil((1 - share) * len(own) - 1e-6):
-                verdict.broken(
+                verdict.report_violation(
                     RULE,
                     f"supervisor {owner}'s proxies send to {len(met)} of {len(own)} servers of {zone}, of which "
                     f"{share:.2f} is left, from {since:.2f} to {till:.2f} s",
