--- a/driftshed/cli.py
+++ b/driftshed/cli.py
@@ -19,7 +19,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(package_name="driftshed")
 def main() -> None:
-    """Tells plain proxies which servers their work goes to."""
+    """Controls which servers proxies send their work to."""
 
 
 main.add_command(supervise)
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -1,5 +1,5 @@
-"""A fleet of real processes: a store, supervisors that know each other by it, proxies; each pair joined through a relay
-that puts faults between them."""
+"""Test harness of a fleet of processes: a store, supervisors that find each other through it, and proxies, connected by
+fault relays."""
 
 from __future__ import annotations
 
@@ -20,33 +20,35 @@
 from driftshed.day.stage import Launched, free_net
 from driftshed.net.loop import Loop
 
-TURN = 0.01  # seconds between looks at what the relays are to do
+POLL_INTERVAL_S = 0.01  # between checks for calls to run on the relays' thread
 OPERATION = "look:objective=0.5,timeout=1.5,value=1,effect=idempotent"
 
 
 class FleetProcess(Launched):
-    """One that is started anew with the same command."""
+    """A process that can be restarted with the same command."""
 
     def __init__(self, command: list[str], logs: Path) -> None:
+        """`command`: the arguments of `driftshed`; `logs`: the log file, appended to across restarts."""
         super().__init__(logs)
         self.command = command
 
     def start(self) -> None:
+        """Starts the process; also after it ended."""
         self._launch(self.command)
 
     def kill(self) -> None:
+        """Kills the process by SIGKILL and waits for it."""
         self.signal(signal.SIGKILL)
         self.end()
 
     def events(self) -> list[dict]:
-        """The lines of its log so far."""
+        """The lines of its JSON log so far."""
         return [msgspec.json.decode(line) for line in self.logs.read_bytes().splitlines() if line.startswith(b"{")]
 
 
 class FleetStage:
-    """`supervisors` and `proxies` are counts. `timeout`: of the supervisors' sessions; `silence`: seconds after which a
-    stream without a poll has ended; `hears_within`: seconds until a proxy gives a silent supervisor up; `more`: flags
-    of supervisors; `policies`: they go by the fleet's policy."""
+    """A fleet of processes whose relays run on a thread of their own; call them only by `do`. Close it in any case, so
+    that no process is left behind."""
 
     def __init__(
         self,
@@ -59,6 +61,9 @@
         more: tuple[str, ...] = (),
         policies: bool = False,
     ) -> None:
+        """`supervisors` and `proxies`: counts; `timeout`: of the supervisors' sessions in the store, in seconds;
+        `silence`: seconds without a poll after which a stream ends; `hears_within`: seconds until a proxy abandons a
+        silent supervisor; `more`: further flags of supervisors; `policies`: they follow the fleet policy."""
         self.loop = Loop()
         net, self.lock = free_net(os.getpid())
         host = f"127.{net}.0"
@@ -78,14 +83,14 @@
         }
         self.supervisors = {}
         for name in self.names:
-            listen, told, store = self.addresses[name], self.to_proxies[name].address, self.to_store[name].address
+            listen, advertise, store = self.addresses[name], self.to_proxies[name].address, self.to_store[name].address
             self.supervisors[name] = FleetProcess(
                 [
                     "supervise",
                     "--listen",
                     f"{listen[0]}:{listen[1]}",
                     "--advertise",
-                    f"{told[0]}:{told[1]}",
+                    f"{advertise[0]}:{advertise[1]}",
                     "--operation",
                     OPERATION,
                     "--proxies",
@@ -110,8 +115,8 @@
         self.proxies = []
         for k in range(proxies):
             order = self.names[k % supervisors :] + self.names[: k % supervisors]
-            at = [f"{self.to_proxies[name].address[0]}:7000" for name in order]
-            follows = [part for each in at for part in ("--supervisor", each)]
+            addresses = [f"{self.to_proxies[name].address[0]}:7000" for name in order]
+            supervisor_flags = [part for each in addresses for part in ("--supervisor", each)]
             self.proxies.append(
                 FleetProcess(
                     [
@@ -130,36 +135,37 @@
                         f"{host}.9:8000",
                         "--seed",
                         str(k),
-                        *follows,
+                        *supervisor_flags,
                     ],
                     folder / f"proxy{k}.log",
                 )
             )
         self.server = f"{host}.9:8000"
         self.version = 0
-        self.calls: queue.SimpleQueue = queue.SimpleQueue()
-        self.closing = False
-        # The relays go on while the one who plays waits for a process or a view.
-        self.thread = threading.Thread(target=self._pass_on, daemon=True)
+        self.pending_calls: queue.SimpleQueue = queue.SimpleQueue()
+        self.stopped = False
+        # The relays keep running while the caller waits for a process or a view.
+        self.thread = threading.Thread(target=self._run_loop, daemon=True)
         self.thread.start()
 
-    def _pass_on(self) -> None:
-        while not self.closing:
-            self.loop.after(TURN, lambda: None)
-            self.loop.turn(time.monotonic() + TURN)
-            while not self.calls.empty():
-                call, done = self.calls.get()
+    def _run_loop(self) -> None:
+        while not self.stopped:
+            self.loop.after(POLL_INTERVAL_S, lambda: None)
+            self.loop.turn(time.monotonic() + POLL_INTERVAL_S)
+            while not self.pending_calls.empty():
+                call, done = self.pending_calls.get()
                 call()
                 done.set()
 
     def do(self, call: Callable[[], object]) -> None:
-        """Does something to the relays, on their own thread."""
+        """Runs a call on the relays' thread and waits for it; RuntimeError after 10 s."""
         done = threading.Event()
-        self.calls.put((call, done))
+        self.pending_calls.put((call, done))
         if not done.wait(10):
-            raise RuntimeError("the relays stand still")
+            raise RuntimeError("the thread of the relays did not run the call within 10 s")
 
     def open(self) -> None:
+        """Starts store, supervisors and proxies, each once those before it listen, and publishes the first list."""
         self.store.start()
         self.store.await_listening()
         for process in self.supervisors.values():
@@ -174,32 +180,33 @@
             process.await_listening()
 
     def list(self, name: str) -> None:
-        """Tells a supervisor the list, straight."""
+        """Sends a list of one server to a supervisor, not through a relay."""
         self.version += 1
-        news = RosterNews(self.version, True, [ListedServer(self.server, "east", "standard")])
+        update = RosterNews(self.version, True, [ListedServer(self.server, "east", "standard")])
         host, port = self.addresses[name]
         request = urllib.request.Request(
-            f"http://{host}:{port}/v1/roster", encode(news), {"content-type": "application/json"}
+            f"http://{host}:{port}/v1/roster", encode(update), {"content-type": "application/json"}
         )
         urllib.request.urlopen(request, timeout=5).close()
 
     def close(self) -> None:
+        """Ends all processes, the thread and the relays."""
         for process in (*self.proxies, *self.supervisors.values(), self.store):
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         for process in (*self.proxies, *self.supervisors.values(), self.store):
             process.end()
-        self.closing = True
+        self.stopped = True
         self.thread.join(10)
-        for between in (*self.to_store.values(), *self.to_proxies.values()):
-            between.close()
+        for relay in (*self.to_store.values(), *self.to_proxies.values()):
+            relay.close()
         self.loop.close()
         self.lock.close()
 
-    # ---- what is seen of it -----------------------------------------------------------------------------------
+    # ---- views -----------------------------------------------------------------------------------
 
     def get(self, name: str, what: str) -> object:
-        """A view of one supervisor, asked straight; None where it does not answer."""
+        """A view of one supervisor, not requested through a relay; None where it does not answer within 1 s."""
         host, port = self.addresses[name]
         try:
             with urllib.request.urlopen(f"http://{host}:{port}/v1/{what}", timeout=1) as answer:
@@ -208,18 +215,20 @@
             return None
 
     def states(self, name: str) -> dict[str, str]:
-        """What one supervisor makes of the roll."""
+        """The states of all members by name, as one supervisor sees them; empty where it does not answer."""
         view = self.get(name, "fleet")
         return {} if view is None else {row["name"]: row["state"] for row in view["members"]}
 
     def joined(self, name: str) -> set[int]:
+        """The numbers of the proxies joined to a supervisor."""
         rows = self.get(name, "proxies")
         return {row["proxy"] for row in rows or () if row["joined"]}
 
     def until(self, condition: Callable[[], object], bound: float = 30.0) -> float:
-        """Waits until it holds; the seconds that it took. AssertionError after the bound."""
+        """Waits until the condition holds and returns the seconds that it took; AssertionError after `bound`
+        seconds."""
         began = time.monotonic()
         while not condition():
-            assert time.monotonic() < began + bound, "the condition did not come"
+            assert time.monotonic() < began + bound, "the condition was not met in time"
             time.sleep(0.02)
         return time.monotonic() - began
--- a/driftshed/day/relay.py
+++ b/driftshed/day/relay.py
@@ -30,7 +30,7 @@
             self.blocked = True  # for good: the dropped bytes are not sent again, so the stream cannot resume
             return
         tamper = self.relay.tamper
-        answer = tamper.instead(self.near.peer[0], data) if tamper else None
+        answer = tamper.forged_answer(self.near.peer[0], data) if tamper else None
         if answer is not None:
             self.send_to_near(answer)
         else:
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -1,9 +1,10 @@
-"""`python -m driftshed.day.rigged [what is changed] -- COMMAND ...`: a command of driftshed as a process of the rig.
+"""`python -m driftshed.day.rigged [OPTIONS] -- COMMAND ...`: runs a command of driftshed with faults or reporting
+added.
 
-A supervisor so run gives orders that rest on agreements, since by itself it has nothing to agree on: it proposes on a
-few topics, has a word on what others propose, and tells the rig again and again on what it acts. One of a fleet in
-tiers tells which policy it goes by while it may order, and on what it acts; it proposes nothing. Clocks and disks are
-made bad here, and for the checkers to be seen to fail a guard is taken out."""
+With `--orders-to`, a supervisor proposes values on a few topics, votes on proposals of others, and periodically reports
+to the test harness on which committed values its orders rest; without this it would have nothing to agree on. A
+supervisor of a hierarchy proposes nothing, and reports the policy version that it follows while it may give orders.
+Other options make the clock or the disk faulty, or remove a guard, so that the checkers are shown to detect it."""
 
 from __future__ import annotations
 
@@ -17,9 +18,9 @@
 
 from driftshed.coordination import taking_part, tiered
 from driftshed.coordination.agent import Agent
-from driftshed.day.accord import ORDERS, RULES, Ordered
+from driftshed.day.accord import ORDER_PATH, RULES, OrderReport
 from driftshed.day.policies import RULE as POLICIES
-from driftshed.day.tiers_accord import RUNS, Runs
+from driftshed.day.tiers_accord import RUNS_PATH, VersionReport
 from driftshed.day.zones import RULE as ZONES
 from driftshed.evacuation.overlay import Overlay
 from driftshed.net.http import HttpClient
@@ -32,76 +33,78 @@
 from driftshed.roster.log import Log
 
 TOPICS = ("one", "two", "three")
-ORDER_EVERY, PROPOSE_EVERY, PATIENCE = 0.1, (0.3, 1.2), 1.0  # seconds
-LATE = 8.0  # seconds that a supervisor whose guard of policies is out takes a change up late
-OBJECTS = 0.2  # share of proposals that a supervisor objects to
+ORDER_INTERVAL_S, PROPOSAL_INTERVAL_S, PROPOSAL_TIMEOUT_S = 0.1, (0.3, 1.2), 1.0  # seconds
+POLICY_DELAY_S = 8.0  # by which a supervisor without the guard of policies applies a change late
+OBJECTION_SHARE = 0.2  # of proposals, by supervisor
 
 
-class Acting:
-    """What a supervisor does on the strength of agreements. `sink`: address of the rig."""
+class AgreementWorkload:
+    """Makes a supervisor propose, vote, and report its orders."""
 
     def __init__(self, loop: Timers, agent: Agent, sink: tuple[str, int]) -> None:
+        """`sink`: the address of the harness, to which orders are reported."""
         self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, idle_most=1)
         self.random, self.number = Random(agent.run), 0
-        agent.judge = self._word
-        self._order()
-        loop.after(self.random.uniform(*PROPOSE_EVERY), self._propose)
+        agent.judge = self._vote
+        self._report_order()
+        loop.after(self.random.uniform(*PROPOSAL_INTERVAL_S), self._propose)
 
-    def _word(self, record) -> tuple[bool, str]:
-        objects = Random(f"{self.agent.name} {record.token}").random() < OBJECTS
+    def _vote(self, record) -> tuple[bool, str]:
+        objects = Random(f"{self.agent.name} {record.token}").random() < OBJECTION_SHARE
         return not objects, "drawn so" if objects else ""
 
-    def _order(self) -> None:
-        self.loop.after(ORDER_EVERY, self._order)
+    def _report_order(self) -> None:
+        self.loop.after(ORDER_INTERVAL_S, self._report_order)
         agent = self.agent
-        stands = {topic: standing for topic in list(agent.topics) if (standing := agent.agreed(topic))}
-        if stands:
-            rests_on = {topic: (each.epoch, each.token) for topic, each in stands.items()}
-            body = json.encode(Ordered(agent.name, agent.incarnation, rests_on))
-            self.client.call("POST", ORDERS, body, lambda answer: None, 1.0)
+        committed = {topic: standing for topic in list(agent.topics) if (standing := agent.agreed(topic))}
+        if committed:
+            rests_on = {topic: (each.epoch, each.token) for topic, each in committed.items()}
+            body = json.encode(OrderReport(agent.name, agent.incarnation, rests_on))
+            self.client.call("POST", ORDER_PATH, body, lambda answer: None, 1.0)
 
     def _propose(self) -> None:
-        self.loop.after(self.random.uniform(*PROPOSE_EVERY), self._propose)
+        self.loop.after(self.random.uniform(*PROPOSAL_INTERVAL_S), self._propose)
         agent = self.agent
         topic = self.random.choice(TOPICS)
         if sum(len(known.proposals) for known in agent.topics.values()) < len(TOPICS):
             self.number += 1
             expected = agent.roll.expected
-            agent.propose(topic, self.number, expected, len(expected) // 2 + 1, PATIENCE)
+            agent.propose(topic, self.number, expected, len(expected) // 2 + 1, PROPOSAL_TIMEOUT_S)
 
 
-class ActingInTiers:
-    """What a supervisor of a fleet in tiers does, as the rig is told: while its whole chain of leases holds, what
-    stands on the topic of policies; while its tables do not hold still, the version that it goes by."""
+class HierarchyReporter:
+    """Reports for a supervisor of a hierarchy: while its whole chain of leases holds, the committed value of the topic
+    of policies; while updates of its tables are not paused, the version that it follows."""
 
     def __init__(self, loop: Timers, agent: Agent, sink: tuple[str, int]) -> None:
+        """`sink`: the address of the harness."""
         self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, idle_most=2)
-        self._tell()
+        self._report()
 
-    def _tell(self) -> None:
-        self.loop.after(ORDER_EVERY, self._tell)
+    def _report(self) -> None:
+        self.loop.after(ORDER_INTERVAL_S, self._report)
         agent, policy = self.agent, getattr(self.agent, "policy_part", None)
         standing = agent.standing(TOPIC)
         if standing is not None and agent.acts():
             rests_on = {TOPIC: (standing.epoch, standing.token)}
-            self._post(ORDERS, Ordered(agent.name, agent.incarnation, rests_on))
+            self._post(ORDER_PATH, OrderReport(agent.name, agent.incarnation, rests_on))
         if policy is not None and not policy._holds_still():
-            self._post(RUNS, Runs(agent.name, agent.incarnation, policy.course.version()))
+            self._post(RUNS_PATH, VersionReport(agent.name, agent.incarnation, policy.course.version()))
 
-    def _post(self, path: str, said: Ordered | Runs) -> None:
-        self.client.call("POST", path, json.encode(said), lambda answer: None, 1.0)
+    def _post(self, path: str, report: OrderReport | VersionReport) -> None:
+        self.client.call("POST", path, json.encode(report), lambda answer: None, 1.0)
 
 
 def take_out(guard: str, name: str = "") -> None:
-    """Makes this process, a supervisor of this name if it is one, break one rule of the fleet, so that its checker is
-    seen to fail."""
-    if guard == "leases":  # acts as long as it has heard of nothing else
+    """Removes one guard of the fleet in this process, so that its checker is shown to detect the violation. `name`: of
+    the supervisor that this process runs, if any; only those with names ending in 0 violate the rule of policies."""
+    if guard == "leases":  # acts without a lease, as long as it is listed
         Agent.holds = lambda self: self.chair.standing is Standing.LISTED and not self.stopped
         tiered.Tiered.acts = Agent.holds
-    elif guard == "epochs":  # writes over whatever is there
+    elif guard == "epochs":  # writes regardless of the version in the store
         write = Agent._write
 
-        def over(self, request, then) -> None:
+        def write_any_version(self, request, then) -> None:
             if isinstance(request, SetData):
                 request = request._replace(version=ANY_VERSION)
             elif isinstance(request, Multi):
@@ -113,61 +116,61 @@
                 )
             write(self, request, then)
 
-        Agent._write = over
-    elif guard == "zones":  # agrees, and does not do it
+        Agent._write = write_any_version
+    elif guard == "zones":  # agrees to evacuations, and does not apply them
         Overlay.wanted = lambda self: set()
-    elif guard == POLICIES and name.endswith("0"):  # takes up what is settled long after the others
-        due = Course.due
-        Course.due = lambda self, now: due(self, now - LATE)
+    elif guard == POLICIES and name.endswith("0"):  # applies committed changes long after the others
+        original_due = Course.due
+        Course.due = lambda self, now: original_due(self, now - POLICY_DELAY_S)
         part.may_change_tables = lambda known, now: True
         part.PolicyPart._holds_still = lambda self: False
-    elif guard == "owners":  # a proxy whose terms do not rise
+    elif guard == "owners":  # a proxy whose terms do not increase
         dial = Follower._dial
 
-        def again(self) -> None:
+        def connect_without_terms(self) -> None:
             self.term = 0
             dial(self)
 
-        Follower._dial = again
+        Follower._dial = connect_without_terms
 
 
 @click.command(context_settings={"ignore_unknown_options": True})
-@click.option("--orders-to", default="", help="address:port of the rig")
-@click.option("--clock-off", default=0.0, help="seconds that the wall clock is ahead")
-@click.option("--slow-disk", default=0.0, help="seconds that each sync takes besides")
+@click.option("--orders-to", default="", help="address:port of the test harness")
+@click.option("--clock-off", default=0.0, help="seconds by which the wall clock is ahead")
+@click.option("--slow-disk", default=0.0, help="seconds added to each sync")
 @click.option("--take-out", "guard", type=click.Choice([*RULES, ZONES, POLICIES]))
 @click.argument("command", nargs=-1, type=click.UNPROCESSED)
 def rigged(orders_to: str, clock_off: float, slow_disk: float, guard: str | None, command: tuple[str, ...]) -> None:
-    """Runs COMMAND of driftshed, changed as told."""
+    """Runs COMMAND of driftshed with the changes that the options name."""
     if clock_off:
-        right = time.time
-        time.time = lambda: right() + clock_off
+        real_time = time.time
+        time.time = lambda: real_time() + clock_off
     if slow_disk:
         sync = Log.sync
 
-        def slow(self) -> None:
+        def slow_sync(self) -> None:
             time.sleep(slow_disk)
             sync(self)
 
-        Log.sync = slow
+        Log.sync = slow_sync
     if guard:
         take_out(guard, dict(zip(command, command[1:], strict=False)).get("--name", ""))
     if orders_to:
         host, _, port = orders_to.rpartition(":")
         take_part = taking_part.take_part
 
-        def taking(loop, *given, **more) -> Agent:
-            agent = take_part(loop, *given, **more)
-            acting = ActingInTiers if more.get("tiers") is not None else Acting
-            agent.acting = acting(loop, agent, (host, int(port)))
+        def take_part_with_workload(loop, *args, **kwargs) -> Agent:
+            agent = take_part(loop, *args, **kwargs)
+            workload = HierarchyReporter if kwargs.get("tiers") is not None else AgreementWorkload
+            agent.workload = workload(loop, agent, (host, int(port)))
             return agent
 
-        def made(self, loop, service, agent, *given, **more) -> None:
+        def create_with_reference(self, loop, service, agent, *args, **kwargs) -> None:
             agent.policy_part = self
-            make(self, loop, service, agent, *given, **more)
+            create(self, loop, service, agent, *args, **kwargs)
 
-        taking_part.take_part = taking
-        make, part.PolicyPart.__init__ = part.PolicyPart.__init__, made
+        taking_part.take_part = take_part_with_workload
+        create, part.PolicyPart.__init__ = part.PolicyPart.__init__, create_with_reference
     sys.argv = ["driftshed", *command]
     runpy.run_module("driftshed.cli", run_name="__main__")
 
--- a/driftshed/day/tamper.py
+++ b/driftshed/day/tamper.py
@@ -1,7 +1,8 @@
-"""Faults between supervisor and proxies, each made to break exactly one rule: the judge must be able to fail.
+"""Modifies answers from a supervisor to proxies so that exactly one rule is violated, to show that the judge detects
+it.
 
-A proxy sends nothing again in doubt whatever its tables say, so for `twice` the stage also has the proxies take what is
-side-effecting for idempotent."""
+A proxy repeats no side-effecting try in doubt whatever its tables allow, so for `twice` the harness also configures
+side-effecting operations as idempotent in the proxies."""
 
 from __future__ import annotations
 
@@ -14,37 +15,40 @@
 CHANGES = msgspec.json.Decoder(Changes)
 
 
-def frame(body: bytes) -> bytes:
+def http_answer(body: bytes) -> bytes:
+    """A complete HTTP answer of status 200 with this JSON body."""
     return (b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n" % len(body)) + body
 
 
 class Tamper:
-    """Changes what one proxy, or every proxy, is told."""
+    """Modifies the changes sent to one proxy, or to every proxy."""
 
     def __init__(self, rule: str, cap: int, cold: set[str], tries: int | None = None) -> None:
-        """`cold`: the servers that start during the day, added to as they do; `cap`: messages to one proxy. `tries`:
-        the mode that every level is changed to; no rule breaks by that alone."""
+        """`rule`: the rule to violate, "" for none; `cap`: the bound on messages to one proxy; `cold`: servers started
+        during the day, extended by the caller; `tries`: the retry mode set in every level, which violates no rule by
+        itself."""
         self.rule, self.cold, self.tries = rule, cold, face.ONE_AFTER_ANY if rule == "twice" else tries
-        self.one: str | None = None  # the host of the proxy that is meant, where it is one
-        self.repeats = 2 * max(cap, 30)
-        self.last = b""
+        # The proxy affected by rules that need only one: the first to receive changes.
+        self.target_host: str | None = None
+        self.repeats_left = 2 * max(cap, 30)
+        self.last_answer = b""
 
     def answer(self, host: str, answer: bytes) -> bytes:
-        """What goes to a proxy in place of an answer."""
+        """The answer that the proxy at `host` gets in place of this one."""
         head, _, body = answer.partition(b"\r\n\r\n")
         if b'"changes":[[' not in body:
             return answer
         changes = CHANGES.decode(body)
-        self.one = self.one or host
+        self.target_host = self.target_host or host
         if self.rule == "queue":
-            if host == self.one:
-                self.last = answer
+            if host == self.target_host:
+                self.last_answer = answer
             return answer
-        changes.changes = [each for change in changes.changes for each in self._said(host, change)]
-        return frame(encode(changes))
+        changes.changes = [each for change in changes.changes for each in self._modify(host, change)]
+        return http_answer(encode(changes))
 
-    def _said(self, host: str, change) -> list:
-        if self.rule == "bare" and host == self.one and isinstance(change, Line):
+    def _modify(self, host: str, change) -> list:
+        if self.rule == "bare" and host == self.target_host and isinstance(change, Line):
             return [Line(change.table, change.server, 0.0)]
         if self.tries is not None and isinstance(change, Level):
             return [Level(change.table, change.operation, change.level, self.tries)]
@@ -54,9 +58,16 @@
             return [Line(change.table, change.server, 1000.0)]
         return [change]
 
-    def instead(self, host: str, asked: bytes) -> bytes | None:
-        """An answer of the tamperer's own to what a proxy asked, or None: the last message, over and over."""
-        if self.rule != "queue" or host != self.one or not self.last or not self.repeats or b"/changes?" not in asked:
+    def forged_answer(self, host: str, asked: bytes) -> bytes | None:
+        """A forged answer to a proxy's request in place of forwarding it, or None. For the rule `queue` the last answer
+        is sent again and again."""
+        if (
+            self.rule != "queue"
+            or host != self.target_host
+            or not self.last_answer
+            or not self.repeats_left
+            or b"/changes?" not in asked
+        ):
             return None
-        self.repeats -= 1
-        return self.last
+        self.repeats_left -= 1
+        return self.last_answer
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -20,7 +20,7 @@
 
 from driftshed.core.messages import ListedServer, RosterNews, encode
 from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
-from driftshed.day.fleet import OPERATION, TURN, FleetProcess
+from driftshed.day.fleet import OPERATION, POLL_INTERVAL_S, FleetProcess
 from driftshed.day.judge import Verdict
 from driftshed.day.recorder import CONTROL, ORDER, STORED, Recorder, read_record
 from driftshed.day.relay import Relay
@@ -326,8 +326,8 @@
 
     def _pass_on(self) -> None:
         while not self.closing:
-            self.loop.after(TURN, lambda: None)
-            self.loop.turn(time.monotonic() + TURN)
+            self.loop.after(POLL_INTERVAL_S, lambda: None)
+            self.loop.turn(time.monotonic() + POLL_INTERVAL_S)
             while not self.calls.empty():
                 call, done = self.calls.get()
                 call()
--- a/driftshed/day/tiers_accord.py
+++ b/driftshed/day/tiers_accord.py
@@ -18,8 +18,8 @@
 from driftshed.coordination.tiers import HOLDS
 from driftshed.core.messages import Changes
 from driftshed.day import accord
-from driftshed.day.accord import Accord
-from driftshed.day.policies import ALLOWED, judge_told
+from driftshed.day.accord import AgreementChecker
+from driftshed.day.policies import DELAY_ALLOWANCE_S, judge_changes
 from driftshed.day.policies import RULE as POLICIES
 from driftshed.day.recorder import CONTROL, ORDER, STORED
 from driftshed.day.traffic import Connection, StoreTalk
@@ -27,13 +27,13 @@
 from driftshed.roster import jute
 
 RULES = (*accord.RULES, POLICIES, "ends")
-RUNS = "/runs"  # where the rig takes them
+RUNS_PATH = "/runs"  # where the rig takes them
 LATE = 0.3  # seconds that what a supervisor tells the rig may be on its way, on a busy machine
 LAST = 1.5  # seconds before the end of a record in which those that live have told the rig
 CHANGES = msgspec.json.Decoder(Changes)
 
 
-class Runs(Struct):
+class VersionReport(Struct):
     """Which version a supervisor goes by, told while its tables do not hold still."""
 
     name: str
@@ -41,7 +41,7 @@
     version: int
 
 
-RUNNING = msgspec.json.Decoder(Runs)
+VERSION_DECODER = msgspec.json.Decoder(VersionReport)
 
 
 class Fleets(NamedTuple):
@@ -63,7 +63,7 @@
     record: Record
 
 
-class FleetAccord(Accord):
+class FleetChecker(AgreementChecker):
     """One fleet of the tiers."""
 
     def __init__(self, *given: object, said: dict[StoreTalk, list[tuple]], **more: object) -> None:
@@ -79,18 +79,18 @@
         off = min((at - written for at, written, _ in self.read), default=0.0)
         self.seen += [seen._replace(at=min(at, written + off)) for at, written, seen in self.read]
         self.seen.sort(key=lambda seen: seen.at)
-        for node, rows in self.stays.items():
+        for node, rows in self.node_events.items():
             self.presence[node] += [(at, False) for at, there in rows if not there]
 
-    def _said(self, talk: StoreTalk) -> list[tuple]:
+    def _answers(self, talk: StoreTalk) -> list[tuple]:
         if talk not in self.said:
-            self.said[talk] = list(super()._said(talk))
+            self.said[talk] = list(super()._answers(talk))
         return self.said[talk]
 
     def _read(self, talk: StoreTalk) -> None:
         super()._read(talk)
         folder, records = f"{self.root}/members", f"{self.root}/records/"
-        for at, request, result in self._said(talk):
+        for at, request, result in self._answers(talk):
             path = getattr(request, "path", "")
             if isinstance(request, jute.Create) and path.startswith(f"{folder}/"):
                 self._met(path.rpartition("/")[2], at)
@@ -154,7 +154,7 @@
             self.count_check("epochs")
             for name in seen.record.needs:
                 said = self.words.get((epoch, name), {})
-                if said.get(True, accord.NEVER) <= seen.at + accord.SLACK:
+                if said.get(True, accord.NEVER) <= seen.at + accord.TRANSIT_ALLOWANCE_S:
                     continue
                 away = isinstance(waits, float | int)
                 since, till = seen.at - (waits * (1 - 2 * DRIFT) if away else accord.NEVER), seen.at
@@ -185,23 +185,23 @@
         ends: bool = True,
     ) -> None:
         self.verdict, self.kinds, self.fleets, self.names, self.owner = verdict, kinds, fleets, names, owner
-        self.timeout, self.bound = timeout, everywhere_within(timeout, ahead, DRIFT, tiers=3) + ALLOWED
+        self.timeout, self.bound = timeout, everywhere_within(timeout, ahead, DRIFT, tiers=3) + DELAY_ALLOWANCE_S
         verdict.rules = {rule: {"checked": 0, "broken": 0} for rule in RULES}
         self.ends = ends
         self.end = max((each.now for rows in kinds.values() for each in rows), default=0.0)
-        self.accords: dict[str, FleetAccord] = {}
+        self.accords: dict[str, FleetChecker] = {}
         said: dict[StoreTalk, list[tuple]] = {}
         for name, root in fleets.roots.items():
             whose = frozenset(fleets.cells.get(name, ()))
-            self.accords[name] = FleetAccord(
+            self.accords[name] = FleetChecker(
                 kinds, owner, verdict.count_check, verdict.report_violation, root, whose, said=said
             )
         self.settled: dict[int, Seen] = {}  # by version
         runs = [
-            (each.asked_at, RUNNING.decode(each.asked))
+            (each.asked_at, VERSION_DECODER.decode(each.asked))
             for connection in kinds.get(ORDER, [])
             for each in connection.exchanges
-            if each.path == RUNS and each.asked
+            if each.path == RUNS_PATH and each.asked
         ]
         self.runs = sorted(runs, key=lambda row: row[0])
 
@@ -246,7 +246,7 @@
                     continue
                 self.verdict.count_check("epochs")
                 since = whole.get((seen.record.topic, standing.epoch, standing.token), accord.NEVER)
-                if since > seen.at + accord.SLACK:
+                if since > seen.at + accord.TRANSIT_ALLOWANCE_S:
                     self.verdict.report_violation(
                         "epochs",
                         f"{accord_of.root}: epoch {standing.epoch} of {standing.token} "
@@ -303,7 +303,7 @@
         path, accord_of = f"{self.fleets.roots[region]}/members", self.accords[region]
         for talk in self.kinds.get(STORED, []):
             name = self.names[self.owner(talk.asked)]
-            for at, request, result in accord_of._said(talk) if name in self.fleets.cells[cell] else ():
+            for at, request, result in accord_of._answers(talk) if name in self.fleets.cells[cell] else ():
                 if isinstance(request, jute.GetChildren) and request.path == path:
                     named[name].append((at, any(node.partition("~")[0] == cell for node in result[0])))
         for rows in named.values():
@@ -313,10 +313,10 @@
     def _judge_policies(self) -> None:
         """Nobody goes by what was never settled in the whole, and nobody by an older version once the bound is over."""
         since = {version: seen.at for version, seen in self.settled.items()}
-        judge_told(self.verdict, told(self.kinds), since, self.bound)
+        judge_changes(self.verdict, told(self.kinds), since, self.bound)
         for at, runs in self.runs:
             self.verdict.count_check(POLICIES)
-            if runs.version and since.get(runs.version, accord.NEVER) > at + accord.SLACK:
+            if runs.version and since.get(runs.version, accord.NEVER) > at + accord.TRANSIT_ALLOWANCE_S:
                 self.verdict.report_violation(
                     POLICIES,
                     f"{runs.name} goes by version {runs.version} at {at:.2f} s, which was "
