--- a/driftshed/day/command.py
+++ b/driftshed/day/command.py
@@ -37,7 +37,9 @@
     "--shrink", is_flag=True, help="if a rule is broken, reduce the drawn troubles to a minimal set that breaks one"
 )
 @click.option("--tries", type=click.IntRange(0, 3), help="the retry mode sent to every proxy")
-@click.option("--seconds", type=click.FloatRange(tiers.LEAST_SECONDS, 600), help="of the day `tiers` alone; default 36")
+@click.option(
+    "--seconds", type=click.FloatRange(tiers.LEAST_DURATION_S, 600), help="of the day `tiers` alone; default 36"
+)
 def day(
     name: str,
     seed: int,
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -203,7 +203,7 @@
         self.loop.close()
         self.lock.close()
 
-    # ---- views -----------------------------------------------------------------------------------
+    # ---- views ----
 
     def get(self, name: str, what: str) -> object:
         """A view of one supervisor, not requested through a relay; None where it does not answer within 1 s."""
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -127,7 +127,7 @@
         self._count_service()
         return self.verdict
 
-    # ---- reading ----------------------------------------------------------------------------------------------
+    # ---- reading ----
 
     def _read_control(self) -> None:
         """Reads the intervals in which proxies were joined to a supervisor, and the changes that each received."""
@@ -304,7 +304,7 @@
         """The interval in which a proxy was joined at this time, its value the supervisor; None if it was not."""
         return next((each for each in self.joined[proxy] if each.since <= at < each.till), None)
 
-    # ---- the rules --------------------------------------------------------------------------------------------
+    # ---- the rules ----
 
     def _warm_ready_intervals(self, owner: int) -> list[Interval]:
         """When a supervisor had at least one server listed as ready and no longer cold."""
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -492,7 +492,7 @@
         self.loop.close()
         self.lock.close()
 
-    # ---- troubles ---------------------------------------------------------------------------------------------
+    # ---- troubles ----
 
     def _pick_servers(self, count: int, zone: str = "") -> list[int]:
         """Randomly chosen healthy servers, or all healthy servers of a zone."""
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -1,6 +1,6 @@
-"""A day of a fleet in tiers as real processes: two regions of two cells with three supervisors each, a store for the
-whole and one for each region, proxies, and a relay on every way between them. A seed draws the faults and who is asked
-for a change of policy when; `tiers_accord.py` judges what passed on the sockets."""
+"""A test day of a hierarchical fleet of processes: two regions of two cells with three supervisors each, a store for
+the whole and one for each region, and proxies, all connected by relays. A seed determines the faults and the requests
+for changes of policy; `tiers_accord.py` judges the recorded traffic."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from driftshed.day.recorder import CONTROL, ORDER, STORED, Recorder, read_record
 from driftshed.day.relay import Relay
 from driftshed.day.stage import free_net
-from driftshed.day.tiers_accord import Fleets, TiersJudge
+from driftshed.day.tiers_accord import FleetLayout, HierarchyJudge
 from driftshed.day.traffic import read_traffic
 from driftshed.net.http import Answer, HttpClient, HttpServer
 from driftshed.net.loop import Loop
 
 NAME = "tiers"
 ABOUT = (
-    "a policy is changed every second or so in two regions of two cells of three supervisors, while they, their "
-    "ways and their stores fail as the seed draws it"
+    "about one policy change a second in two regions of two cells of three supervisors, while supervisors, "
+    "connections and stores fail at random by the seed"
 )
 ROOT, REGIONS = "/driftshed", {"north": ("n1", "n2"), "south": ("s1", "s2")}
 CELLS = {cell: tuple(f"{cell}-{k}" for k in range(3)) for cells in REGIONS.values() for cell in cells}
-FLEETS = Fleets(
+FLEETS = FleetLayout(
     REGIONS,
     CELLS,
     {
@@ -48,18 +48,22 @@
 )
 NAMES = [name for members in CELLS.values() for name in members]
 REGION_OF = {name: FLEETS.region_of(cell) for cell, members in CELLS.items() for name in members}
-# Of the addresses 127.NET.x.y: what stands at each x, y counts from 1.
-STORES, SUPERVISORS, WHOLE_WAYS, AT_WHOLE, REGION_WAYS, AT_REGION, CONTROLS, AT_PROXIES, PROXIES = range(1, 10)
-TIMEOUT, AHEAD, DESPITE_AFTER = 1.5, 0.3, 2.0  # seconds
-LIST_EVERY = 1.0  # seconds between changes of the list of servers, so that there are orders
-SERVERS = 4  # of which one after the other is not listed
-FIRST_CHANGE, FIRST_FAULT, STEP = 2.5, 3.5, 1.7  # seconds: when they begin, and between faults
-SETTLES_WITHIN = 40.0  # seconds after a day's faults that it may take until all go by one policy
-PATIENCE = (2.0, 8.0)  # seconds that changes wait for words
-MEET_AFTER, MEET_SLOWLY = 0.8, 0.15  # seconds until two are asked again, and by which their ways are slower then
-SHORT, LONG = (0.1, 0.6), (1.5, 3.0)  # of a lease: pauses that it outlasts, and that outlast it
-CUT = (5.0, 20.0)  # seconds for which a region is cut from the whole's store
-LEAST_SECONDS = 14
+# The x of addresses 127.NET.x.y, by what listens there; y counts from 1. Supervisors connect to fault relays, these to
+# the recording relays at the stores.
+STORES, SUPERVISORS, WHOLE_FAULTS, WHOLE_RECORDERS, REGION_FAULTS, REGION_RECORDERS, CONTROLS, PROXY_FAULTS, PROXIES = (
+    range(1, 10)
+)
+SESSION_TIMEOUT_S, POLICY_AHEAD_S, DESPITE_AFTER_S = 1.5, 0.3, 2.0  # seconds
+LIST_INTERVAL_S = 1.0  # between changes of the list of servers, so that supervisors give orders
+SERVERS = 4  # each list leaves out one of them, in turn
+FIRST_CHANGE_S, FIRST_FAULT_S, FAULT_INTERVAL_S = 2.5, 3.5, 1.7  # seconds: the first of each, and between faults
+CONVERGENCE_TIMEOUT_S = 40.0  # after the last fault, until all follow one policy
+PROPOSAL_TIMEOUT_S = (2.0, 8.0)  # range of seconds that proposals wait for votes
+# Until two supervisors are asked again, and the added delay of their connections then.
+CONFLICT_DELAY_S, CONFLICT_LAG_S = 0.8, 0.15
+SHORT_PAUSE, LONG_PAUSE = (0.1, 0.6), (1.5, 3.0)  # as shares of a lease: shorter pauses keep it, longer ones lose it
+CUT_S = (5.0, 20.0)  # range of seconds for which a region is cut off from the store of the whole
+LEAST_DURATION_S = 14
 POLICY = """
 ahead = {ahead}
 despite_after = {despite_after}
@@ -75,22 +79,26 @@
 """
 
 
-def told(address: tuple[str, int]) -> str:
+def address_text(address: tuple[str, int]) -> str:
+    """The address as address:port."""
     return f"{address[0]}:{address[1]}"
 
 
 def document(number: int) -> str:
-    """A policy that no other number has."""
-    return POLICY.format(ahead=AHEAD, despite_after=DESPITE_AFTER, grace=round(2.5 + number / 100, 2))
+    """A policy document, different for each number."""
+    return POLICY.format(ahead=POLICY_AHEAD_S, despite_after=DESPITE_AFTER_S, grace=round(2.5 + number / 100, 2))
 
 
-# ---- what a seed draws ----------------------------------------------------------------------------------------------
+# ---- random faults and changes ----
 
 
 class Fault(NamedTuple):
-    """`what` befalls `who` (a supervisor, a region, or a store, the whole's being "") at `at` for `lasts` seconds. What
-    is cut is a region from the whole's store; what is reset is every stream of a region's proxies.
-    `sides`: which of a supervisor's ways; `way`: what it says, what it is told, or both; `by`: seconds later."""
+    """A fault of kind `what` at `who`: a supervisor, a region, or a store by its region, "" for that of the whole.
+
+    `at` and `lasts` in seconds; "cut" partitions a region from the store of the whole, "reset" resets every stream of a
+    region's proxies. `sides`: which of a supervisor's connections; `way`: what it sends ("said"), receives ("told") or
+    both; `by`: the added delay in seconds.
+    """
 
     at: float
     what: str
@@ -101,14 +109,14 @@
     by: float = 0.0
 
 
-class Asking(NamedTuple):
-    """`who` are asked at once for changes, each for another, which wait `patience` seconds for words. `slowly`: their
-    ways to the whole's store are slow then, so that what they read and write there meets."""
+class ChangeRequest(NamedTuple):
+    """A request at `at` to all of `who` for different changes, which wait `patience` seconds for votes. `slowed`: their
+    connections to the store of the whole are delayed, so that their reads and writes there conflict."""
 
     at: float
     who: tuple[str, ...]
     patience: float
-    slowly: bool = False
+    slowed: bool = False
 
 
 FIRST_KINDS = ("kill", "long pause", "apart", "store", "reset", "lose")
@@ -116,25 +124,25 @@
 SIDES = (("whole",), ("region",), ("whole", "region"), ("proxies",), ("whole", "region", "proxies"))
 
 
-def draw(seed: int, seconds: float, timeout: float = TIMEOUT) -> list[Fault]:
-    """One fault of a supervisor or a store after the other, the first kinds first, and one region cut off meanwhile.
-    One that is dead or still has no other fault."""
+def draw(seed: int, seconds: float, timeout: float = SESSION_TIMEOUT_S) -> list[Fault]:
+    """Draws faults of supervisors and stores at regular intervals, each of the first kinds once before the others, and
+    one region cut off meanwhile. A process that is dead or stopped has no other fault."""
     random, faults = Random(f"tiers faults {seed}"), []
-    room = seconds - FIRST_FAULT - 3.0
-    lasts = round(random.uniform(CUT[0], max(CUT[0], min(CUT[1], room * 0.7))), 2)
-    at = round(FIRST_FAULT + random.uniform(0, max(0.0, room - lasts)), 2)
+    duration = seconds - FIRST_FAULT_S - 3.0
+    lasts = round(random.uniform(CUT_S[0], max(CUT_S[0], min(CUT_S[1], duration * 0.7))), 2)
+    at = round(FIRST_FAULT_S + random.uniform(0, max(0.0, duration - lasts)), 2)
     faults.append(Fault(at, "cut", random.choice(sorted(REGIONS)), lasts))
-    free: dict[str, float] = {}
+    free_at: dict[str, float] = {}
     kinds = random.sample(FIRST_KINDS, len(FIRST_KINDS))
-    for k in range(int(room / STEP)):
-        at = round(FIRST_FAULT + (k + random.random()) * STEP, 2)
+    for k in range(int(duration / FAULT_INTERVAL_S)):
+        at = round(FIRST_FAULT_S + (k + random.random()) * FAULT_INTERVAL_S, 2)
         kinds = kinds or random.sample(KINDS, len(KINDS))
         kind, lasts = kinds.pop(), round(timeout * random.uniform(0.5, 3), 2)
-        whose = {"store": ("", *REGIONS), "reset": tuple(REGIONS)}.get(kind, NAMES)
-        able = [each for each in whose if kind == "reset" or free.get(each, 0.0) <= at]
-        if not able:
+        targets = {"store": ("", *REGIONS), "reset": tuple(REGIONS)}.get(kind, NAMES)
+        available = [each for each in targets if kind == "reset" or free_at.get(each, 0.0) <= at]
+        if not available:
             continue
-        who = random.choice(able)
+        who = random.choice(available)
         if kind == "store":
             fault = Fault(at, kind, who, round(random.uniform(0.3, 2.0), 2))
         elif kind in ("kill", "reset"):
@@ -146,37 +154,41 @@
         elif kind == "lose":
             fault = Fault(at, kind, who, 0.0, random.choice(SIDES[:2]), random.choice(("told", "said")))
         else:
-            share = random.uniform(*(SHORT if kind == "short pause" else LONG))
+            share = random.uniform(*(SHORT_PAUSE if kind == "short pause" else LONG_PAUSE))
             fault = Fault(at, "pause", who, round(timeout * share, 2))
         if kind != "reset":
-            free[who] = at + fault.lasts + timeout
+            free_at[who] = at + fault.lasts + timeout
         faults.append(fault)
     return sorted(faults)
 
 
-def draw_changes(seed: int, seconds: float) -> list[Asking]:
-    """A supervisor is asked every second or so; at first and every fifth time two of different regions, and both again
-    while they are still guests of the whole, so that proposals meet."""
-    random, askings, at, count = Random(f"tiers changes {seed}"), [], FIRST_CHANGE, 0
+def draw_changes(seed: int, seconds: float) -> list[ChangeRequest]:
+    """Draws a request about every second to one supervisor. The first and every fifth go to two of different regions,
+    and to both again while they still have sessions in the store of the whole, so that proposals conflict."""
+    random, change_requests, at, count = Random(f"tiers changes {seed}"), [], FIRST_CHANGE_S, 0
     while at < seconds - 2.0:
-        who, patience = [random.choice(NAMES)], round(random.uniform(*PATIENCE), 2)
+        who, patience = [random.choice(NAMES)], round(random.uniform(*PROPOSAL_TIMEOUT_S), 2)
         if count % 5 == 0:
             who.append(random.choice([name for name in NAMES if REGION_OF[name] != REGION_OF[who[0]]]))
-            askings.append(Asking(round(at, 2), tuple(who), patience))
-            at += MEET_AFTER
-        askings.append(Asking(round(at, 2), tuple(who), patience, len(who) > 1))
+            change_requests.append(ChangeRequest(round(at, 2), tuple(who), patience))
+            at += CONFLICT_DELAY_S
+        change_requests.append(ChangeRequest(round(at, 2), tuple(who), patience, len(who) > 1))
         at, count = at + random.uniform(0.6, 1.4), count + 1
-    return askings
+    return change_requests
 
 
-# ---- the stage ------------------------------------------------------------------------------------------------------
+# ---- the harness ----
 
 
-class TiersStage:
-    """Its relays go on in a thread of their own, as does what is timed; whoever plays asks by `do`. `tamper`: a guard
-    that its processes go without. `events` says what was done when, in seconds of the day."""
+class HierarchyHarness:
+    """The processes and relays of the day. Relays and timers run on a thread of their own; call them by `do`. `events`
+    lists the faults applied and their times in seconds. Close it in any case, so that no process is left behind."""
 
-    def __init__(self, folder: Path, timeout: float = TIMEOUT, tamper: str | None = None, proxies: int = 6) -> None:
+    def __init__(
+        self, folder: Path, timeout: float = SESSION_TIMEOUT_S, tamper: str | None = None, proxies: int = 6
+    ) -> None:
+        """`folder`: for record, logs and data; `timeout`: of sessions in the stores, in seconds; `tamper`: the guard
+        removed from the processes, or None."""
         self.folder, self.timeout, self.tamper = folder, timeout, tamper
         self.loop = Loop()
         self.net, self.lock = free_net(os.getpid())
@@ -187,49 +199,52 @@
         self.sink.on_connection = self.recorder.accepted(ORDER, self.sink.address)
         self.stores = {name: self._store_process(k, name) for k, name in enumerate(("", *REGIONS))}
         self.store_addresses = {name: self._at(STORES, 1 + k, 2181) for k, name in enumerate(("", *REGIONS))}
-        self.ways: dict[tuple[str, str], FaultRelay] = {}  # by supervisor and side
+        self.fault_relays: dict[tuple[str, str], FaultRelay] = {}  # by supervisor and side
         self.relays: list[Relay] = []
         self.controls: dict[str, Relay] = {}
         self.addresses, self.supervisors, self.clients = {}, {}, {}
         for k, name in enumerate(NAMES):
-            self._set_up(k, name)
-        self.proxies = [self._proxy(k) for k in range(proxies)]
-        self.listed = self.asked = 0
-        self.calls: queue.SimpleQueue = queue.SimpleQueue()
-        self.closing = False
-        self.thread = threading.Thread(target=self._pass_on, daemon=True)
+            self._create_supervisor(k, name)
+        self.proxies = [self._create_proxy(k) for k in range(proxies)]
+        self.list_version = self.asked = 0
+        self.pending_calls: queue.SimpleQueue = queue.SimpleQueue()
+        self.closed = False
+        self.thread = threading.Thread(target=self._run_loop, daemon=True)
 
     def _at(self, part: int, number: int, port: int) -> tuple[str, int]:
         return f"127.{self.net}.{part}.{number}", port
 
     def _store_process(self, k: int, name: str) -> FleetProcess:
-        listen = told(self._at(STORES, 1 + k, 2181))
+        listen = address_text(self._at(STORES, 1 + k, 2181))
         folder = self.folder / f"store-{name or 'whole'}"
         return FleetProcess(
             ["roster", "serve", "--listen", listen, "--folder", str(folder)], self.folder / f"{folder.name}.log"
         )
 
-    def _way(self, name: str, side: str, k: int, at: int, stored: int, store: str) -> str:
-        """The way of a supervisor to a store: faults at its own end, what passes recorded at the store's."""
-        relay = Relay(self.loop, self.recorder, STORED, self._at(stored, 1 + k, 2181), self.store_addresses[store])
+    def _connect_to_store(self, name: str, side: str, k: int, fault_part: int, recorder_part: int, store: str) -> str:
+        """Creates the relays from a supervisor to a store: faults at the supervisor's end, recording at the store's.
+        Returns the address to connect to."""
+        relay = Relay(
+            self.loop, self.recorder, STORED, self._at(recorder_part, 1 + k, 2181), self.store_addresses[store]
+        )
         self.relays.append(relay)
-        between = FaultRelay(self.loop, self._at(at, 1 + k, 2181), relay.address, frame_length)
-        self.ways[name, side] = between
-        return told(between.address)
+        fault_relay = FaultRelay(self.loop, self._at(fault_part, 1 + k, 2181), relay.address, frame_length)
+        self.fault_relays[name, side] = fault_relay
+        return address_text(fault_relay.address)
 
-    def _set_up(self, k: int, name: str) -> None:
+    def _create_supervisor(self, k: int, name: str) -> None:
         region, address = REGION_OF[name], self._at(SUPERVISORS, 1 + k, 7100)
         self.addresses[name], self.clients[name] = address, HttpClient(self.loop, address, idle_most=1)
-        whole = self._way(name, "whole", k, WHOLE_WAYS, AT_WHOLE, "")
-        near = self._way(name, "region", k, REGION_WAYS, AT_REGION, region)
-        between = FaultRelay(self.loop, self._at(AT_PROXIES, 1 + k, 7000), address)
-        self.ways[name, "proxies"] = between
-        control = Relay(self.loop, self.recorder, CONTROL, self._at(CONTROLS, 1 + k, 7000), between.address)
+        whole_store = self._connect_to_store(name, "whole", k, WHOLE_FAULTS, WHOLE_RECORDERS, "")
+        region_store = self._connect_to_store(name, "region", k, REGION_FAULTS, REGION_RECORDERS, region)
+        fault_relay = FaultRelay(self.loop, self._at(PROXY_FAULTS, 1 + k, 7000), address)
+        self.fault_relays[name, "proxies"] = fault_relay
+        control = Relay(self.loop, self.recorder, CONTROL, self._at(CONTROLS, 1 + k, 7000), fault_relay.address)
         self.relays.append(control)
         self.controls[name] = control
         path = self.folder / f"tiers-{name}.toml"
-        path.write_text(self._tiers(whole, region, near))
-        listen, advertise = told(address), told(control.address)
+        path.write_text(self._tiers_file(whole_store, region, region_store))
+        listen, advertise = address_text(address), address_text(control.address)
         process = FleetProcess(
             [
                 "supervise",
@@ -256,26 +271,27 @@
             ],
             self.folder / f"{name}.log",
         )
-        taken_out = ["--take-out", self.tamper] if self.tamper not in (None, "owners") else []
-        process.program = ("driftshed.day.rigged", "--orders-to", told(self.sink.address), *taken_out, "--")
+        guard_flags = ["--take-out", self.tamper] if self.tamper not in (None, "owners") else []
+        process.program = ("driftshed.day.rigged", "--orders-to", address_text(self.sink.address), *guard_flags, "--")
         self.supervisors[name] = process
 
-    def _tiers(self, whole: str, region: str, near: str) -> str:
-        """The tiers file of one supervisor: its own ways to the stores; it has none to those of other regions."""
+    def _tiers_file(self, whole: str, region: str, region_store: str) -> str:
+        """The tiers file of one supervisor, with its own relays to the stores; stores of other regions are
+        unreachable."""
         lines = [f'form = 1\nroot = "{ROOT}"\nstores = "{whole}"\n']
         for name, cells in REGIONS.items():
-            stores = near if name == region else f"127.{self.net}.{STORES}.250:2181"
+            stores = region_store if name == region else f"127.{self.net}.{STORES}.250:2181"
             lines.append(f'[[regions]]\nname = "{name}"\nstores = "{stores}"\n')
             for cell in cells:
                 members = ", ".join(f'"{each}"' for each in CELLS[cell])
                 lines.append(f'[[regions.cells]]\nname = "{cell}"\nmembers = [{members}]\n')
         return "".join(lines)
 
-    def _proxy(self, k: int) -> FleetProcess:
+    def _create_proxy(self, k: int) -> FleetProcess:
         members = list(CELLS.values())[k % len(CELLS)]
         members = members[k % 3 :] + members[: k % 3]
-        at = [told(self._at(CONTROLS, 1 + NAMES.index(name), 7000)) for name in members]
-        listen = told(self._at(PROXIES, 1 + k, 8080))
+        addresses = [address_text(self._at(CONTROLS, 1 + NAMES.index(name), 7000)) for name in members]
+        listen = address_text(self._at(PROXIES, 1 + k, 8080))
         process = FleetProcess(
             [
                 "proxy",
@@ -290,10 +306,10 @@
                 "--hears-within",
                 "2",
                 "--standing",
-                self._server(0),
+                self._server_address(0),
                 "--seed",
                 str(k),
-                *(part for each in at for part in ("--supervisor", each)),
+                *(part for each in addresses for part in ("--supervisor", each)),
             ],
             self.folder / f"proxy{k}.log",
         )
@@ -301,16 +317,17 @@
             process.program = ("driftshed.day.rigged", "--take-out", "owners", "--")
         return process
 
-    def _server(self, number: int) -> str:
-        return told(self._at(0, 10 + number, 8000))
+    def _server_address(self, number: int) -> str:
+        return address_text(self._at(0, 10 + number, 8000))
 
     def owner(self, asked: str) -> int:
-        """The number of the supervisor that an address leads to, or from."""
+        """The number of the supervisor to which a relay's address belongs."""
         return int(asked.partition(":")[0].rpartition(".")[2]) - 1
 
-    # ---- its course -------------------------------------------------------------------------------------------------
+    # ---- running ----
 
     def open(self) -> None:
+        """Starts stores, supervisors and proxies, then the thread; the day begins now."""
         for store in self.stores.values():
             store.start()
         for store in self.stores.values():
@@ -319,40 +336,40 @@
             process.start()
         for process in (*self.supervisors.values(), *self.proxies):
             process.await_listening()
-        # The loop has not turned yet: what they have sent so far waits in the relays' sockets.
+        # The loop has not run yet: what the processes have sent so far waits in the relays' sockets.
         self.recorder.begin()
-        self.loop.soon(self._list)
+        self.loop.soon(self._publish_list)
         self.thread.start()
 
-    def _pass_on(self) -> None:
-        while not self.closing:
+    def _run_loop(self) -> None:
+        while not self.closed:
             self.loop.after(POLL_INTERVAL_S, lambda: None)
             self.loop.turn(time.monotonic() + POLL_INTERVAL_S)
-            while not self.calls.empty():
-                call, done = self.calls.get()
+            while not self.pending_calls.empty():
+                call, done = self.pending_calls.get()
                 call()
                 done.set()
 
     def do(self, call: Callable[[], object]) -> None:
-        """Does something on the thread of the relays."""
+        """Runs a call on the relays' thread and waits for it; RuntimeError after 10 s."""
         done = threading.Event()
-        self.calls.put((call, done))
+        self.pending_calls.put((call, done))
         if not done.wait(10):
-            raise RuntimeError("the relays stand still")
-
-    def _list(self) -> None:
-        """Tells every supervisor another list, so that each has orders for its proxies."""
-        self.loop.after(LIST_EVERY, self._list)
-        self.listed += 1
-        there = [k for k in range(SERVERS) if k != self.listed % SERVERS]
-        servers = [ListedServer(self._server(k), "east", "standard") for k in there]
-        body = encode(RosterNews(self.listed, True, servers))
+            raise RuntimeError("the thread of the relays did not run the call within 10 s")
+
+    def _publish_list(self) -> None:
+        """Publishes a changed list to every supervisor, so that each has orders for its proxies."""
+        self.loop.after(LIST_INTERVAL_S, self._publish_list)
+        self.list_version += 1
+        present = [k for k in range(SERVERS) if k != self.list_version % SERVERS]
+        servers = [ListedServer(self._server_address(k), "east", "standard") for k in present]
+        body = encode(RosterNews(self.list_version, True, servers))
         for client in self.clients.values():
             client.call("POST", "/v1/roster", body, lambda answer: None, 1.0)
 
     def close(self) -> None:
-        """Once and for all; the record is whole then."""
-        if self.closing:
+        """Closes the record, kills all processes and ends the thread; later calls do nothing."""
+        if self.closed:
             return
         if self.thread.is_alive():
             self.do(self._end_record)
@@ -361,11 +378,11 @@
             process.signal(signal.SIGKILL)
         for process in (*self.proxies, *self.supervisors.values(), *self.stores.values()):
             process.end()
-        self.closing = True
+        self.closed = True
         if self.thread.ident is not None:
             self.thread.join(10)
-        for between in self.ways.values():
-            between.close()
+        for relay in self.fault_relays.values():
+            relay.close()
         self.loop.close()
         self.lock.close()
 
@@ -374,10 +391,10 @@
         for relay in self.relays:
             relay.close()
 
-    # ---- what is seen of it -----------------------------------------------------------------------------------------
+    # ---- views ----
 
     def get(self, name: str, what: str) -> object:
-        """A view of one supervisor, asked straight; None where it does not answer."""
+        """A view of one supervisor, not requested through a relay; None where it does not answer within 1 s."""
         host, port = self.addresses[name]
         try:
             with urllib.request.urlopen(f"http://{host}:{port}/v1/{what}", timeout=1) as answer:
@@ -386,14 +403,16 @@
             return None
 
     def views(self, names: list[str] | None = None) -> dict[str, dict | None]:
-        """What each makes of policies."""
+        """The policy views of supervisors by name."""
         return {name: self.get(name, "policy") for name in names or NAMES}
 
     def runs(self, names: list[str] | None = None) -> dict[str, int | None]:
+        """The policy version that each supervisor follows; None where it does not answer."""
         return {name: None if view is None else view["runs"] for name, view in self.views(names).items()}
 
-    def agree(self, version: int | None = None) -> bool:
-        """Whether all go by one version (this one), which stands, and nothing is open or held still."""
+    def converged(self, version: int | None = None) -> bool:
+        """Whether all follow the same committed version (this one, if given), no proposal is open and no updates are
+        paused."""
         views = list(self.views().values())
         if any(view is None or view["holds_still"] or view["open"] or not view["standing"] for view in views):
             return False
@@ -401,18 +420,19 @@
         return len(versions) == 1 and version in (None, *versions)
 
     def until(self, condition: Callable[[], object], bound: float = 40.0) -> float:
-        """Waits until it holds; the seconds that it took. AssertionError after the bound."""
+        """Waits until the condition holds and returns the seconds that it took; AssertionError after `bound`
+        seconds."""
         began = time.monotonic()
         while not condition():
-            assert time.monotonic() < began + bound, "the condition did not come"
+            assert time.monotonic() < began + bound, "the condition was not met in time"
             time.sleep(0.05)
         return time.monotonic() - began
 
     def propose(self, name: str, number: int, patience: float = 3.0) -> tuple[int, str]:
-        """Asks a supervisor for a change and waits for its answer: the status, and what it said."""
+        """Requests a change from a supervisor; returns the status and the text of its answer."""
         host, port = self.addresses[name]
         request = urllib.request.Request(
-            f"http://{host}:{port}/v1/policy", asked(number, patience), {"content-type": "application/json"}
+            f"http://{host}:{port}/v1/policy", proposal_body(number, patience), {"content-type": "application/json"}
         )
         try:
             with urllib.request.urlopen(request, timeout=5) as answer:
@@ -420,33 +440,37 @@
         except urllib.error.HTTPError as error:
             return error.code, error.read().decode("utf-8", "replace")
 
-    # ---- troubles, on the thread of the relays ----------------------------------------------------------------------
+    # ---- faults, on the thread of the relays ----
 
-    def note(self, what: str, **more: object) -> None:
-        self.events.append({"at": round(self.loop.clock() - self.recorder.began, 2), "what": what, **more})
+    def record_event(self, what: str, **details: object) -> None:
+        """Adds an event at the current time."""
+        self.events.append({"at": round(self.loop.clock() - self.recorder.began, 2), "what": what, **details})
 
-    def play(self, faults: list[Fault], askings: list[Asking]) -> None:
-        """Has them happen at their times."""
+    def play(self, faults: list[Fault], change_requests: list[ChangeRequest]) -> None:
+        """Schedules faults and requests at their times from the start of the day."""
         for fault in faults:
             self.loop.at(self.recorder.began + fault.at, lambda fault=fault: self._begin(fault))
-        for asking in askings:
-            self.loop.at(self.recorder.began + asking.at, lambda asking=asking: self._ask(asking))
+        for change_request in change_requests:
+            self.loop.at(
+                self.recorder.began + change_request.at,
+                lambda change_request=change_request: self._request_changes(change_request),
+            )
 
     def _begin(self, fault: Fault) -> None:
-        more = {key: value for key, value in fault._asdict().items() if value and key not in ("at", "what", "who")}
+        details = {key: value for key, value in fault._asdict().items() if value and key not in ("at", "what", "who")}
         if not fault.sides:
-            more.pop("way")
-        self.note(fault.what, who=fault.who or "whole", **more)
+            details.pop("way")
+        self.record_event(fault.what, who=fault.who or "whole", **details)
         getattr(self, f"_{fault.what}")(fault)
 
-    def _after(self, fault: Fault, call: Callable[[], object]) -> None:
-        def over() -> None:
-            self.note(f"{fault.what} over", who=fault.who or "whole")
+    def _schedule_end(self, fault: Fault, call: Callable[[], object]) -> None:
+        def end() -> None:
+            self.record_event(f"{fault.what} over", who=fault.who or "whole")
             call()
 
-        self.loop.after(fault.lasts, over)
+        self.loop.after(fault.lasts, end)
 
-    def _anew(self, process: FleetProcess, fault: Fault) -> None:
+    def _restart_after(self, process: FleetProcess, fault: Fault) -> None:
         process.signal(signal.SIGKILL)
 
         def start() -> None:
@@ -454,25 +478,25 @@
             process.process.stdout.close()
             process.start()
 
-        self._after(fault, start)
+        self._schedule_end(fault, start)
 
     def _kill(self, fault: Fault) -> None:
-        self._anew(self.supervisors[fault.who], fault)
+        self._restart_after(self.supervisors[fault.who], fault)
 
     def _store(self, fault: Fault) -> None:
-        self._anew(self.stores[fault.who], fault)
+        self._restart_after(self.stores[fault.who], fault)
 
     def _pause(self, fault: Fault) -> None:
         process = self.supervisors[fault.who]
         process.signal(signal.SIGSTOP)
-        self._after(fault, lambda: process.signal(signal.SIGCONT))
+        self._schedule_end(fault, lambda: process.signal(signal.SIGCONT))
 
     def cut_region(self, region: str, step: int) -> None:
-        """One cut more or fewer of a region from the whole's store, without a word."""
+        """Adds `step` (+1 or -1) to the faults that partition a region from the store of the whole."""
         for name in NAMES:
             if REGION_OF[name] == region:
                 for way in (FORTH, BACK):
-                    self.ways[name, "whole"].cut(way, step)
+                    self.fault_relays[name, "whole"].cut(way, step)
 
     def _reset(self, fault: Fault) -> None:
         for name, control in self.controls.items():
@@ -481,76 +505,80 @@
 
     def _cut(self, fault: Fault) -> None:
         self.cut_region(fault.who, +1)
-        self._after(fault, lambda: self.cut_region(fault.who, -1))
+        self._schedule_end(fault, lambda: self.cut_region(fault.who, -1))
 
     def _apart(self, fault: Fault) -> None:
         def cut(step: int) -> None:
             for side in fault.sides:
-                said, told = (BACK, FORTH) if side == "proxies" else (FORTH, BACK)
-                for way, name in ((said, "said"), (told, "told")):
+                sent, received = (BACK, FORTH) if side == "proxies" else (FORTH, BACK)
+                for way, name in ((sent, "said"), (received, "told")):
                     if fault.way in ("both", name):
-                        self.ways[fault.who, side].cut(way, step)
+                        self.fault_relays[fault.who, side].cut(way, step)
 
         cut(+1)
-        self._after(fault, lambda: cut(-1))
+        self._schedule_end(fault, lambda: cut(-1))
 
     def _lag(self, fault: Fault) -> None:
         for side in fault.sides:
-            self._slower(fault.who, side, +fault.by)
-        self._after(fault, lambda: [self._slower(fault.who, side, -fault.by) for side in fault.sides])
+            self._add_delay(fault.who, side, +fault.by)
+        self._schedule_end(fault, lambda: [self._add_delay(fault.who, side, -fault.by) for side in fault.sides])
 
-    def _slower(self, name: str, side: str, by: float) -> None:
-        between = self.ways[name, side]
-        between.delay = max(0.0, round(between.delay + by, 6))
+    def _add_delay(self, name: str, side: str, by: float) -> None:
+        relay = self.fault_relays[name, side]
+        relay.delay = max(0.0, round(relay.delay + by, 6))
 
     def _lose(self, fault: Fault) -> None:
         for side in fault.sides:
-            self.ways[fault.who, side].drop_next[FORTH if fault.way == "said" else BACK] += 1
+            self.fault_relays[fault.who, side].drop_next[FORTH if fault.way == "said" else BACK] += 1
 
-    def _ask(self, asking: Asking) -> None:
-        for name in asking.who if asking.slowly else ():
-            self._slower(name, "whole", +MEET_SLOWLY)
-            self.loop.after(MEET_AFTER, lambda name=name: self._slower(name, "whole", -MEET_SLOWLY))
-        for name in asking.who:
+    def _request_changes(self, change_request: ChangeRequest) -> None:
+        for name in change_request.who if change_request.slowed else ():
+            self._add_delay(name, "whole", +CONFLICT_LAG_S)
+            self.loop.after(CONFLICT_DELAY_S, lambda name=name: self._add_delay(name, "whole", -CONFLICT_LAG_S))
+        for name in change_request.who:
             self.asked += 1
 
-            def answered(answer: Answer, name: str = name) -> None:
-                self.note(
+            def on_answer(answer: Answer, name: str = name) -> None:
+                self.record_event(
                     "policy proposed", who=name, status=answer.status, said=answer.body.decode("utf-8", "replace")[:100]
                 )
 
-            self.clients[name].call("POST", "/v1/policy", asked(self.asked, asking.patience), answered, 3.0, fresh=True)
+            self.clients[name].call(
+                "POST", "/v1/policy", proposal_body(self.asked, change_request.patience), on_answer, 3.0, fresh=True
+            )
 
 
-def asked(number: int, patience: float = 3.0) -> bytes:
-    """The body of a request for a change, as `driftshed policy propose` makes it."""
+def proposal_body(number: int, patience: float = 3.0) -> bytes:
+    """The body of a request for a change, as sent by `driftshed policy propose`."""
     return msgspec.json.encode({"what": "propose", "who": "the day", "text": document(number), "patience": patience})
 
 
-def play(seed: int, folder: Path, seconds: float, tamper: str | None = None, faults: bool = True) -> TiersStage:
-    """Plays a day; what passed is in the stage's `record`."""
+def play(seed: int, folder: Path, seconds: float, tamper: str | None = None, faults: bool = True) -> HierarchyHarness:
+    """Runs the day and returns its harness, closed; the traffic is in the file `record`."""
     folder.mkdir(parents=True, exist_ok=True)
-    stage = TiersStage(folder, tamper=tamper)
+    harness = HierarchyHarness(folder, tamper=tamper)
     try:
-        stage.open()
-        stage.do(lambda: stage.play(draw(seed, seconds) if faults else [], draw_changes(seed, seconds)))
-        time.sleep(max(0.0, stage.recorder.began + seconds - time.monotonic()))
+        harness.open()
+        harness.do(lambda: harness.play(draw(seed, seconds) if faults else [], draw_changes(seed, seconds)))
+        time.sleep(max(0.0, harness.recorder.began + seconds - time.monotonic()))
         if tamper is None:
             try:
-                took = stage.until(stage.agree, SETTLES_WITHIN)
-                stage.note("all go by one policy", took=round(took, 2))
+                took = harness.until(harness.converged, CONVERGENCE_TIMEOUT_S)
+                harness.record_event("all go by one policy", took=round(took, 2))
             except AssertionError:
-                stage.note("not all go by one policy")
-            time.sleep(0.3)  # so that each has told once more what it goes by
+                harness.record_event("not all go by one policy")
+            time.sleep(0.3)  # so that each has reported its version once more
     finally:
-        stage.close()
-    return stage
+        harness.close()
+    return harness
 
 
-def judge(stage: TiersStage) -> tuple[Verdict, TiersJudge]:
-    """Judges what a stage recorded."""
-    _, kinds = read_traffic(read_record(stage.record))
+def judge(harness: HierarchyHarness) -> tuple[Verdict, HierarchyJudge]:
+    """Judges the record of a harness that is closed."""
+    _, kinds = read_traffic(read_record(harness.record))
     verdict = Verdict()
-    found = TiersJudge(verdict, kinds, FLEETS, NAMES, stage.owner, stage.timeout, AHEAD, stage.tamper is None)
-    found.judge()
-    return verdict, found
+    hierarchy_judge = HierarchyJudge(
+        verdict, kinds, FLEETS, NAMES, harness.owner, harness.timeout, POLICY_AHEAD_S, harness.tamper is None
+    )
+    hierarchy_judge.judge()
+    return verdict, hierarchy_judge
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""The judge against records made by hand, scripts against their schema, a small real day, kept and tampered with."""
+"""The judge on constructed records, the schema of scripts, and a small day of processes with and without a tamper."""
 
 import json
 import subprocess
@@ -69,7 +69,8 @@
 
 
 class Record:
-    """Made by hand: a proxy joined from 0.5 s, on a table of two servers from 0.6 s, both listed from 0.1 s."""
+    """A constructed record: a proxy joined from 0.5 s, with a table of two servers from 0.6 s; both are listed from
+    0.1 s."""
 
     def __init__(self, folder: Path, lines: dict[str, float] | None = None) -> None:
         self.rows, self.opened, self.folder, self.roster_version = [], 0, folder, 0
@@ -117,7 +118,7 @@
     def write(self) -> Path:
         path = self.folder / "record"
         rows = [Opened(0, "began", "1000.0", "")] + [row for _, row in sorted(self.rows, key=lambda row: row[0])]
-        # Connections come before what passes on them.
+        # Rows of connections precede those of their traffic.
         rows.sort(key=lambda row: isinstance(row, Passed))
         with path.open("wb") as file:
             for row in rows:
@@ -127,7 +128,7 @@
 
 
 def broken(script, record: Record) -> dict[str, int]:
-    """The rules that the judge names, with how often, and that each break was among what was checked."""
+    """The violated rules with their counts; asserts that the verdict is kept exactly if there are none."""
     verdict = judge(script, record.write())
     assert verdict.kept == (not any(row["broken"] for row in verdict.rules.values()))
     return {rule: row["broken"] for rule, row in verdict.rules.items() if row["broken"]}
@@ -191,7 +192,7 @@
 @pytest.mark.parametrize(("work", "names"), [(0.10, {}), (0.26, {"failback": 1})])
 def test_judge_of_failback(script, tmp_path, work, names):
     record = Record(tmp_path)
-    record.roster(3.0, False, (A, "ready", 1003.0))  # bears 3 times (0.2 of 2 cores, and growing) for 2 s
+    record.roster(3.0, False, (A, "ready", 1003.0))  # may get 3 times (0.2 of 2 cores, and growing) for 2 s
     record.told(3.1, Line(0, A, 0.1))
     for k in range(20):
         record.work(A, 3.2 + k * 0.05, "look", k, work=work)
@@ -238,7 +239,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("seconds = 9", "seconds = -1", "seconds"),
         ('type = "deploy"', 'type = "flood"', "flood"),
@@ -250,11 +251,11 @@
         ("[fleet]", "[fleet", "small.toml"),
     ],
 )
-def test_a_bad_script_exits_with_2_and_says_why(tmp_path, old, new, said):
+def test_a_bad_script_exits_with_2_and_says_why(tmp_path, old, new, message):
     path = tmp_path / "small.toml"
     path.write_text(SMALL.replace(old, new))
     result = CliRunner().invoke(main, ["day", str(path)])
-    assert result.exit_code == 2 and said in " ".join(result.output.split())
+    assert result.exit_code == 2 and message in " ".join(result.output.split())
 
 
 def test_no_such_day_exits_with_2():
--- a/tests/test_day_fleet.py
+++ b/tests/test_day_fleet.py
@@ -1,4 +1,5 @@
-"""Several supervisors judged together: records made by hand, a drawn day of real processes, kept and tampered with."""
+"""The judge on several supervisors: constructed records, and days of processes with faults, with and without a
+tamper."""
 
 import json
 import subprocess
@@ -64,8 +65,8 @@
     return load_script(str(path))
 
 
-class Two(Record):
-    """As `Record`, of two supervisors; proxy 0 is on the first."""
+class RecordOfTwo(Record):
+    """A constructed record of two supervisors; proxy 0 is joined to the first."""
 
     def exchange(self, connection, at, method, path, body=b"", answered_at=None, status=200, answer=b"{}", extra=""):
         if path.endswith("/join"):
@@ -73,14 +74,14 @@
         super().exchange(connection, at, method, path, body, answered_at, status, answer, extra)
 
     def to_second(self, at: float, term: int = 2) -> int:
-        """The proxy joins the second supervisor, and polls there."""
+        """The proxy joins the second supervisor and polls it. Returns the connection."""
         there = self.open(CONTROL, PROXY, f"127.{NET}.0.21:7000")
         path = f"/v1/proxies/0/join?term={term}"
         Record.exchange(self, there, at, "POST", path, b"{}", at, answer=joined("t"))
         Record.exchange(self, there, at + 0.1, "GET", "/v1/proxies/0/changes?stream=t&after=0", b"")
         return there
 
-    def second_hears(self, at: float, *rows) -> None:
+    def list_to_second(self, at: float, *rows) -> None:
         connection = self.open(ROSTER, f"127.{NET}.0.1", f"127.{NET}.0.41:7001")
         listed = [ListedServer(name, "east", "standard", state, started) for name, state, started in rows]
         body = encode(RosterNews(1, False, listed))
@@ -93,10 +94,10 @@
 
 @pytest.mark.parametrize(("second", "names"), [(False, {}), (True, {"drains": 1})])
 def test_a_proxy_is_held_to_what_its_own_supervisor_was_told(script, tmp_path, second, names):
-    record = Two(tmp_path)
+    record = RecordOfTwo(tmp_path)
     record.to_second(2.0)
     if second:
-        record.second_hears(3.0, (A, "draining", None))
+        record.list_to_second(3.0, (A, "draining", None))
     else:
         record.roster(3.0, False, (A, "draining", None))
     record.work(A, 4.6, "look", 1)
@@ -105,9 +106,9 @@
 
 
 def test_a_cold_server_is_held_to_what_all_proxies_send_it_whoever_tells_them(script, tmp_path):
-    record = Two(tmp_path)
+    record = RecordOfTwo(tmp_path)
     record.roster(3.0, False, (A, "ready", 1003.0))
-    record.second_hears(3.0, (A, "ready", 1003.0))
+    record.list_to_second(3.0, (A, "ready", 1003.0))
     record.told(3.1, Line(0, A, 0.1))
     other, there = f"127.{NET}.101.1", f"127.{NET}.0.21:7000"
     connection = record.open(CONTROL, other, there)
@@ -115,7 +116,7 @@
     Record.exchange(record, connection, 0.5, "POST", path, b"{}", 0.5, answer=joined("t"))
     body = encode(Changes("run", 0, 1, True, [Line(0, A, 0.1)], 0.0, 0))
     Record.exchange(record, connection, 3.1, "GET", "/v1/proxies/1/changes?stream=t", b"", 3.1, answer=body)
-    for k in range(20):  # half each: neither alone would be too much
+    for k in range(20):  # each proxy sends half: one alone does not exceed the bound
         record.work(A, 3.2 + k * 0.05, "look", k, work=0.13)
     assert broken(script, record) == {}
     for k in range(20):
@@ -124,14 +125,14 @@
 
 
 def test_a_proxy_that_heeds_the_one_it_has_left_is_seen(script, tmp_path):
-    record = Two(tmp_path)
+    record = RecordOfTwo(tmp_path)
     record.to_second(2.0)
     assert broken(script, record) == {}
     poll = "/v1/proxies/0/changes?stream=s&after=1"
     Record.exchange(record, record.poll_on, 2.5, "GET", poll, b"")
     assert broken(script, record) == {"owners": 1}
     record.to_second(3.0, term=2)
-    assert broken(script, record)["owners"] > 1  # a term that does not rise
+    assert broken(script, record)["owners"] > 1  # a term that does not increase
 
 
 def test_troubles_are_drawn_alike_by_one_seed_and_made_few():
@@ -143,7 +144,7 @@
     less, _ = shrunk(whole, whole, lambda day: day, lambda day: all(each in day.troubles for each in needed))
     assert less.troubles == needed
     alive = [0.0] * 3
-    for seed in range(200):  # one that is dead or still has no other trouble
+    for seed in range(200):  # a supervisor that is dead or stopped has no other trouble
         for trouble in draw(script, seed):
             assert trouble.at >= alive[trouble.who]
             alive[trouble.who] = trouble.at + getattr(trouble, "lasts", getattr(trouble, "down", 0.0))
@@ -151,20 +152,20 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, message",
     [
         ("supervisors = 2", "supervisors = 1", "needs more than 1 supervisors"),
         ("store = true", "store = false", "need fleet.store = true"),
     ],
 )
-def test_a_bad_script_of_several_says_why(tmp_path, old, new, said):
+def test_a_bad_script_of_several_says_why(tmp_path, old, new, message):
     path = tmp_path / "bad.toml"
     path.write_text(
         SMALL.replace("servers = 6", FLEET.replace("[fleet]\n", "").replace("roster_lag = 0.3", "").replace(old, new))
         + '\n[[troubles]]\ntype = "lose"\nat = 2\nwho = 1\n'
     )
     result = CliRunner().invoke(main, ["day", str(path)])
-    assert result.exit_code == 2 and said in result.output
+    assert result.exit_code == 2 and message in result.output
     assert CliRunner().invoke(day, ["quiet", "--tamper", "leases"]).exit_code == 2
 
 
@@ -196,7 +197,7 @@
 """
 
 
-def played(path, tamper: str | None) -> dict:
+def run_day(path, tamper: str | None) -> dict:
     command = [sys.executable, "-m", "driftshed.cli", "day", str(path), "--json"]
     more = ["--tamper", tamper] if tamper else []
     done = subprocess.run([*command, *more], capture_output=True, text=True, timeout=120)
@@ -209,10 +210,10 @@
     text = (resources.files("driftshed.day") / "scripts" / "zone.toml").read_text()
     path.write_text(text.replace("seconds = 44", "seconds = 34").partition("[drawn]")[0] + ZONE_FAULTS)
     with ThreadPoolExecutor(2) as pool:
-        kept, tampered = pool.map(lambda tamper: played(path, tamper), (None, "zones"))
-    assert not kept["breaks"], kept["breaks"]
-    assert kept["rules"]["zones"]["checked"] >= 3 and set(kept["left"]) == {"east"}
-    for shares in kept["left"]["east"].values():  # each supervisor, the one that was killed as well
+        untampered, tampered = pool.map(lambda tamper: run_day(path, tamper), (None, "zones"))
+    assert not untampered["breaks"], untampered["breaks"]
+    assert untampered["rules"]["zones"]["checked"] >= 3 and set(untampered["left"]) == {"east"}
+    for shares in untampered["left"]["east"].values():  # every supervisor, including the killed one
         assert max(share for _, share in shares) > 0.4
     assert tampered["rules"]["zones"]["broken"], tampered
 
@@ -223,13 +224,13 @@
     path.write_text(text.replace("seconds = 40", "seconds = 14").partition("[drawn]")[0] + FAULTS)
 
     with ThreadPoolExecutor(2) as pool:
-        kept, *tampered = pool.map(lambda tamper: played(path, tamper), (None, *RULES))
-    assert all(row["checked"] and not row["broken"] for row in kept["rules"].values()), kept
-    for rule, said in zip(RULES, tampered, strict=True):
-        # Without a guard chance decides whether a day of 14 s shows it: it is to show on one of three.
-        days = [said]
+        untampered, *tampered = pool.map(lambda tamper: run_day(path, tamper), (None, *RULES))
+    assert all(row["checked"] and not row["broken"] for row in untampered["rules"].values()), untampered
+    for rule, result in zip(RULES, tampered, strict=True):
+        # Whether a violation occurs in a day of 14 s is random: it must occur in one of three days.
+        days = [result]
         while not days[-1]["rules"][rule]["broken"] and len(days) < 3:
-            days.append(played(path, rule))
+            days.append(run_day(path, rule))
         assert days[-1]["rules"][rule]["broken"], (rule, days)
 
 
@@ -256,9 +257,9 @@
     rest = rest[rest.index("[[troubles]]") : rest.index('[[troubles]]\ntype = "change"\nat = 30')]
     path.write_text(head + rest + POLICY_FAULTS)
     with ThreadPoolExecutor(2) as pool:
-        kept, tampered = pool.map(lambda tamper: played(path, tamper), (None, "policies"))
-    assert not kept["breaks"], kept["breaks"]
-    assert kept["rules"]["policies"]["checked"] > 50
-    said = [event["said"] for event in kept["events"] if event["what"] == "policy proposed"]
-    assert len(said) == 4 and sum('"version"' in each for each in said) >= 2, said
+        untampered, tampered = pool.map(lambda tamper: run_day(path, tamper), (None, "policies"))
+    assert not untampered["breaks"], untampered["breaks"]
+    assert untampered["rules"]["policies"]["checked"] > 50
+    result = [event["said"] for event in untampered["events"] if event["what"] == "policy proposed"]
+    assert len(result) == 4 and sum('"version"' in each for each in result) >= 2, result
     assert tampered["rules"]["policies"]["broken"], tampered
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes of a store, supervisors and proxies, with faults on every way between them."""
+"""A fleet of processes (store, supervisors, proxies) with network faults on all connections between them."""
 
 import json
 import signal
@@ -14,126 +14,126 @@
 
 
 @pytest.fixture
-def stage(tmp_path):
-    stage = FleetStage(tmp_path, supervisors=3, proxies=6, timeout=TIMEOUT)
+def harness(tmp_path):
+    harness = FleetStage(tmp_path, supervisors=3, proxies=6, timeout=TIMEOUT)
     try:
-        stage.open()
-        everybody_up(stage)
-        yield stage
+        harness.open()
+        wait_until_all_joined(harness)
+        yield harness
     finally:
-        stage.close()
+        harness.close()
 
 
-def everybody_up(stage) -> None:
-    living = dict.fromkeys(stage.names, "living")
-    stage.until(lambda: all(stage.states(name) == living for name in stage.names))
-    stage.until(lambda: served(stage) == set(range(len(stage.proxies))))
+def wait_until_all_joined(harness) -> None:
+    living = dict.fromkeys(harness.names, "living")
+    harness.until(lambda: all(harness.states(name) == living for name in harness.names))
+    harness.until(lambda: joined_proxies(harness) == set(range(len(harness.proxies))))
 
 
-def served(stage, names=None) -> set[int]:
-    return set().union(*(stage.joined(name) for name in names or stage.names))
+def joined_proxies(harness, names=None) -> set[int]:
+    return set().union(*(harness.joined(name) for name in names or harness.names))
 
 
-def test_a_killed_supervisor_is_known_and_its_proxies_go_to_the_living(stage):
-    lost = stage.joined("s0")
+def test_a_killed_supervisor_is_known_and_its_proxies_go_to_the_living(harness):
+    lost = harness.joined("s0")
     assert lost
-    stage.supervisors["s0"].kill()
-    assert stage.until(lambda: served(stage, ("s1", "s2")) == set(range(6)), 20) < 8
-    stage.until(lambda: stage.states("s1")["s0"] == "silent" and stage.states("s2")["s0"] == "silent", 20)
-    moved = {name: stage.joined(name) & lost for name in ("s1", "s2")}
-    stage.supervisors["s0"].start()  # it comes back and pulls nobody
-    stage.supervisors["s0"].await_listening()
-    everybody_up(stage)
-    assert stage.get("s0", "fleet")["incarnation"] == 2
-    assert all(stage.joined(name) >= gone for name, gone in moved.items()) and not stage.joined("s0")
-
-
-def test_one_that_is_stopped_longer_than_its_lease_is_left_and_joins_again(stage):
-    stage.supervisors["s1"].signal(signal.SIGSTOP)
-    stage.until(lambda: served(stage, ("s0", "s2")) == set(range(6)), 20)
-    stage.until(lambda: stage.states("s0")["s1"] == "silent", 20)
-    stage.supervisors["s1"].signal(signal.SIGCONT)
-    everybody_up(stage)
-    assert stage.get("s1", "fleet")["lease"] is not None
+    harness.supervisors["s0"].kill()
+    assert harness.until(lambda: joined_proxies(harness, ("s1", "s2")) == set(range(6)), 20) < 8
+    harness.until(lambda: harness.states("s1")["s0"] == "silent" and harness.states("s2")["s0"] == "silent", 20)
+    moved = {name: harness.joined(name) & lost for name in ("s1", "s2")}
+    harness.supervisors["s0"].start()  # it comes back and takes over no proxy
+    harness.supervisors["s0"].await_listening()
+    wait_until_all_joined(harness)
+    assert harness.get("s0", "fleet")["incarnation"] == 2
+    assert all(harness.joined(name) >= gone for name, gone in moved.items()) and not harness.joined("s0")
+
+
+def test_one_that_is_stopped_longer_than_its_lease_is_left_and_joins_again(harness):
+    harness.supervisors["s1"].signal(signal.SIGSTOP)
+    harness.until(lambda: joined_proxies(harness, ("s0", "s2")) == set(range(6)), 20)
+    harness.until(lambda: harness.states("s0")["s1"] == "silent", 20)
+    harness.supervisors["s1"].signal(signal.SIGCONT)
+    wait_until_all_joined(harness)
+    assert harness.get("s1", "fleet")["lease"] is not None
 
 
 @pytest.mark.parametrize("forth, back", [(True, True), (True, False), (False, True)])
-def test_one_cut_off_from_the_store_loses_its_lease_and_keeps_its_proxies(stage, forth, back):
-    own = stage.joined("s2")
-    stage.do(lambda: stage.to_store["s2"].hold(forth, back))
-    stage.until(lambda: stage.get("s2", "fleet")["lease"] is None, 20)
-    stage.until(lambda: stage.states("s0")["s2"] == "silent", 20)
-    assert stage.joined("s2") == own
-    stage.do(stage.to_store["s2"].release)
-    everybody_up(stage)
-    stage.until(lambda: stage.get("s2", "fleet")["lease"] is not None, 20)
+def test_one_cut_off_from_the_store_loses_its_lease_and_keeps_its_proxies(harness, forth, back):
+    own_proxies = harness.joined("s2")
+    harness.do(lambda: harness.to_store["s2"].hold(forth, back))
+    harness.until(lambda: harness.get("s2", "fleet")["lease"] is None, 20)
+    harness.until(lambda: harness.states("s0")["s2"] == "silent", 20)
+    assert harness.joined("s2") == own_proxies
+    harness.do(harness.to_store["s2"].release)
+    wait_until_all_joined(harness)
+    harness.until(lambda: harness.get("s2", "fleet")["lease"] is not None, 20)
 
 
-def test_one_cut_off_from_its_proxies_is_left_by_them_and_still_lives(stage):
-    stage.do(stage.to_proxies["s0"].hold)
-    stage.until(lambda: served(stage, ("s1", "s2")) == set(range(6)), 20)
-    assert stage.states("s1")["s0"] == "living"
-    stage.do(stage.to_proxies["s0"].release)
+def test_one_cut_off_from_its_proxies_is_left_by_them_and_still_lives(harness):
+    harness.do(harness.to_proxies["s0"].hold)
+    harness.until(lambda: joined_proxies(harness, ("s1", "s2")) == set(range(6)), 20)
+    assert harness.states("s1")["s0"] == "living"
+    harness.do(harness.to_proxies["s0"].release)
 
 
 @pytest.mark.parametrize("way", [FORTH, BACK])
-def test_requests_and_answers_that_are_lost_on_the_way_to_the_store_change_nothing(stage, way):
-    for name in stage.names:
-        stage.to_store[name].drop_next[way] = 3
-    stage.until(lambda: all(len(each.dropped) == 3 for each in stage.to_store.values()), 20)
-    everybody_up(stage)
-    assert all(stage.get(name, "fleet")["incarnation"] == 1 for name in stage.names)
-
-
-def test_a_store_that_is_killed_and_comes_back_changes_nobody(stage):
-    before = {name: stage.joined(name) for name in stage.names}
-    stage.store.kill()
-    stage.until(lambda: all(stage.get(name, "fleet")["lease"] is None for name in stage.names), 20)
-    assert {name: stage.joined(name) for name in stage.names} == before
-    stage.store.start()
-    stage.store.await_listening()
-    everybody_up(stage)
-    stage.until(lambda: all(stage.get(name, "fleet")["lease"] is not None for name in stage.names), 20)
-    assert {name: stage.joined(name) for name in stage.names} == before
-
-
-def test_a_second_process_of_a_name_fences_the_first_which_says_so(stage):
-    first = stage.supervisors["s0"]
+def test_requests_and_answers_that_are_lost_on_the_way_to_the_store_change_nothing(harness, way):
+    for name in harness.names:
+        harness.to_store[name].drop_next[way] = 3
+    harness.until(lambda: all(len(each.dropped) == 3 for each in harness.to_store.values()), 20)
+    wait_until_all_joined(harness)
+    assert all(harness.get(name, "fleet")["incarnation"] == 1 for name in harness.names)
+
+
+def test_a_store_that_is_killed_and_comes_back_changes_nobody(harness):
+    before = {name: harness.joined(name) for name in harness.names}
+    harness.store.kill()
+    harness.until(lambda: all(harness.get(name, "fleet")["lease"] is None for name in harness.names), 20)
+    assert {name: harness.joined(name) for name in harness.names} == before
+    harness.store.start()
+    harness.store.await_listening()
+    wait_until_all_joined(harness)
+    harness.until(lambda: all(harness.get(name, "fleet")["lease"] is not None for name in harness.names), 20)
+    assert {name: harness.joined(name) for name in harness.names} == before
+
+
+def test_a_second_process_of_a_name_fences_the_first_which_says_so(harness):
+    first = harness.supervisors["s0"]
     command = list(first.command)
     command[command.index("--listen") + 1] = command[command.index("--listen") + 1].replace(":7000", ":7001")
     second = type(first)(command, first.logs.with_name("second.log"))
     second.start()
     try:
         second.await_listening()
-        stage.until(lambda: any(line["event"] == "fenced" for line in first.events()), 20)
-        stage.until(lambda: stage.get("s0", "fleet")["standing"].startswith("fenced"), 20)
-        assert stage.get("s0", "fleet")["lease"] is None
-        stage.until(lambda: stage.states("s1")["s0"] == "living", 20)
+        harness.until(lambda: any(line["event"] == "fenced" for line in first.events()), 20)
+        harness.until(lambda: harness.get("s0", "fleet")["standing"].startswith("fenced"), 20)
+        assert harness.get("s0", "fleet")["lease"] is None
+        harness.until(lambda: harness.states("s1")["s0"] == "living", 20)
     finally:
         second.end()
 
 
-def test_a_stop_in_peace_hands_its_proxies_over(stage):
-    own = stage.joined("s1")
-    assert own
-    stage.supervisors["s1"].signal(signal.SIGTERM)
-    assert stage.until(lambda: served(stage, ("s0", "s2")) == set(range(6)), 20) < 3
-    # It goes once the last proxy has left, which is a moment after that one has joined another.
-    assert stage.supervisors["s1"].process.wait(20) == 0
-    stage.until(lambda: stage.states("s0")["s1"] == "silent", 20)
-    assert stage.states("s0")["s1"] == "silent"
+def test_a_stop_in_peace_hands_its_proxies_over(harness):
+    own_proxies = harness.joined("s1")
+    assert own_proxies
+    harness.supervisors["s1"].signal(signal.SIGTERM)
+    assert harness.until(lambda: joined_proxies(harness, ("s0", "s2")) == set(range(6)), 20) < 3
+    # It exits once the last proxy has left, shortly after that one has joined another.
+    assert harness.supervisors["s1"].process.wait(20) == 0
+    harness.until(lambda: harness.states("s0")["s1"] == "silent", 20)
+    assert harness.states("s0")["s1"] == "silent"
 
 
 def test_zones_by_hand_from_any_supervisor(tmp_path):
     def zone(*words, at="s0"):
-        host, port = stage.addresses[at]
+        host, port = harness.addresses[at]
         command = [sys.executable, "-m", "driftshed.cli", "zone", *words, "--supervisor", f"{host}:{port}"]
         return subprocess.run(command, capture_output=True, text=True, timeout=30)
 
-    stage = FleetStage(tmp_path, 2, 2, TIMEOUT, more=("--leave-zones", "--zone-limits", "ceiling=1,pace=0.3"))
+    harness = FleetStage(tmp_path, 2, 2, TIMEOUT, more=("--leave-zones", "--zone-limits", "ceiling=1,pace=0.3"))
     try:
-        stage.open()
-        everybody_up(stage)
+        harness.open()
+        wait_until_all_joined(harness)
         rows = json.loads(zone("status", "--json").stdout)
         assert [(row["zone"], row["share"], row["stage"]) for row in rows][0] == ("east", 0.0, None)
         refused = zone("leave", "nowhere")
@@ -142,37 +142,37 @@
         dry = zone("leave", "east", "--dry-run")
         assert dry.returncode == 0 and dry.stdout.startswith("would be: east left, 100%")
         assert zone("leave", "east", "--for", "600").returncode == 0
-        for name in stage.names:  # agreed, and seen by each; the one server stays, since nobody else would serve
-            stage.until(lambda name=name: json.loads(zone("status", "--json", at=name).stdout)[0]["share"] == 1.0)
+        for name in harness.names:  # committed, and read by each; the only server stays in use
+            harness.until(lambda name=name: json.loads(zone("status", "--json", at=name).stdout)[0]["share"] == 1.0)
         row = json.loads(zone("status", "--json", at="s1").stdout)[0]["stage"]
         assert row["phase"] == "left" and row["by"] and "100%" in zone("status").stdout
-        assert stage.joined("s0") | stage.joined("s1") == {0, 1}
+        assert harness.joined("s0") | harness.joined("s1") == {0, 1}
         assert zone("return", "east", at="s1").returncode == 0
-        stage.until(lambda: json.loads(zone("status", "--json").stdout)[0]["share"] < 1.0)
-        stage.supervisors["s1"].kill()
+        harness.until(lambda: json.loads(zone("status", "--json").stdout)[0]["share"] < 1.0)
+        harness.supervisors["s1"].kill()
         assert zone("status", at="s1").returncode == 3
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_the_command_shows_the_fleet_from_a_supervisor_and_from_the_store(stage):
+def test_the_command_shows_the_fleet_from_a_supervisor_and_from_the_store(harness):
     def fleet(*flags):
         return subprocess.run(
             [sys.executable, "-m", "driftshed.cli", "fleet", *flags], capture_output=True, text=True, timeout=30
         )
 
-    host, port = stage.addresses["s0"]
-    from_one, store = f"{host}:{port}", ":".join(map(str, stage.store_address))
+    host, port = harness.addresses["s0"]
+    from_one, store = f"{host}:{port}", ":".join(map(str, harness.store_address))
     shown = fleet("--supervisor", from_one)
     assert shown.returncode == 0 and "s2" in shown.stdout and "living" in shown.stdout
     views = [
         json.loads(fleet(*flags, "--json").stdout) for flags in (("--supervisor", from_one), ("--fleet-connect", store))
     ]
     assert [[(row["name"], row["state"]) for row in view["members"]] for view in views] == [
-        [(name, "living") for name in stage.names]
+        [(name, "living") for name in harness.names]
     ] * 2
-    stage.supervisors["s2"].kill()
-    stage.until(lambda: stage.states("s0")["s2"] == "silent", 20)
+    harness.supervisors["s2"].kill()
+    harness.until(lambda: harness.states("s0")["s2"] == "silent", 20)
     assert fleet("--supervisor", from_one).returncode == 1
     assert fleet("--fleet-connect", store, "--expected", "s0,s1,s2").returncode == 1
     nobody = fleet("--supervisor", f"{host}:7999", "--within", "0.5")
@@ -196,7 +196,7 @@
         alone.terminate()
         alone.wait(10)
         alone.stdout.close()
-    for flags, said in (
+    for flags, message in (
         (("--name", "a"), "--expected"),
         (("--name", "a/b", "--expected", "a/b"), "--name"),
         (("--name", "a", "--expected", "a,b,b"), "--expected"),
@@ -204,4 +204,4 @@
         bad = subprocess.run(
             [*run, "--fleet-connect", "127.0.0.1:1", *flags], capture_output=True, text=True, timeout=30
         )
-        assert bad.returncode == 2 and said in bad.stderr
+        assert bad.returncode == 2 and message in bad.stderr
