--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -758,6 +758,6 @@
     tries: int | None = None,
 ) -> DayHarness:
     """Runs a day and returns its harness; the traffic is in the file `record`, and in traces if a folder is given."""
-    stage = DayHarness(script, seed, folder, tamper, trace, tries)
-    stage.play()
-    return stage
+    harness = DayHarness(script, seed, folder, tamper, trace, tries)
+    harness.play()
+    return harness
--- a/driftshed/day/zones.py
+++ b/driftshed/day/zones.py
@@ -67,9 +67,9 @@
             verdict.count_check(RULE)
             listed_servers = {
                 name
-                for name, stretches in judge.listed[owner].items()
+                for name, intervals in judge.listed[owner].items()
                 if cast.zone_of_server(cast.number_of_server(name)) == number
-                and any(each.value[0] == "ready" and each.since < till and at < each.till for each in stretches)
+                and any(each.value[0] == "ready" and each.since < till and at < each.till for each in intervals)
             }
             used_servers = set()
             for name in listed_servers:
