--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -1,7 +1,8 @@
-"""The tables of docs/CAPACITY.md, from benchmarks/capacity.json alone. Pure but for `write`.
+"""Generates the tables of docs/CAPACITY.md from benchmarks/capacity.json and benchmarks/hollow.json. Only
+`load_results` and `write_page` access files; the rest are pure functions.
 
-A budget is told with the first size at which the fitted figure is above it; the list of these, sorted by the share of
-the design's size that is reached, says what is missing first."""
+Each budget is listed with the first size at which the fitted value exceeds it. The list is sorted by that size as a
+share of the design size, so the budget that is exceeded first comes first."""
 
 from __future__ import annotations
 
@@ -10,53 +11,64 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from benchmarks.capacity import CELL, CELLS_A_REGION, DESIGN, FILE, OUTAGES, PARTS, SINGLES, void
-from benchmarks.capacity import load as load_file
+from benchmarks.capacity import (
+    CELL_MEMBERS,
+    CELLS_PER_REGION,
+    DESIGN,
+    OUTAGES_S,
+    PARTS,
+    RESULTS_FILE,
+    SINGLE_MEASUREMENTS,
+    void_probability,
+)
+from benchmarks.capacity import load_results as load_file
 from benchmarks.capacity_fit import first_above, value_at
 from driftshed.coordination.lease import DRIFT
 from driftshed.policy.change import waited_out
 
-PAGE = FILE.parent.parent / "docs" / "CAPACITY.md"
-HOLLOW = FILE.with_name("hollow.json")
-MARK = re.compile(r"(<!-- capacity: (?P<name>[a-z ]+) -->\n).*?(<!-- end -->)", re.S)
-TIERS = "`driftshed/coordination/tiers.py`"
-PARTS_OF_TABLE = "parts of a table (`driftshed/brain.py`)"
-A_MINUTE, A_DAY = 60.0, 86400.0
-AHEAD, PEAK = 0.5, 5  # seconds; the fullest hour's changes to the mean: assumed
-LEASE_PAUSE = 0.2  # seconds: the longest pause between question and act that a lease of 2 s allows
-VOID_MOST = 0.05  # of changes: assumed
-DESPITES, SESSION = (60.0, 5.0, 3.0), 2.0  # seconds
-OUTAGE = 30.0  # seconds, of OUTAGES
+PAGE = RESULTS_FILE.parent.parent / "docs" / "CAPACITY.md"
+HOLLOW_FILE = RESULTS_FILE.with_name("hollow.json")
+BLOCK_PATTERN = re.compile(r"(<!-- capacity: (?P<name>[a-z ]+) -->\n).*?(<!-- end -->)", re.S)
+TIERS_FILE = "`driftshed/coordination/tiers.py`"
+TABLE_PARTS_FILE = "parts of a table (`driftshed/brain.py`)"
+MINUTE_S, DAY_S = 60.0, 86400.0
+AHEAD_S, PEAK_HOUR_RATIO = 0.5, 5  # the second: changes in the busiest hour / the mean
+MAX_LEASE_PAUSE_S = 0.2  # the longest pause between check and action that a lease of 2 s allows
+MAX_VOID_CHANCE = 0.05  # share of changes that may be aborted
+DESPITE_AFTER_S, SESSION_TIMEOUT_S = (60.0, 5.0, 3.0), 2.0
+OUTAGE_S = 30.0  # one of OUTAGES_S
 
 
 class Limit(NamedTuple):
-    """A budget. `key`: the row whose figure, times `factor`, must stay at `budget` or under; or a refusal's name."""
+    """A budget. `key`: the row whose value, times `factor`, must not exceed `budget`; or `refusal:` and a key of the
+    refusals; or `void`. `by`: a key of DESIGN. `provided_by`: the file that keeps the budget at the design size, or
+    "missing"."""
 
     what: str
     key: str
     by: str
     budget: float
     unit: str
-    carries: str
+    provided_by: str
     factor: float = 1.0
 
 
-class Reached(NamedTuple):
-    """A budget with the first size above it, None where the design's size is within."""
+class BudgetCheck(NamedTuple):
+    """A budget with the first size that exceeds it; None where the design size is within the budget."""
 
     limit: Limit
     first: int | None
     at_design: float | None
 
     @property
-    def part(self) -> float:
-        """Of the size that is designed for."""
+    def design_share(self) -> float:
+        """`first` as a share of the design size; infinity where the budget is kept."""
         return float("inf") if self.first is None else self.first / DESIGN[self.limit.by]
 
 
-NETWORK, CORES, MEMORY = DESIGN["bytes_a_second"], DESIGN["cores"], DESIGN["memory"]
+MAX_BYTES_PER_S, MAX_CORES, MAX_MEMORY_BYTES = DESIGN["bytes_a_second"], DESIGN["cores"], DESIGN["memory"]
 LIMITS = (
-    Limit("a record names all supervisors", "refusal:names", "supervisors", 64, "names", TIERS),
+    Limit("a record names all supervisors", "refusal:names", "supervisors", 64, "names", TIERS_FILE),
     Limit("a policy names all routes, as operations", "refusal:operations", "routes", 16, "operations", "missing"),
     Limit(
         "a policy's text fits into its record once settled", "document.document_bytes", "routes", 0, "bytes", "missing"
@@ -73,7 +85,7 @@
         "a change that needs every word is void in at most 1 of 20",
         "void",
         "supervisors",
-        VOID_MOST,
+        MAX_VOID_CHANCE,
         "chance",
         "`driftshed/policy/change.py`, by a short `despite_after` alone: see below",
     ),
@@ -81,31 +93,37 @@
         "each says something of itself once a second",
         "chatter.chatter_bytes_a_second",
         "supervisors",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
-        TIERS,
+        TIERS_FILE,
     ),
-    Limit("reading these words", "roll.cores_of_words", "supervisors", CORES, "of a core", TIERS),
+    Limit("reading these words", "roll.cores_of_words", "supervisors", MAX_CORES, "of a core", TIERS_FILE),
     Limit(
-        "all join at once, over a minute", "joining.join_bytes", "supervisors", NETWORK, "bytes/s", TIERS, 1 / A_MINUTE
+        "all join at once, over a minute",
+        "joining.join_bytes",
+        "supervisors",
+        MAX_BYTES_PER_S,
+        "bytes/s",
+        TIERS_FILE,
+        1 / MINUTE_S,
     ),
     Limit(
         "restarts of an ordinary day",
         "one.one_restart_bytes",
         "supervisors",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
-        TIERS,
-        DESIGN["restarts_a_day"] / A_DAY,
+        TIERS_FILE,
+        DESIGN["restarts_a_day"] / DAY_S,
     ),
     Limit(
         "changes of an ordinary day, each by every word",
         "change.change_bytes",
         "supervisors",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
-        TIERS,
-        DESIGN["changes_a_day"] / A_DAY,
+        TIERS_FILE,
+        DESIGN["changes_a_day"] / DAY_S,
     ),
     Limit(
         "a change until all have read it, worst",
@@ -113,7 +131,7 @@
         "supervisors",
         DESIGN["everywhere_within"],
         "s",
-        TIERS,
+        TIERS_FILE,
     ),
     Limit(
         "in tiers, a change until all have read it, worst",
@@ -121,24 +139,24 @@
         "regions",
         DESIGN["everywhere_within"],
         "s",
-        TIERS,
+        TIERS_FILE,
     ),
     Limit(
         "in tiers, at rest, who speaks for a region",
         "tier_members.tier_rest_region",
         "members",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
-        TIERS,
+        TIERS_FILE,
     ),
     Limit(
         "in tiers, changes of the fullest hour, who speaks for a region",
         "tier_members.tier_change_region",
         "changes_a_day",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
         "missing",
-        PEAK / A_DAY,
+        PEAK_HOUR_RATIO / DAY_S,
     ),
     Limit(
         "in tiers, one topic's changes one after the other in the fullest hour",
@@ -147,33 +165,33 @@
         1.0,
         "of the hour",
         "missing",
-        PEAK / A_DAY,
+        PEAK_HOUR_RATIO / DAY_S,
     ),
-    Limit("the roll of a flat fleet", "roll_memory.roll_memory", "supervisors", MEMORY, "bytes", TIERS),
+    Limit("the roll of a flat fleet", "roll_memory.roll_memory", "supervisors", MAX_MEMORY_BYTES, "bytes", TIERS_FILE),
     Limit(
         "first list of all servers, over a minute",
         "listing.list_bytes",
         "servers",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
         "missing",
-        1 / A_MINUTE,
+        1 / MINUTE_S,
     ),
     Limit(
         "replaced servers of an ordinary day",
         "listing.replaced_bytes",
         "servers",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
         "missing",
-        DESIGN["restarts_a_day"] / A_DAY,
+        DESIGN["restarts_a_day"] / DAY_S,
     ),
-    Limit("the module at 350 proxies", "module_servers.cores", "servers", CORES, "of a core", "missing"),
+    Limit("the module at 350 proxies", "module_servers.cores", "servers", MAX_CORES, "of a core", "missing"),
     Limit(
         "the module's longest batch at 350 proxies",
         "module_servers.batch_ms",
         "servers",
-        LEASE_PAUSE / 0.5,
+        MAX_LEASE_PAUSE_S / 0.5,
         "of 0.5 s",
         "missing",
     ),
@@ -181,7 +199,7 @@
         "the module's memory at 350 proxies",
         "module_memory.module_memory",
         "servers",
-        MEMORY,
+        MAX_MEMORY_BYTES,
         "bytes",
         "`driftshed/brain.py`",
     ),
@@ -189,7 +207,7 @@
         "the module's memory at 400 servers",
         "module_held.module_memory",
         "proxies",
-        MEMORY,
+        MAX_MEMORY_BYTES,
         "bytes",
         "`driftshed/brain.py`",
     ),
@@ -197,7 +215,7 @@
         "the whole process at 64 proxies",
         "process_servers.process_cores",
         "servers",
-        CORES,
+        MAX_CORES,
         "of a core",
         "`driftshed/supervisor/service.py`",
     ),
@@ -205,7 +223,7 @@
         "the whole process's memory at 64 proxies",
         "process_servers.process_memory",
         "servers",
-        MEMORY,
+        MAX_MEMORY_BYTES,
         "bytes",
         "`driftshed/supervisor/service.py`",
     ),
@@ -213,152 +231,162 @@
         "the core, 64 proxies on one table of all servers",
         "core_servers.core_memory",
         "servers",
-        MEMORY,
+        MAX_MEMORY_BYTES,
         "bytes",
-        PARTS_OF_TABLE,
+        TABLE_PARTS_FILE,
     ),
     Limit(
         "changes to 64 proxies, a server replaced each 4 s",
         "fan_servers.fan_bytes_a_second",
         "servers",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
-        PARTS_OF_TABLE,
+        TABLE_PARTS_FILE,
     ),
     Limit(
         "changes to proxies, 118 servers",
         "fan_proxies.fan_bytes_a_second",
         "proxies",
-        NETWORK,
+        MAX_BYTES_PER_S,
         "bytes/s",
         "`driftshed/core/hub.py`, deltas",
     ),
 )
 
 
-def row_of(results: dict, key: str) -> dict | None:
+def find_row(results: dict, key: str) -> dict | None:
+    """The row with this key, or None."""
     return next((row for row in results["rows"] if row["key"] == key), None)
 
 
-def at(row: dict, size: float) -> float:
-    """The figure at a size: as measured where it was, else by the fit."""
+def value_at_size(row: dict, size: float) -> float:
+    """The value of a row at `size`: the measured one if there is one, else the fitted one."""
     if size in row["sizes"]:
         return row["values"][row["sizes"].index(size)]
     return value_at(row["form"], row["coefficients"], size)
 
 
-def _refused(results: dict, name: str) -> int | None:
-    found = results["refusals"][name]
-    return found["first"] if isinstance(found, dict) else found
+def _first_refused_size(results: dict, name: str) -> int | None:
+    refused = results["refusals"][name]
+    return refused["first"] if isinstance(refused, dict) else refused
 
 
-def reached(results: dict, limit: Limit) -> Reached | None:
-    """None where the file has no run that could tell."""
-    most = DESIGN[limit.by]
+def check_budget(results: dict, limit: Limit) -> BudgetCheck | None:
+    """Compares a budget with the results; None where the results lack the measurement."""
+    design_size = DESIGN[limit.by]
     if limit.key.startswith("refusal:"):
         if "refusals" not in results:
             return None
-        first = _refused(results, limit.key.partition(":")[2])
-        return Reached(limit, first if first is not None and first <= most else None, float(most))
+        first = _first_refused_size(results, limit.key.partition(":")[2])
+        return BudgetCheck(limit, first if first is not None and first <= design_size else None, float(design_size))
     if limit.key == "void":
-        first = next((n for n in range(1, most + 1) if void(n, OUTAGE) > limit.budget), None)
-        return Reached(limit, first, void(most, OUTAGE))
-    row = row_of(results, limit.key)
+        first = next((n for n in range(1, design_size + 1) if void_probability(n, OUTAGE_S) > limit.budget), None)
+        return BudgetCheck(limit, first, void_probability(design_size, OUTAGE_S))
+    row = find_row(results, limit.key)
     if row is None:
         return None
     if limit.key == "document.document_bytes":
         if "refusals" not in results:
             return None
         limit = limit._replace(budget=results["refusals"]["text_refused_settled"] - 1)
-    if limit.by == "changes_a_day":  # each costs the same: at the tiers' own sizes
-        each = at(row, DESIGN[row["by"]]) + (AHEAD if row["unit"] == "s" else 0.0)
+    if limit.by == "changes_a_day":  # each change costs the same, at the design size of the row's own dimension
+        each = value_at_size(row, DESIGN[row["by"]]) + (AHEAD_S if row["unit"] == "s" else 0.0)
         first = int(limit.budget / (each * limit.factor)) + 1
-        return Reached(limit, first if first <= most else None, each * limit.factor * most)
-    first = first_above(row["form"], row["coefficients"], limit.budget / limit.factor, most)
-    return Reached(limit, first, value_at(row["form"], row["coefficients"], most) * limit.factor)
+        return BudgetCheck(limit, first if first <= design_size else None, each * limit.factor * design_size)
+    first = first_above(row["form"], row["coefficients"], limit.budget / limit.factor, design_size)
+    return BudgetCheck(limit, first, value_at(row["form"], row["coefficients"], design_size) * limit.factor)
 
 
-def first_exceeded(results: dict) -> list[Reached]:
-    """All budgets that the file's runs can tell of, what is missing first in front."""
-    found = [each for limit in LIMITS if (each := reached(results, limit)) is not None]
-    return sorted(found, key=lambda each: (each.part, each.limit.what))
+def sorted_budget_checks(results: dict) -> list[BudgetCheck]:
+    """All budgets that the results cover, the one exceeded at the smallest share of the design first."""
+    checks = [each for limit in LIMITS if (each := check_budget(results, limit)) is not None]
+    return sorted(checks, key=lambda each: (each.design_share, each.limit.what))
 
 
 # ---- text -----------------------------------------------------------------------------------------------------
 
 
-def short(value: float | None, unit: str = "") -> str:
-    """A figure with three digits and its unit."""
+def format_value(value: float | None, unit: str = "") -> str:
+    """A value with three significant digits; bytes with a decimal prefix."""
     if value is None:
         return "-"
     if unit in ("bytes", "bytes/s"):
         for size, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "kB"), (1.0, "B")):
             if abs(value) >= size or size == 1.0:
-                return f"{_digits(value / size)} {name}{unit[5:]}"
-    return _digits(value)
+                return f"{_three_digits(value / size)} {name}{unit[5:]}"
+    return _three_digits(value)
 
 
-def _digits(value: float) -> str:
+def _three_digits(value: float) -> str:
     if value == 0 or abs(value) >= 100:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-def table(head: list[str], rows: list[list[str]]) -> str:
-    lines = [head, ["---"] * len(head), *rows]
+def markdown_table(header: list[str], rows: list[list[str]]) -> str:
+    """A Markdown table; each row has as many columns as the header."""
+    lines = [header, ["---"] * len(header), *rows]
     return "".join(f"| {' | '.join(row)} |\n" for row in lines)
 
 
-def missing_first(results: dict) -> str:
+def budgets_block(results: dict) -> str:
+    """The table of exceeded budgets, followed by those that are kept at the design size."""
     rows, within = [], []
-    for each in first_exceeded(results):
+    for each in sorted_budget_checks(results):
         limit = each.limit
         if each.first is None:
-            within.append(f"{limit.what} ({short(each.at_design, limit.unit)} of {short(limit.budget, limit.unit)})")
+            within.append(
+                f"{limit.what} ({format_value(each.at_design, limit.unit)} of {format_value(limit.budget, limit.unit)})"
+            )
             continue
-        first, of = f"{each.first:,} {limit.by.replace('_', ' ')}", f"{each.part:.2%}"
-        at_design = f"{DESIGN[limit.by]:,}" if limit.key.startswith("refusal:") else short(each.at_design, limit.unit)
+        first, share = f"{each.first:,} {limit.by.replace('_', ' ')}", f"{each.design_share:.2%}"
+        at_design = (
+            f"{DESIGN[limit.by]:,}" if limit.key.startswith("refusal:") else format_value(each.at_design, limit.unit)
+        )
         rows.append(
             [
                 limit.what,
-                f"{short(limit.budget, limit.unit)}" + ("" if limit.unit.startswith("bytes") else f" {limit.unit}"),
+                f"{format_value(limit.budget, limit.unit)}"
+                + ("" if limit.unit.startswith("bytes") else f" {limit.unit}"),
                 first,
-                of,
+                share,
                 at_design,
-                limit.carries,
+                limit.provided_by,
             ]
         )
     return (
-        table(["what", "budget", "first above it at", "of the design", "at the design, as it is", "carried by"], rows)
+        markdown_table(
+            ["what", "budget", "first above it at", "of the design", "at the design, as it is", "carried by"], rows
+        )
         + f"\nWithin their budgets at the design's size: {'; '.join(within)}.\n"
     )
 
 
-BESIDE = ("one.one_word_bytes", "one.one_death_bytes")  # told by `standing` as well, and a test holds them together
+DUPLICATE_KEYS = ("one.one_word_bytes", "one.one_death_bytes")  # also measured by part `standing`; a test compares both
 
 
 def role_table(results: dict, role: str) -> str:
-    """A line for each thing that is measured; where it has several figures they stand in one order in each column."""
+    """One line for each measurement of a role; several values of one measurement have the same order in each column."""
     grouped: dict[tuple, list[list[str]]] = {}
     for row in results["rows"]:
         if row["role"] != role or row["kind"] in ("computed", "seconds") or row["key"].startswith("tier_"):
-            continue  # these have tables of their own
-        if row["key"] in BESIDE:
+            continue  # these have separate tables
+        if row["key"] in DUPLICATE_KEYS:
             continue
         sizes, unit = row["sizes"], row["unit"]
         low, high = row["spread"][-1]
-        spread = f" ({_digits(low)} to {_digits(high)})"
+        spread = f" ({_three_digits(low)} to {_three_digits(high)})"
         if unit.startswith("bytes"):
-            spread = f" ({short(low, unit)} to {short(high, unit)})"
+            spread = f" ({format_value(low, unit)} to {format_value(high, unit)})"
         if low == high:
             spread = "" if row["kind"] == "count" or row["rounds"] == 1 else spread
         key = row["what"], f"{row['by']}, {sizes[0]:,} to {sizes[-1]:,}", row["time"], row["key"].partition(".")[0]
         grouped.setdefault(key, []).append(
             [
-                f"{_short(row['values'][0], unit)}, {_short(row['values'][-1], unit)}{spread}",
+                f"{_with_unit(row['values'][0], unit)}, {_with_unit(row['values'][-1], unit)}{spread}",
                 row["form"],
                 f"{row['held_out_error']:+.1%}",
-                _short(row["at_design"], unit) + checked(results, row["key"]),
+                _with_unit(row["at_design"], unit) + measured_at_design(results, row["key"]),
             ]
         )
     rows = []
@@ -367,7 +395,7 @@
         if len({each[1] for each in found}) == 1:
             columns[1] = found[0][1]
         rows.append([what, by, *columns, time, f"`{part}`"])
-    return table(
+    return markdown_table(
         [
             "figure",
             "by",
@@ -382,39 +410,39 @@
     )
 
 
-def _short(value: float, unit: str) -> str:
+def _with_unit(value: float, unit: str) -> str:
     if unit.startswith("x"):
-        return f"{_digits(value)}{unit}"
-    return short(value, unit) if unit.startswith("bytes") else f"{_digits(value)} {unit}"
+        return f"{_three_digits(value)}{unit}"
+    return format_value(value, unit) if unit.startswith("bytes") else f"{_three_digits(value)} {unit}"
 
 
-def cells(results: dict) -> str:
-    """What the slopes make of a fleet in tiers: a member is one of a cell, whoever speaks for the cell is one of its
-    region's fleet besides, and whoever speaks for the region one of the whole's, too."""
+def cells_table(results: dict) -> str:
+    """Budgets extrapolated to a hierarchical fleet. A member belongs to its cell's fleet; the delegate of a cell also
+    belongs to its region's fleet, and the delegate of a region also to the root fleet."""
     rows = []
     for limit in LIMITS:
-        row = row_of(results, limit.key)
+        row = find_row(results, limit.key)
         if limit.by != "supervisors" or row is None or limit.key.startswith("phases."):
             continue
-        share = CELL / DESIGN["supervisors"] if limit.key.startswith("one.") else 1.0  # restarts within the cell alone
-        member = at(row, CELL) * limit.factor * share
-        region = at(row, CELLS_A_REGION) * limit.factor * share
-        whole = at(row, DESIGN["regions"]) * limit.factor * share
+        share = CELL_MEMBERS / DESIGN["supervisors"] if limit.key.startswith("one.") else 1.0  # its own cell's restarts
+        member = value_at_size(row, CELL_MEMBERS) * limit.factor * share
+        region = value_at_size(row, CELLS_PER_REGION) * limit.factor * share
+        whole = value_at_size(row, DESIGN["regions"]) * limit.factor * share
         unit = limit.unit
         rows.append(
             [
                 limit.what,
-                _short(limit.budget, unit),
-                *(_short(each, unit) for each in (member, member + region, member + region + whole)),
+                _with_unit(limit.budget, unit),
+                *(_with_unit(each, unit) for each in (member, member + region, member + region + whole)),
                 f"{(member + region + whole) / limit.budget:.1%}",
             ]
         )
-    return table(
+    return markdown_table(
         [
             "what",
             "budget",
-            f"one of {CELL}",
-            f"and of {CELLS_A_REGION}: speaks for its cell",
+            f"one of {CELL_MEMBERS}",
+            f"and of {CELLS_PER_REGION}: speaks for its cell",
             f"and of {DESIGN['regions']}: speaks for its region",
             "of the budget",
         ],
@@ -422,98 +450,100 @@
     )
 
 
-def in_tiers(results: dict) -> str:
-    """What a supervisor of a fleet in tiers reads and writes at rest, by the size of each tier."""
+def tiers_table(results: dict) -> str:
+    """Bytes that a supervisor of a hierarchical fleet reads and writes, by the size of each level."""
     rows = []
-    told = {"member": "a member", "cell": "who speaks for a cell", "region": "who speaks for a region"}
+    labels = {"member": "a member", "cell": "who speaks for a cell", "region": "who speaks for a region"}
     figures = [
         (f"tier_{what}_{who}", f"{name}, {text}")
         for what, name in (("rest", "at rest"), ("change", "a change"))
-        for who, text in told.items()
+        for who, text in labels.items()
     ]
     for key, what in [*figures, ("tier_watches", "the most watches of a session")]:
         cells = []
         for by in ("members", "cells", "regions"):
-            row = row_of(results, f"tier_{by}.{key}")
+            row = find_row(results, f"tier_{by}.{key}")
             cells.append(
                 "-"
                 if row is None
-                else f"{_short(row['values'][0], row['unit'])}, "
-                f"{_short(row['values'][-1], row['unit'])} ({row['form']}, {row['held_out_error']:+.1%})"
+                else f"{_with_unit(row['values'][0], row['unit'])}, "
+                f"{_with_unit(row['values'][-1], row['unit'])} ({row['form']}, {row['held_out_error']:+.1%})"
             )
         rows.append([what, *cells])
-    head = []
+    header = []
     for by in ("members", "cells", "regions"):
-        row = row_of(results, f"tier_{by}.tier_rest_member")
-        head.append("-" if row is None else f"by {by}, {row['sizes'][0]} to {row['sizes'][-1]}")
-    return table(["time-out 2 s", *head], rows)
+        row = find_row(results, f"tier_{by}.tier_rest_member")
+        header.append("-" if row is None else f"by {by}, {row['sizes'][0]} to {row['sizes'][-1]}")
+    return markdown_table(["time-out 2 s", *header], rows)
 
 
-def checked(results: dict, key: str) -> str:
-    """ " (as measured at the design's own size)", where it was."""
+def measured_at_design(results: dict, key: str) -> str:
+    """A parenthesis with the value measured at the design size, or an empty string."""
     for each in results.get("checked", {"rows": []})["rows"]:
         if each["key"] == key:
-            return f" (measured: {_short(each['value'], each['unit'])})"
+            return f" (measured: {_with_unit(each['value'], each['unit'])})"
     return ""
 
 
-def voids(results: dict) -> str:
+def voids_block(results: dict) -> str:
+    """The chance of aborted changes by fleet size, and the time of a change after a death."""
     rows = [row for row in results["rows"] if row["key"].startswith("void.")]
     sizes = rows[0]["sizes"]
-    text = table(
+    text = markdown_table(
         ["away at each restart", *(f"{size:,}" for size in sizes)],
         [
             [f"{outage:g} s", *(f"{value:.1%}" for value in row["values"])]
-            for outage, row in zip(OUTAGES, rows, strict=True)
+            for outage, row in zip(OUTAGES_S, rows, strict=True)
         ],
     )
-    tier = row_of(results, "tier_regions.tier_read_worst")
+    tier = find_row(results, "tier_regions.tier_read_worst")
     if tier is None:
         return text
-    rest = SESSION * (1 + DRIFT) + at(tier, DESIGN["regions"]) + AHEAD
-    away = DESIGN["restarts_a_day"] * OUTAGE / A_DAY
-    said = "; ".join(f"{despite:g} s: {rest + waited_out(despite, DRIFT):.1f} s" for despite in DESPITES)
+    until_read = SESSION_TIMEOUT_S * (1 + DRIFT) + value_at_size(tier, DESIGN["regions"]) + AHEAD_S
+    restarting = DESIGN["restarts_a_day"] * OUTAGE_S / DAY_S
+    totals = "; ".join(f"{despite:g} s: {until_read + waited_out(despite, DRIFT):.1f} s" for despite in DESPITE_AFTER_S)
     return text + (
         f"\n**Tiers alone do not mend this.** A change in tiers still waits for the word of each of 5,200 that has not "
-        f"been silent for `despite_after` (60 s unless given); at {OUTAGE:g} s a restart, {away:.1f} are away at any "
-        f"moment. From a proposal to everywhere where somebody has just died, by `despite_after` (computed: a time-out "
-        f"of {SESSION:g} s, the wait, the worst change in tiers, {AHEAD:g} s ahead): {said}. The patience must be as "
-        "long.\n"
+        f"been silent for `despite_after` (60 s unless given); at {OUTAGE_S:g} s a restart, {restarting:.1f} are away "
+        f"at any moment. From a proposal to everywhere where somebody has just died, by `despite_after` (computed: a "
+        f"time-out of {SESSION_TIMEOUT_S:g} s, the wait, the worst change in tiers, {AHEAD_S:g} s ahead): {totals}. "
+        "The patience must be as long.\n"
     )
 
 
-def day(results: dict) -> str:
-    """Bytes a second of a supervisor on an ordinary day, flat and in a cell; computed from slopes and told rates."""
+def day_table(results: dict) -> str:
+    """Bytes/s of a supervisor on an ordinary day, flat and in a cell; computed from rows and the rates in DESIGN."""
     rows = []
-    whole, restarts = DESIGN["supervisors"], DESIGN["restarts_a_day"]
+    fleet_size, restarts = DESIGN["supervisors"], DESIGN["restarts_a_day"]
     for what, key, a_day in (
         ("at rest (time-out 2 s); in tiers with beats", "standing.rest_bytes_a_second", None),
         ("restarts of others", "one.one_restart_bytes", restarts),
         ("changes of policy", "change.change_bytes", DESIGN["changes_a_day"]),
         ("a word of each other each minute", "one.one_word_bytes", "words"),
     ):
-        row = row_of(results, key)
+        row = find_row(results, key)
         if row is None:
             continue
         cells = []
-        for size in (whole, CELL):
-            value = at(row, size)
-            tier = row_of(results, "tier_members.tier_rest_member")
-            if a_day is None and size == CELL and tier is not None:
-                value = at(tier, CELL)
-            changed = row_of(results, "tier_members.tier_change_member")
-            if key.startswith("change.") and size == CELL and changed is not None:
-                value = at(changed, CELL)
+        for size in (fleet_size, CELL_MEMBERS):
+            value = value_at_size(row, size)
+            tier = find_row(results, "tier_members.tier_rest_member")
+            if a_day is None and size == CELL_MEMBERS and tier is not None:
+                value = value_at_size(tier, CELL_MEMBERS)
+            tier_change = find_row(results, "tier_members.tier_change_member")
+            if key.startswith("change.") and size == CELL_MEMBERS and tier_change is not None:
+                value = value_at_size(tier_change, CELL_MEMBERS)
             if a_day == "words":
                 value *= (size - 1) / 60
             elif a_day is not None:
-                value *= a_day / A_DAY * (size / whole if key.startswith("one.") else 1)
-            cells.append(short(value, "bytes/s"))
+                value *= a_day / DAY_S * (size / fleet_size if key.startswith("one.") else 1)
+            cells.append(format_value(value, "bytes/s"))
         rows.append([what, *cells, f"`{key.partition('.')[0]}`, {row['form']}"])
-    return table(["of one supervisor", "flat, 5,200", f"in a cell of {CELL}", "slope"], rows)
+    return markdown_table(["of one supervisor", "flat, 5,200", f"in a cell of {CELL_MEMBERS}", "slope"], rows)
 
 
-def bursts(results: dict) -> str:
+def bursts_table(results: dict) -> str:
+    """The cost of simultaneous failures and restarts; empty without a run."""
     if "bursts" not in results:
         return ""
     rows = []
@@ -530,10 +560,10 @@
             columns.append(
                 "-"
                 if key == "survivor_bytes" and each["lost"] == each["of"]
-                else "; ".join(_short(each[f"{what}_{key}"], unit) for what in kinds)
+                else "; ".join(_with_unit(each[f"{what}_{key}"], unit) for what in kinds)
             )
         rows.append(columns)
-    return table(
+    return markdown_table(
         [
             "what",
             "until all know",
@@ -546,24 +576,25 @@
     )
 
 
-def phases(results: dict) -> str:
+def phases_block(results: dict) -> str:
+    """Durations of a change by phase, flat and hierarchical; empty without a run."""
     rows = []
-    for what, told in (
+    for what, label in (
         ("open", "the record stands"),
         ("words", "all words do"),
         ("settled", "it is settled"),
         ("read", "all have read so"),
     ):
-        p50, worst = row_of(results, f"phases.{what}_p50"), row_of(results, f"phases.{what}_worst")
+        p50, worst = find_row(results, f"phases.{what}_p50"), find_row(results, f"phases.{what}_worst")
         if p50 is not None and worst is not None:
-            rows.append([told, *(f"{a:.3f}, {b:.3f}" for a, b in zip(p50["values"], worst["values"], strict=True))])
-    row = row_of(results, "phases.read_p50")
+            rows.append([label, *(f"{a:.3f}, {b:.3f}" for a, b in zip(p50["values"], worst["values"], strict=True))])
+    row = find_row(results, "phases.read_p50")
     if row is None:
         return ""
-    text = table(["seconds from the proposal until", *(f"{n} supervisors" for n in row["sizes"])], rows)
+    text = markdown_table(["seconds from the proposal until", *(f"{n} supervisors" for n in row["sizes"])], rows)
     rows = []
     for by in ("members", "cells", "regions"):
-        p50, worst = row_of(results, f"tier_{by}.tier_read_p50"), row_of(results, f"tier_{by}.tier_read_worst")
+        p50, worst = find_row(results, f"tier_{by}.tier_read_p50"), find_row(results, f"tier_{by}.tier_read_worst")
         if p50 is not None:
             rows.append(
                 [
@@ -572,45 +603,57 @@
                     ", ".join(f"{value:.2f}" for value in worst["values"]),
                 ]
             )
-    text += "\nIn tiers, all having read that it is settled:\n\n" + table(["fleet", "p50, s", "worst, s"], rows)
-    tier = row_of(results, "tier_regions.tier_read_p50")
+    text += "\nIn tiers, all having read that it is settled:\n\n" + markdown_table(
+        ["fleet", "p50, s", "worst, s"], rows
+    )
+    tier = find_row(results, "tier_regions.tier_read_p50")
     if tier is not None:
-        said = []
-        for what, seconds in (("flat, 64 supervisors", at(row, 64)), ("in tiers, 9 regions", at(tier, 9))):
-            share = (seconds + AHEAD) * DESIGN["changes_a_day"] / A_DAY
-            said.append(f"{what}, {seconds:.2f} s: {share:.0%} of the day, {PEAK * share:.0%} of the fullest hour")
+        shares = []
+        for what, seconds in (
+            ("flat, 64 supervisors", value_at_size(row, 64)),
+            ("in tiers, 9 regions", value_at_size(tier, 9)),
+        ):
+            share = (seconds + AHEAD_S) * DESIGN["changes_a_day"] / DAY_S
+            shares.append(
+                f"{what}, {seconds:.2f} s: {share:.0%} of the day, {PEAK_HOUR_RATIO * share:.0%} of the fullest hour"
+            )
         text += (
-            f"\nOne topic takes one change after the other. {DESIGN['changes_a_day']:,} a day, {AHEAD:g} s ahead, "
-            f"the fullest hour with {PEAK} times the mean (assumed), computed: {'; '.join(said)}.\n"
+            f"\nOne topic takes one change after the other. {DESIGN['changes_a_day']:,} a day, {AHEAD_S:g} s ahead, "
+            f"the fullest hour with {PEAK_HOUR_RATIO} times the mean (assumed), computed: {'; '.join(shares)}.\n"
         )
     return text
 
 
-def sockets(results: dict) -> str:
-    """Hollow supervisors in many processes: the newest row of each kind and size (`benchmarks/hollow.py`)."""
+def hollow_table(results: dict) -> str:
+    """The newest row of each kind and size of the hollow supervisor runs (`benchmarks/hollow.py`)."""
     newest = {(row["kind"], row["size"]): row for row in results.get("hollow", [])}
     if not newest:
         return "Not run yet: `benchmarks/hollow.json` is not there.\n"
     rows = []
     for (kind, size), row in sorted(newest.items()):
         joining, rest, changes = row.get("joining") or {}, row.get("rest") or {}, row.get("summary") or {}
-        of_all, core = rest.get("all") or {}, (rest.get("processes") or {}).get("core_share_each_supervisor")
-        first = [each for each in row.get("first_change") or [] if each.get("settled")]
-        after = changes.get("worst_s") or {}
+        all_traffic, core_share = rest.get("all") or {}, (rest.get("processes") or {}).get("core_share_each_supervisor")
+        first_changes = [each for each in row.get("first_change") or [] if each.get("settled")]
+        everywhere_after = changes.get("worst_s") or {}
         rows.append(
             [
                 f"{kind}, {size:,}, time-out {row['timeout']:g} s",
-                f"{_pick(joining.get('ready_after_s'), 'worst')} s",
-                short(_pick(joining.get("bytes_of_all_joining"), "p50", None), "bytes"),
-                f"{short(_pick(of_all.get('bytes_a_second'), 'p50', None), 'bytes/s')}, "
-                f"{short(_pick(of_all.get('bytes_a_second'), 'worst', None), 'bytes/s')}",
-                "-" if core is None else f"{core:.2%}" if isinstance(core, float) else str(core),
-                f"{changes.get('settled', len(first))} of {changes.get('changes', len(row.get('first_change') or []))}",
-                "-" if not after else f"{_pick(after, 'p50')}, {_pick(after, 'worst')}",
+                f"{_get(joining.get('ready_after_s'), 'worst')} s",
+                format_value(_get(joining.get("bytes_of_all_joining"), "p50", None), "bytes"),
+                f"{format_value(_get(all_traffic.get('bytes_a_second'), 'p50', None), 'bytes/s')}, "
+                f"{format_value(_get(all_traffic.get('bytes_a_second'), 'worst', None), 'bytes/s')}",
+                "-"
+                if core_share is None
+                else f"{core_share:.2%}"
+                if isinstance(core_share, float)
+                else str(core_share),
+                f"{changes.get('settled', len(first_changes))} of "
+                f"{changes.get('changes', len(row.get('first_change') or []))}",
+                "-" if not everywhere_after else f"{_get(everywhere_after, 'p50')}, {_get(everywhere_after, 'worst')}",
                 row.get("partial", "") or "-",
             ]
         )
-    return table(
+    return markdown_table(
         [
             "supervisors",
             "all ready, worst",
@@ -625,67 +668,73 @@
     )
 
 
-def _pick(found: dict | None, name: str, otherwise: object = "-") -> object:
-    return (found or {}).get(name, otherwise)
+def _get(values: dict | None, name: str, default: object = "-") -> object:
+    return (values or {}).get(name, default)
 
 
 class Ensemble(NamedTuple):
+    """A type of store ensemble in the reference deployment."""
+
     name: str
-    count: int  # of such ensembles
-    cells: int  # on each
-    regions: int  # on each
-    whole: int  # fleets of the whole
+    count: int  # ensembles of this type
+    cells: int  # per ensemble
+    regions: int  # per ensemble
+    root_fleets: int  # per ensemble
 
 
 ENSEMBLES = (
-    Ensemble("a region of three zones and its neighbour of two", 3, 2 * CELLS_A_REGION, 2, 0),
-    Ensemble("a region of three zones", 3, CELLS_A_REGION, 1, 0),
+    Ensemble("a region of three zones and its neighbour of two", 3, 2 * CELLS_PER_REGION, 2, 0),
+    Ensemble("a region of three zones", 3, CELLS_PER_REGION, 1, 0),
     Ensemble("the whole, in three regions", 1, 0, 0, 1),
 )
 
 
-def sessions(each: Ensemble) -> int:
-    """Members of cells, a speaker's second session for each cell in its region, a third for each region in the
-    whole."""
-    return each.cells * (CELL + 1) + each.whole * DESIGN["regions"]
+def session_count(ensemble: Ensemble) -> int:
+    """Sessions at one ensemble: one for each member of a cell, a second one for each delegate of a cell, and a third
+    one for each delegate of a region."""
+    return ensemble.cells * (CELL_MEMBERS + 1) + ensemble.root_fleets * DESIGN["regions"]
 
 
-def machines(results: dict) -> str:
-    join = row_of(results, "joining.store_join_bytes")
-    member, cell, region = (row_of(results, f"tier_members.tier_rest_{who}") for who in ("member", "cell", "region"))
-    if join is None or member is None:
+def machines_block(results: dict) -> str:
+    """Sessions and traffic of each type of store ensemble; empty without the rows it needs."""
+    join_row = find_row(results, "joining.store_join_bytes")
+    member, cell, region = (find_row(results, f"tier_members.tier_rest_{who}") for who in ("member", "cell", "region"))
+    if join_row is None or member is None:
         return ""
-    member, cell, region = (at(row, CELL) for row in (member, cell, region))
+    member, cell, region = (value_at_size(row, CELL_MEMBERS) for row in (member, cell, region))
     rows = []
-    for each in ENSEMBLES:
-        resting = each.cells * (CELL * member + cell - member) + each.whole * DESIGN["regions"] * (region - cell)
-        joined = (
-            each.cells * at(join, CELL)
-            + each.regions * at(join, CELLS_A_REGION)
-            + each.whole * at(join, DESIGN["regions"])
+    for ensemble in ENSEMBLES:
+        rest_bytes = ensemble.cells * (CELL_MEMBERS * member + cell - member) + ensemble.root_fleets * DESIGN[
+            "regions"
+        ] * (region - cell)
+        join_bytes = (
+            ensemble.cells * value_at_size(join_row, CELL_MEMBERS)
+            + ensemble.regions * value_at_size(join_row, CELLS_PER_REGION)
+            + ensemble.root_fleets * value_at_size(join_row, DESIGN["regions"])
         )
-        count = sessions(each)
-        a_machine = f"{short(resting / 3, 'bytes/s')}, {short(resting / 2, 'bytes/s')}"
+        count = session_count(ensemble)
+        rest_per_machine = f"{format_value(rest_bytes / 3, 'bytes/s')}, {format_value(rest_bytes / 2, 'bytes/s')}"
         rows.append(
             [
-                f"{each.name} ({each.count}, of 3 machines each)",
+                f"{ensemble.name} ({ensemble.count}, of 3 machines each)",
                 f"{count:,}",
                 f"{count / 3:,.0f}, {count / 2:,.0f}",
-                short(resting, "bytes/s"),
-                a_machine,
-                short(joined, "bytes"),
+                format_value(rest_bytes, "bytes/s"),
+                rest_per_machine,
+                format_value(join_bytes, "bytes"),
             ]
         )
-    ensembles = sum(each.count for each in ENSEMBLES if each.cells)
-    servers, ping = DESIGN["servers"] / ensembles, row_of(results, "standing.rest_bytes_a_second")
+    ensembles = sum(ensemble.count for ensemble in ENSEMBLES if ensemble.cells)
+    servers, ping_row = DESIGN["servers"] / ensembles, find_row(results, "standing.rest_bytes_a_second")
     text = ""
-    if ping is not None:
+    if ping_row is not None:
         text = (
             f"\nWhere the servers' own nodes lie on the same six (assumed even; computed): {servers:,.0f} sessions "
-            f"more on each, {servers / 3:,.0f} a machine, {short(servers * at(ping, 8), 'bytes/s')} at rest.\n"
+            f"more on each, {servers / 3:,.0f} a machine, "
+            f"{format_value(servers * value_at_size(ping_row, 8), 'bytes/s')} at rest.\n"
         )
     return (
-        table(
+        markdown_table(
             [
                 "ensemble",
                 "sessions",
@@ -700,56 +749,57 @@
     )
 
 
-def single(results: dict) -> str:
-    """Refusals, as found."""
+def refusals_block(results: dict) -> str:
+    """The list of sizes that are refused."""
     if "refusals" not in results:
         return ""
-    found, lines = results["refusals"], []
-    crowd = found["members"]["runs"][-1]
-    servers = found["servers"]["runs"][-1]
-    lines.append(f"- {found['names']} names in a record: refused (`coordination/agreement.py`).\n")
-    lines.append(f"- {found['operations']} operations in a policy, or at a supervisor: refused.\n")
+    refused, lines = results["refusals"], []
+    members_run = refused["members"]["runs"][-1]
+    servers_run = refused["servers"]["runs"][-1]
+    lines.append(f"- {refused['names']} names in a record: refused (`coordination/agreement.py`).\n")
+    lines.append(f"- {refused['operations']} operations in a policy, or at a supervisor: refused.\n")
     lines.append(
-        f"- A policy's text of {found['text_refused_open']:,} bytes: its record is refused. From "
-        f"{found['text_refused_settled']:,} bytes on (64 names) it is refused when it is proposed: a settled "
+        f"- A policy's text of {refused['text_refused_open']:,} bytes: its record is refused. From "
+        f"{refused['text_refused_settled']:,} bytes on (64 names) it is refused when it is proposed: a settled "
         "record holds it twice. A policy may have 32,768.\n"
     )
     lines.append(
-        f"- One that joins {crowd['size']:,} reads {crowd['knows']:,} names, 4,096 at a time (`roster/"
-        f"session.py`), and {'holds' if crowd['holds'] else 'never holds'} a lease.\n"
+        f"- One that joins {members_run['size']:,} reads {members_run['knows']:,} names, 4,096 at a time (`roster/"
+        f"session.py`), and {'holds' if members_run['holds'] else 'never holds'} a lease.\n"
     )
-    first, least = found["servers"]["first"], min(found["servers"]["runs"], key=lambda run: run["size"])
+    first, smallest = refused["servers"]["first"], min(refused["servers"]["runs"], key=lambda run: run["size"])
     if first is None:
         lines.append(
-            f"- Lists of {least['size']:,} and {servers['size']:,} servers' nodes are read to their ends, "
-            f"{short(servers['list_bytes'], 'bytes')} the latter.\n"
+            f"- Lists of {smallest['size']:,} and {servers_run['size']:,} servers' nodes are read to their ends, "
+            f"{format_value(servers_run['list_bytes'], 'bytes')} the latter.\n"
         )
     else:
         lines.append(
             f"- A list of {first:,} servers' nodes or more is told as whole and is not: at "
-            f"{servers['size']:,} it has {servers['list_knows']:,}.\n"
+            f"{servers_run['size']:,} it has {servers_run['list_knows']:,}.\n"
         )
     return "".join(lines)
 
 
-def not_run(results: dict) -> str:
-    run = {row["key"].partition(".")[0] for row in results["rows"]} | set(results)
-    left = [f"`{name}`" for name in [*PARTS, *SINGLES] if name not in run and name != "voids"]
-    return f"Parts that have not been run: {', '.join(left) or 'none'}.\n"
+def not_run_block(results: dict) -> str:
+    """The names of the parts without results."""
+    measured = {row["key"].partition(".")[0] for row in results["rows"]} | set(results)
+    missing = [f"`{name}`" for name in [*PARTS, *SINGLE_MEASUREMENTS] if name not in measured and name != "voids"]
+    return f"Parts that have not been run: {', '.join(missing) or 'none'}.\n"
 
 
 BLOCKS = {
-    "missing first": missing_first,
-    "refusals": single,
-    "cells": cells,
-    "in tiers": in_tiers,
-    "voids": voids,
-    "day": day,
-    "bursts": bursts,
-    "sockets": sockets,
-    "phases": phases,
-    "machines": machines,
-    "not run": not_run,
+    "missing first": budgets_block,
+    "refusals": refusals_block,
+    "cells": cells_table,
+    "in tiers": tiers_table,
+    "voids": voids_block,
+    "day": day_table,
+    "bursts": bursts_table,
+    "sockets": hollow_table,
+    "phases": phases_block,
+    "machines": machines_block,
+    "not run": not_run_block,
     **{
         role: (lambda results, role=role: role_table(results, role))
         for role in ("supervisor", "store", "proxy", "command line")
@@ -757,16 +807,17 @@
 }
 
 
-def filled(page: str, results: dict) -> str:
-    """The page with each marked block as the file has it. KeyError: a block that is not known."""
-    return MARK.sub(lambda found: found[1] + BLOCKS[found["name"]](results) + found[3], page)
+def fill_blocks(page: str, results: dict) -> str:
+    """The page with each marked block regenerated from the results. Raises KeyError for an unknown block."""
+    return BLOCK_PATTERN.sub(lambda match: match[1] + BLOCKS[match["name"]](results) + match[3], page)
 
 
-def results() -> dict:
-    """All that the page is made of."""
-    rows = json.loads(HOLLOW.read_text())["rows"] if HOLLOW.exists() else []
+def load_results() -> dict:
+    """The results of both JSON files; rows of hollow.json under "hollow"."""
+    rows = json.loads(HOLLOW_FILE.read_text())["rows"] if HOLLOW_FILE.exists() else []
     return load_file() | {"hollow": rows}
 
 
-def write(path: Path = PAGE) -> None:
-    path.write_text(filled(path.read_text(), results()))
+def write_page(path: Path = PAGE) -> None:
+    """Regenerates the marked blocks of the page in place."""
+    path.write_text(fill_blocks(path.read_text(), load_results()))
