--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -101,7 +101,7 @@
             "store_join_bytes": _count_slope(STORE, "all join at once, flat"),
             "store_watches": _count_slope(STORE, "all join at once, flat", "watches"),
         },
-        flat.joining,
+        flat.measure_joining,
         deterministic=True,
         seeds=(1, 2, 3),
         time="virtual",
@@ -119,7 +119,7 @@
             "death_messages": _count_slope(SUPERVISOR, "one death of another", "messages"),
             "store_death_bytes": _count_slope(STORE, "one death, to all"),
         },
-        flat.standing,
+        flat.measure_rest_and_events,
         deterministic=True,
         seeds=(1, 2, 3),
         time="virtual",
@@ -130,7 +130,7 @@
         {
             "chatter_bytes_a_second": _count_slope(SUPERVISOR, "each says something once a second", "bytes/s"),
         },
-        flat.chatter,
+        flat.measure_updates,
         deterministic=True,
         seeds=(1, 2, 3),
         time="virtual",
@@ -144,7 +144,7 @@
             "proposer_change_bytes": _count_slope(SUPERVISOR, "one change of policy; its proposer"),
             "store_change_bytes": _count_slope(STORE, "one change of policy, all"),
         },
-        flat.change,
+        flat.measure_change,
         deterministic=True,
         seeds=(1, 2, 3),
         time="virtual",
@@ -162,7 +162,7 @@
             )
             for name in ("p50", "worst")
         },
-        flat.phases,
+        flat.measure_phases,
         deterministic=True,
         seeds=(1, 2, 3),
         time="virtual",
@@ -176,7 +176,7 @@
             "one_death_bytes": _count_slope(SUPERVISOR, "one death, read by one of so many"),
             "one_restart_bytes": _count_slope(SUPERVISOR, "one joins those that stand; one restart, read by one"),
         },
-        flat.one_among,
+        flat.measure_one_among,
         deterministic=True,
         time="virtual",
     ),
@@ -234,7 +234,7 @@
             "list_bytes": _count_slope(SUPERVISOR, "first list of the servers' nodes; one replaced"),
             "replaced_bytes": _count_slope(SUPERVISOR, "first list of the servers' nodes; one replaced"),
         },
-        flat.listing,
+        flat.measure_listing,
         deterministic=True,
         time="virtual",
     ),
@@ -564,15 +564,15 @@
 
 
 def _one_among(count: int) -> dict:
-    return {"size": count} | flat.one_among(count)
+    return {"size": count} | flat.measure_one_among(count)
 
 
 def _listing(servers: int) -> dict:
-    return {"size": servers} | flat.listing(servers)
+    return {"size": servers} | flat.measure_listing(servers)
 
 
 def _burst(job: tuple[int, int]) -> dict:
-    return {"of": job[0], "lost": job[1]} | flat.burst(*job)
+    return {"of": job[0], "lost": job[1]} | flat.measure_burst(*job)
 
 
 def measure_refusals() -> dict:
@@ -581,7 +581,7 @@
         member_runs = pool.map(_one_among, (4097, 5200), chunksize=1)
         list_runs = pool.map(_listing, (4097, 20_000), chunksize=1)
     return {
-        "names": flat.refused_at(),
+        "names": flat.first_refused_name_count(),
         "operations": process.operations_refused_at(),
         **process.text_refused_at(),
         "members": {"runs": member_runs},
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -1,10 +1,10 @@
-"""What one process costs by its size: processor time, memory and bytes of the module, the core, a proxy's tables, the
-stand-in store, a document, a view. Each run is a process of its own that prints one JSON object:
+"""Measures the cost of one component in a process of its own: processor time, memory and bytes of the module, the core,
+a proxy's tables, the stand-in store, a policy document or a view. Prints one JSON object:
 
     python -m benchmarks.capacity_process NAME SIZE...
 
-Processor time is `time.process_time` of the work alone; memory of parts is counted by `tracemalloc`, of processes as
-resident."""
+Processor time is `time.process_time` of the measured work only. Memory of components is counted by `tracemalloc`,
+memory of processes is their resident memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from click.testing import CliRunner
 
 from benchmarks import events as module_events
-from benchmarks.capacity_flat import names, policy_body
+from benchmarks.capacity_flat import member_names, policy_body
 from driftshed import interface as face
 from driftshed.brain import Brain
 from driftshed.coordination import agreement, command
@@ -37,13 +37,13 @@
 from driftshed.roster.store import Store
 from driftshed.roster.tree import Tree
 
-CHANGES = msgspec.json.Decoder(Changes)
+CHANGES_DECODER = msgspec.json.Decoder(Changes)
 
 
-class Held:
-    """Bytes that what is made inside holds."""
+class MemoryUse:
+    """Context manager; `bytes` is the memory allocated inside and still in use at its end."""
 
-    def __enter__(self) -> Held:
+    def __enter__(self) -> MemoryUse:
         tracemalloc.start()
         self.before = tracemalloc.get_traced_memory()[0]
         return self
@@ -53,27 +53,27 @@
         tracemalloc.stop()
 
 
-# ---- supervisor -----------------------------------------------------------------------------------------------
+# ---- supervisor ----
 
 
 def module(servers: int, proxies: int, seconds: float = 5.0) -> dict:
-    """The module alone: see `benchmarks/events.py`."""
-    found = module_events.measure(servers, proxies, seconds)
-    return {"cores": found["cores"], "batch_ms": found["worst_batch_ms"], "us_an_event": found["us_an_event"]}
+    """Processor time of the decision module; see `benchmarks/events.py`."""
+    result = module_events.measure(servers, proxies, seconds)
+    return {"cores": result["cores"], "batch_ms": result["worst_batch_ms"], "us_an_event": result["us_an_event"]}
 
 
 def module_memory(servers: int, proxies: int, seconds: float = 2.0) -> dict:
-    """What the module holds once all have joined and two seconds have passed."""
-    with Held() as held:
+    """Memory of the module once all proxies have joined and two seconds have passed."""
+    with MemoryUse() as memory:
         brain = Brain(module_events.make_facts(proxies), 1, 100.0)
-        for now, happened in module_events.batches(servers, proxies, seconds, 100.0, lambda: brain):
-            brain.handle(now, happened)
-        del happened
-    return {"module_memory": held.bytes}
+        for now, events in module_events.batches(servers, proxies, seconds, 100.0, lambda: brain):
+            brain.handle(now, events)
+        del events
+    return {"module_memory": memory.bytes}
 
 
 def dealt(servers: int, proxies: int = 64) -> dict:
-    """What the module deals to each proxy as all join: lines, and bytes of its whole table."""
+    """What the module assigns to each proxy as all join: lines, and bytes of its full table."""
     facts = module_events.make_facts(proxies)
     brain, hub = Brain(facts, 1, 100.0), Hub(facts, "0123456789ab")
     records = [hub.join(p, p % 2, None, 0)[0] for p in range(proxies)]
@@ -97,17 +97,17 @@
 
 
 def fanout(servers: int, proxies: int, seconds: int = 30) -> dict:
-    """What the core sends to all proxies together while a server in four seconds is replaced, a tenth of what is
-    reported errs and latencies differ (`benchmarks/events.py`): bytes and lines a second, once all have joined and 10 s
-    have passed."""
+    """Bytes and lines per second that the core sends to all proxies together, from 10 s after the start.
+    A server is replaced every four seconds, a tenth of the reported calls fail, and latencies differ
+    (`benchmarks/events.py`)."""
     brain = Brain(module_events.make_facts(proxies), 1, 100.0)
     hub = Hub(module_events.make_facts(proxies), "0123456789ab")
     sent = lines = 0
-    for now, happened in module_events.batches(servers, proxies, seconds, 100.0, lambda: brain):
-        for event in happened:
+    for now, events in module_events.batches(servers, proxies, seconds, 100.0, lambda: brain):
+        for event in events:
             if isinstance(event, face.Joined):
                 hub.join(event.proxy, event.zone, None, 0)
-        hub.apply(brain.handle(now, happened), now)
+        hub.apply(brain.handle(now, events), now)
         for record in hub.release(now):
             lines += sum(len(m.changes) for m in record.log if m.version > record.acked) if now > 110 else 0
             body = hub.news(record)
@@ -116,7 +116,8 @@
     return {"fan_bytes_a_second": sent / (now - 110), "fan_lines_a_second": lines / (now - 110)}
 
 
-def one_table(hub: Hub, servers: int, proxies: int) -> list:
+def fill_one_table(hub: Hub, servers: int, proxies: int) -> list:
+    """Joins the proxies to the hub and gives them one table of all servers; returns their records."""
     records = [hub.join(p, 0, None, 0)[0] for p in range(proxies)]
     weights = Random(1)
     lines = [face.SetLine(module_events.name(n), weights.uniform(0.5, 2), 0) for n in range(servers)]
@@ -126,9 +127,9 @@
 
 
 def table(servers: int) -> dict:
-    """One table of all servers, as the core sends it: the whole, and one changed line."""
+    """Bytes of one table of all servers as the core sends it: the full snapshot, and one changed line."""
     hub = Hub(module_events.make_facts(64), "0123456789ab")
-    record = one_table(hub, servers, 1)[0]
+    record = fill_one_table(hub, servers, 1)[0]
     whole = len(hub.news(record))
     hub.ack(record, record.version, 1e9)
     hub.apply([face.SetLine(module_events.name(0), 1.25, 0)], 1e9)
@@ -137,57 +138,59 @@
 
 
 def core(servers: int, proxies: int) -> dict:
-    """What the core holds where all its proxies hold one table of all servers."""
-    with Held() as held:
+    """Memory of the core when all its proxies use one table of all servers."""
+    with MemoryUse() as memory:
         hub = Hub(module_events.make_facts(proxies), "0123456789ab")
-        records = one_table(hub, servers, proxies)
+        records = fill_one_table(hub, servers, proxies)
         for record in records:
             hub.ack(record, record.version, 1e9)
-    return {"core_memory": held.bytes, "core_memory_a_proxy": held.bytes / proxies}
+    return {"core_memory": memory.bytes, "core_memory_a_proxy": memory.bytes / proxies}
 
 
-def a_roll(count: int) -> Roll:
-    roll = Roll(tuple(names(count)), 0.0)
-    for k, name in enumerate(roll.expected):
-        roll.nodes[f"{name}~1"] = _present(name, k)
-        roll.highest[name] = 1
-    return roll
+def make_view(count: int) -> Roll:
+    """A membership view of `count` members that are present."""
+    view = Roll(tuple(member_names(count)), 0.0)
+    for k, name in enumerate(view.expected):
+        view.nodes[f"{name}~1"] = _make_member(name, k)
+        view.highest[name] = 1
+    return view
 
 
-def _present(name: str, k: int):
+def _make_member(name: str, k: int):
     from driftshed.coordination.members import Present
 
     return Present(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1), k, 0.0)
 
 
 def roll(count: int, seconds: float = 0.4) -> dict:
-    """Reading one peer's word, as `Agent` does: decoded, put on the roll, addresses made anew. `cores`: where each of
-    all the others says one each second."""
-    found = a_roll(count)
-    data = write_member(Member(found.expected[0], "127.0.0.1:7000", "test", proxies=351, incarnation=1))
-    node, rounds, began = f"{found.expected[0]}~1", 0, time.process_time()
-    while time.process_time() - began < seconds or rounds < 3:
-        found.appeared(node, read_member(node, data), 0, 1.0)
-        found.addresses()
+    """Processor time to process one update of a peer as `Agent` does: decode it, add it to the membership view, rebuild
+    the addresses. `cores_of_words`: share of a core when each other supervisor sends one update per second."""
+    view = make_view(count)
+    data = write_member(Member(view.expected[0], "127.0.0.1:7000", "test", proxies=351, incarnation=1))
+    node, rounds, started_at = f"{view.expected[0]}~1", 0, time.process_time()
+    while time.process_time() - started_at < seconds or rounds < 3:
+        view.appeared(node, read_member(node, data), 0, 1.0)
+        view.addresses()
         rounds += 1
-    each = (time.process_time() - began) / rounds
-    return {"us_a_word": each * 1e6, "cores_of_words": each * (count - 1)}
+    seconds_per_update = (time.process_time() - started_at) / rounds
+    return {"us_a_word": seconds_per_update * 1e6, "cores_of_words": seconds_per_update * (count - 1)}
 
 
 def roll_memory(count: int) -> dict:
-    with Held() as held:
-        found = Roll(tuple(f"s{k:04}" for k in range(count)), 0.0)
-        for k, name in enumerate(list(found.expected)):
+    """Memory of a membership view of `count` members that are present."""
+    with MemoryUse() as memory:
+        view = Roll(tuple(f"s{k:04}" for k in range(count)), 0.0)
+        for k, name in enumerate(list(view.expected)):
             data = write_member(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1))
-            found.nodes[f"{name}~1"] = _present(name, k)._replace(member=read_member(f"{name}~1", data))
-            found.highest[name] = 1
-    return {"roll_memory": held.bytes}
+            view.nodes[f"{name}~1"] = _make_member(name, k)._replace(member=read_member(f"{name}~1", data))
+            view.highest[name] = 1
+    return {"roll_memory": memory.bytes}
 
 
-# ---- proxy ----------------------------------------------------------------------------------------------------
+# ---- proxy ----
 
 
-def _whole(servers: int, operations: int) -> Changes:
+def _full_snapshot(servers: int, operations: int) -> Changes:
     weights = Random(1)
     changes = [Use(k, 0) for k in range(operations)]
     changes += [Line(0, f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8000", weights.uniform(0.5, 2)) for n in range(servers)]
@@ -196,39 +199,41 @@
 
 
 def proxy_tables(servers: int, operations: int = 4) -> dict:
-    """What a proxy holds of one table of so many servers, and what it costs to take it whole."""
-    body = msgspec.json.encode(_whole(servers, operations))
-    with Held() as held:
+    """A proxy's memory for one table of this many servers, its bytes, and the time to apply it as a full snapshot."""
+    body = msgspec.json.encode(_full_snapshot(servers, operations))
+    with MemoryUse() as memory:
         tables = Tables(operations, "two", "share", 1, [], Random(1))
         tables.run = "0123456789ab"
-        tables.take(CHANGES.decode(body), 0.0)
-    began, rounds = time.process_time(), 0
-    while time.process_time() - began < 0.3 or rounds < 3:
-        again = Tables(operations, "two", "share", 1, [], Random(1))
-        again.run = "0123456789ab"
-        again.take(CHANGES.decode(body), 0.0)
+        tables.take(CHANGES_DECODER.decode(body), 0.0)
+    started_at, rounds = time.process_time(), 0
+    while time.process_time() - started_at < 0.3 or rounds < 3:
+        fresh = Tables(operations, "two", "share", 1, [], Random(1))
+        fresh.run = "0123456789ab"
+        fresh.take(CHANGES_DECODER.decode(body), 0.0)
         rounds += 1
-    each = (time.process_time() - began) / rounds
-    return {"proxy_memory": held.bytes, "proxy_whole_bytes": len(body), "proxy_take_ms": each * 1e3}
+    seconds_per_snapshot = (time.process_time() - started_at) / rounds
+    return {"proxy_memory": memory.bytes, "proxy_whole_bytes": len(body), "proxy_take_ms": seconds_per_snapshot * 1e3}
 
 
-# ---- the stand-in store ---------------------------------------------------------------------------------------
+# ---- stand-in store ----
 
 
-class NoLog:
-    """In the log's place: what is measured is what the store holds, not what it has written."""
+class NullLog:
+    """Replaces the log, so that only the memory of the store's state is measured."""
 
     def __init__(self) -> None:
+        """Starts with an empty tree."""
         self.tree = Tree()
 
     def add(self, *_: object) -> None:
+        """Discards the entry."""
         pass
 
     sync = close = add
 
 
 def _store(sessions: int) -> tuple[Store, list[StoreLine]]:
-    store, lines = Store(NoLog(), 1, 0.0), []
+    store, lines = Store(NullLog(), 1, 0.0), []
     for _ in range(sessions):
         line = StoreLine()
         store.take(line, jute.write_connect(jute.Connect(0, 10_000, 0, bytes(16))), 0.0)
@@ -237,72 +242,74 @@
     return store, lines
 
 
-def _ask(store: Store, line: StoreLine, request: object) -> None:
+def _execute(store: Store, line: StoreLine, request: object) -> None:
     store.take(line, jute.write_request(1, request), 0.0)
     line.out = bytearray()
 
 
 def store_sessions(count: int) -> dict:
-    with Held() as held:
-        kept = _store(count)
-    assert len(kept[0].tree.sessions) == count
-    return {"store_session_memory": held.bytes}
+    """Memory of a store with this many sessions."""
+    with MemoryUse() as memory:
+        store_and_lines = _store(count)
+    assert len(store_and_lines[0].tree.sessions) == count
+    return {"store_session_memory": memory.bytes}
 
 
 def store_nodes(count: int) -> dict:
+    """Memory of a store with this many members' nodes."""
     store, lines = _store(1)
-    _ask(store, lines[0], jute.Create("/m", b""))
-    with Held() as held:
+    _execute(store, lines[0], jute.Create("/m", b""))
+    with MemoryUse() as memory:
         for k in range(count):
             data = write_member(Member(f"s{k:04}", "127.0.0.1:7000", "test", proxies=350, incarnation=1))
-            _ask(store, lines[0], jute.Create(f"/m/s{k:04}~1", data, jute.EPHEMERAL))
+            _execute(store, lines[0], jute.Create(f"/m/s{k:04}~1", data, jute.EPHEMERAL))
     assert len(store.tree.nodes) == count + 2
-    return {"store_node_memory": held.bytes}
+    return {"store_node_memory": memory.bytes}
 
 
 def store_fleet(count: int) -> dict:
-    """A store that holds a flat fleet: a session and a node each, and each watches all."""
-    with Held() as held:
+    """Memory per watch of a store for a flat fleet: each member has a session and a node and watches all nodes."""
+    with MemoryUse() as memory:
         store, lines = _store(count)
-        _ask(store, lines[0], jute.Create("/m", b""))
+        _execute(store, lines[0], jute.Create("/m", b""))
         for k, line in enumerate(lines):
-            _ask(store, line, jute.Create(f"/m/s{k:04}~1", b"{}", jute.EPHEMERAL))
+            _execute(store, line, jute.Create(f"/m/s{k:04}~1", b"{}", jute.EPHEMERAL))
         for line in lines:
             for k in range(count):
-                _ask(store, line, jute.GetData(f"/m/s{k:04}~1", True))
+                _execute(store, line, jute.GetData(f"/m/s{k:04}~1", True))
     assert sum(len(each.data) for each in store.tree.sessions.values()) == count * count
-    return {"store_watch_memory": held.bytes / count**2}
+    return {"store_watch_memory": memory.bytes / count**2}
 
 
 def store_rest(count: int, seconds: float = 5.0) -> dict:
-    """So many sessions that only ping, over sockets: share of a core and resident memory of the store's process."""
+    """The store's share of a core and resident memory (bytes) for this many sessions that only ping, over sockets."""
     from benchmarks.roster import Rig, RosterClient, State
 
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     rig = Rig()
     try:
-        empty = rig.memory(rig.store)
+        empty_mib = rig.memory(rig.store)
         clients = [
             RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
             for k in range(count)
         ]
         rig.until(lambda: all(each.session.state is State.ON for each in clients), 60.0)
-        cpu, then = rig.cpu(rig.store), time.monotonic()
+        cpu_before, started_at = rig.cpu(rig.store), time.monotonic()
         rig.loop.run(rig.loop.clock() + seconds)
         return {
-            "store_rest_cores": (rig.cpu(rig.store) - cpu) / (time.monotonic() - then),
-            "store_rest_memory": (rig.memory(rig.store) - empty) * 2**20,
+            "store_rest_cores": (rig.cpu(rig.store) - cpu_before) / (time.monotonic() - started_at),
+            "store_rest_memory": (rig.memory(rig.store) - empty_mib) * 2**20,
         }
     finally:
         rig.close()
 
 
-# ---- a supervisor's process -----------------------------------------------------------------------------------
+# ---- supervisor process ----
 
 
 def supervisor(servers: int, proxies: int, seconds: float = 4.0) -> dict:
-    """The whole process over sockets, its proxies in this one, each reporting once a second."""
+    """A supervisor process over sockets; its proxies are in this process, and each reports once a second."""
     from benchmarks import scale
 
     process = scale.Supervisor(servers, proxies)
@@ -310,43 +317,43 @@
         fleet = scale.Fleet(process, servers, proxies)
         fleet.wait(60, lambda: all(proxy.usable_at for proxy in fleet.proxies))
         fleet.wait(2.0)
-        quiet = fleet.measure(seconds)
-        return {"process_cores": quiet["cpu_a_second"], "process_memory": process.memory("VmHWM")}
+        idle = fleet.measure(seconds)
+        return {"process_cores": idle["cpu_a_second"], "process_memory": process.memory("VmHWM")}
     finally:
         process.kill()
 
 
-# ---- documents and views --------------------------------------------------------------------------------------
+# ---- documents and views ----
 
 
 def document(operations: int) -> dict:
-    """A policy of so many operations: bytes of its canonical text, and reading and checking it."""
+    """A policy of this many operations: bytes of its canonical text, and the time to parse and check it."""
     rows = [f"operation-{k:02}:objective=0.5,timeout=1.5,value=1,effect=idempotent" for k in range(operations)]
-    found = policies.of_flags({"zones": "east,west", "proxies": 350, "queue-cap": 4000}, rows)
-    text, rounds, began = policies.canonical(found), 0, time.process_time()
-    while time.process_time() - began < 0.3 or rounds < 3:
+    policy = policies.of_flags({"zones": "east,west", "proxies": 350, "queue-cap": 4000}, rows)
+    text, rounds, started_at = policies.canonical(policy), 0, time.process_time()
+    while time.process_time() - started_at < 0.3 or rounds < 3:
         policies.never_met(policies.parse(text))
         rounds += 1
-    return {"document_bytes": len(text), "document_ms": (time.process_time() - began) / rounds * 1e3}
+    return {"document_bytes": len(text), "document_ms": (time.process_time() - started_at) / rounds * 1e3}
 
 
 def operations_refused_at() -> int:
-    """The smallest number of operations that no document may have."""
+    """The smallest number of operations that a document may not have."""
     for count in range(1, 1000):
         try:
             policies.of_flags({}, [f"o{k:03}:objective=0.5,timeout=1.5,value=1" for k in range(count)])
         except policies.BadDocument:
             return count
-    raise AssertionError("a document of any number of operations is taken")
+    raise AssertionError("documents accept any number of operations")
 
 
 def text_refused_at() -> dict:
-    """The smallest text of a policy (its quotes escaped, as a canonical text has them) whose record cannot be opened,
-    and the smallest whose opened record cannot be settled: a settled record holds it twice."""
-    one = policy_body()["text"]
+    """The smallest size of a policy's text (quotes escaped, as in a canonical text) whose record cannot be opened, and
+    the smallest whose open record cannot be committed: a committed record contains the text twice."""
+    policy_text = policy_body()["text"]
 
     def record(size: int) -> agreement.Record:
-        text = (one * (size // len(one) + 1))[:size]
+        text = (policy_text * (size // len(policy_text) + 1))[:size]
         return agreement.proposed(
             None,
             "policy",
@@ -354,74 +361,74 @@
             "s0000",
             "s0000~0123456789ab#1",
             policy_body() | {"text": text},
-            tuple(names(64)),
+            tuple(member_names(64)),
             64,
             10.0,
         )
 
-    def fails(step, size: int) -> bool:
+    def refuses(transition, size: int) -> bool:
         try:
-            agreement.write(step(record(size)))
+            agreement.write(transition(record(size)))
         except Barred:
             return True
         return False
 
-    found = {}
-    for name, step in (("open", lambda made: made), ("settled", agreement.settled)):
+    limits = {}
+    for name, transition in (("open", lambda opened: opened), ("settled", agreement.settled)):
         low, high = 1, 10 * agreement.MOST_BYTES
         while high - low > 1:
             middle = (low + high) // 2
-            low, high = (low, middle) if fails(step, middle) else (middle, high)
-        found[f"text_refused_{name}"] = high
-    return found
+            low, high = (low, middle) if refuses(transition, middle) else (middle, high)
+        limits[f"text_refused_{name}"] = high
+    return limits
 
 
-def _timed(call) -> float:
-    began, rounds = time.process_time(), 0
-    while time.process_time() - began < 0.3 or rounds < 3:
+def _seconds_per_call(call) -> float:
+    started_at, rounds = time.process_time(), 0
+    while time.process_time() - started_at < 0.3 or rounds < 3:
         call()
         rounds += 1
-    return (time.process_time() - began) / rounds
+    return (time.process_time() - started_at) / rounds
 
 
 def fleet_view(count: int) -> dict:
-    """`driftshed fleet --supervisor`: what the API answers, what is printed, and the printing."""
-    found = a_roll(count)
-    rows = [row._asdict() for row in found.rows(600.0)]
+    """`driftshed fleet --supervisor`: bytes of the API's answer and of the printed text, and the time to print it."""
+    membership = make_view(count)
+    rows = [row._asdict() for row in membership.rows(600.0)]
     view = plain(
         {
             "by": "s0000",
             "incarnation": 1,
             "standing": "listed",
             "lease": 1.8,
-            "order": found.order(),
+            "order": membership.order(),
             "members": rows,
             "records": [],
             "written": 3,
             "not_believed": 0,
         }
     )
-    body, text = msgspec.json.encode(view), _printed(lambda: command._print(view))
+    body, text = msgspec.json.encode(view), _captured_output(lambda: command._print(view))
     return {
         "fleet_api_bytes": len(body),
         "fleet_text_bytes": len(text),
-        "fleet_print_ms": _timed(lambda: _printed(lambda: command._print(view))) * 1e3,
+        "fleet_print_ms": _seconds_per_call(lambda: _captured_output(lambda: command._print(view))) * 1e3,
     }
 
 
-def _printed(call) -> str:
-    kept, sys.stdout = sys.stdout, io.StringIO()
+def _captured_output(call) -> str:
+    stdout, sys.stdout = sys.stdout, io.StringIO()
     try:
         call()
         return sys.stdout.getvalue()
     finally:
-        sys.stdout = kept
+        sys.stdout = stdout
 
 
 def policy_view(count: int) -> dict:
-    """`driftshed policy show`: what the API answers and what is printed, with one open change that waits for half."""
+    """`driftshed policy show`: bytes of the API's answer and of the output; an open change lacks half its votes."""
     body = policy_body()
-    half = names(count)[: count // 2]
+    missing = member_names(count)[: count // 2]
     view = plain(
         {
             "by": "s0000",
@@ -430,24 +437,25 @@
             "cannot": "",
             "known": True,
             "standing": body,
-            "open": {"epoch": 2, "by": "s0000", "missing": half, "words": []},
+            "open": {"epoch": 2, "by": "s0000", "missing": missing, "words": []},
             "next": None,
             "last_proposal": None,
             "everywhere_within": 2.6,
-            "members": {name: ["living", 1] for name in names(count)},
+            "members": {name: ["living", 1] for name in member_names(count)},
             "history": [],
         }
     )
-    kept, policy_command.ask = policy_command.ask, lambda *_: view
+    original_ask, policy_command.ask = policy_command.ask, lambda *_: view
     try:
         text = CliRunner().invoke(policy_command.show, ["--supervisor", "127.0.0.1:7001"]).output
     finally:
-        policy_command.ask = kept
+        policy_command.ask = original_ask
     return {"policy_api_bytes": len(msgspec.json.encode(view)), "policy_text_bytes": len(text)}
 
 
 def main() -> None:
-    what, sizes = sys.argv[1], [int(each) for each in sys.argv[2:]]
+    """Calls the measurement named by the first argument with the sizes that follow."""
+    name, sizes = sys.argv[1], [int(each) for each in sys.argv[2:]]
     measures = {
         each.__name__: each
         for each in (
@@ -470,9 +478,9 @@
             policy_view,
         )
     }
-    if what not in measures:
-        raise SystemExit(f"{what}: no such measure; there is {', '.join(measures)}")
-    print(json.dumps(measures[what](*sizes)))
+    if name not in measures:
+        raise SystemExit(f"{name}: no such measure; there is {', '.join(measures)}")
+    print(json.dumps(measures[name](*sizes)))
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -93,14 +93,14 @@
 
 def test_what_one_reads_is_the_same_whether_the_others_are_agents_or_nodes():
     """Nodes written by one client must cost a reader as much as nodes written by agents: a death and an update."""
-    agents, crowd = capacity_flat.standing(16), capacity_flat.one_among(16)
+    agents, crowd = capacity_flat.measure_rest_and_events(16), capacity_flat.measure_one_among(16)
     assert crowd["one_word_bytes"] == pytest.approx(agents["word_bytes"], rel=0.02)
     assert crowd["one_death_bytes"] == pytest.approx(agents["death_bytes"], rel=0.05)
 
 
 def test_refusals_are_where_the_page_says():
     refusals = RESULTS["refusals"]
-    assert capacity_flat.refused_at() == refusals["names"]
+    assert capacity_flat.first_refused_name_count() == refusals["names"]
     assert capacity_process.operations_refused_at() == refusals["operations"]
     assert capacity_process.text_refused_at() == {
         key: refusals[key] for key in ("text_refused_open", "text_refused_settled")
@@ -115,7 +115,7 @@
     assert [run["list_knows"] for run in runs] == [run["size"] for run in runs]
     smallest = min(run["size"] for run in runs)
     assert smallest > 4096
-    assert capacity_flat.listing(smallest)["list_knows"] == smallest
+    assert capacity_flat.measure_listing(smallest)["list_knows"] == smallest
 
 
 # ---- results file and page ----
