--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,67 +1,68 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault that waits for its mend. A listed test still runs;
-failing, it is printed with its cause and passed over; passing, the run fails until its line is taken out."""
+"""Pytest hooks for KNOWN-RED.txt at the root, which lists tests that fail because of a known, still unfixed fault.
+A listed test still runs. If it fails, it is reported as xfailed and printed with its cause; if it passes, the run
+fails until its line is removed."""
 
 import re
 from pathlib import Path
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
-LINE = re.compile(r"(?P<test>\S+\.py::[^\[\s]+?(?:\[.+?\])?): (?P<cause>\S.*) \(issue (?P<issue>\d+)\)")
-KEY = pytest.StashKey[dict[str, str]]()
+FILE, MAX_ENTRIES = "KNOWN-RED.txt", 3
+ENTRY = re.compile(r"(?P<test>\S+\.py::[^\[\s]+?(?:\[.+?\])?): (?P<cause>\S.*) \(issue (?P<issue>\d+)\)")
+CAUSES_KEY = pytest.StashKey[dict[str, str]]()
 
 
-def listed(text: str) -> dict[str, str]:
-    """Causes by test. UsageError: the line that is wrong."""
-    found: dict[str, str] = {}
+def parse_entries(text: str) -> dict[str, str]:
+    """Causes by test id. Raises UsageError that names an invalid line."""
+    causes: dict[str, str] = {}
     for line in text.splitlines():
         if not line.strip() or line.lstrip().startswith("#"):
             continue
-        match = LINE.fullmatch(line.strip())
+        match = ENTRY.fullmatch(line.strip())
         if match is None:
             raise pytest.UsageError(f"{FILE}: {line!r}: 'FILE.py::TEST: CAUSE (issue N)' is wanted")
-        if match["test"] in found:
+        if match["test"] in causes:
             raise pytest.UsageError(f"{FILE}: {line!r}: named twice")
-        if len(found) == MOST:
-            raise pytest.UsageError(f"{FILE}: {line!r}: {MOST} lines at most")
-        found[match["test"]] = f"{match['cause']} (issue {match['issue']})"
-    return found
+        if len(causes) == MAX_ENTRIES:
+            raise pytest.UsageError(f"{FILE}: {line!r}: {MAX_ENTRIES} lines at most")
+        causes[match["test"]] = f"{match['cause']} (issue {match['issue']})"
+    return causes
 
 
 def pytest_configure(config) -> None:
     file = Path(config.rootpath, FILE)
-    config.stash[KEY] = listed(file.read_text()) if file.exists() else {}
+    config.stash[CAUSES_KEY] = parse_entries(file.read_text()) if file.exists() else {}
 
 
-@pytest.hookimpl(tryfirst=True)  # before anything is deselected
+@pytest.hookimpl(tryfirst=True)  # before any test is deselected
 def pytest_collection_modifyitems(config, items) -> None:
-    named = {item.nodeid for item in items}
-    files = {name.split("::")[0] for name in named}
-    for test in config.stash[KEY]:
+    collected = {item.nodeid for item in items}
+    files = {name.split("::")[0] for name in collected}
+    for test in config.stash[CAUSES_KEY]:
         file = test.split("::")[0]
-        looked_through = file in files and not any("::" in each for each in config.args)
-        if test not in named and (looked_through or not Path(config.rootpath, file).exists()):
+        file_collected = file in files and not any("::" in each for each in config.args)
+        if test not in collected and (file_collected or not Path(config.rootpath, file).exists()):
             raise pytest.UsageError(f"{FILE}: {test!r} names no test")
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item, call):
     report = yield
-    cause = item.config.stash[KEY].get(item.nodeid)
+    cause = item.config.stash[CAUSES_KEY].get(item.nodeid)
     if cause is None:
         return report
     if report.failed:
         report.outcome, report.wasxfail = "skipped", cause
-        item.config.stash.setdefault(SEEN, {})[item.nodeid] = cause
+        item.config.stash.setdefault(FAILURES_KEY, {})[item.nodeid] = cause
     elif call.when == "call":
         report.outcome = "failed"
         report.longrepr = f"{item.nodeid} does not fail, but stands in {FILE}: take its line out"
     return report
 
 
-SEEN = pytest.StashKey[dict[str, str]]()
+FAILURES_KEY = pytest.StashKey[dict[str, str]]()
 
 
 def pytest_terminal_summary(terminalreporter, config) -> None:
-    for test, cause in config.stash.get(SEEN, {}).items():
+    for test, cause in config.stash.get(FAILURES_KEY, {}).items():
         terminalreporter.write_line(f"KNOWN RED {test}: {cause}")
