--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks of the project; each module is a program with its usage in its docstring."""
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -283,26 +283,26 @@
 
 def store_rest(count: int, seconds: float = 5.0) -> dict:
     """The store's share of a core and resident memory (bytes) for this many sessions that only ping, over sockets."""
-    from benchmarks.roster import Rig, RosterClient, State
+    from benchmarks.roster import RosterClient, State, Testbed
 
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    rig = Rig()
+    testbed = Testbed()
     try:
-        empty_mib = rig.memory(rig.store)
+        empty_mib = testbed.memory(testbed.store)
         clients = [
-            RosterClient(rig.loop, [rig.address], 10.0, Random(k), lambda state: None, lambda event: None)
+            RosterClient(testbed.loop, [testbed.address], 10.0, Random(k), lambda state: None, lambda event: None)
             for k in range(count)
         ]
-        rig.until(lambda: all(each.session.state is State.ON for each in clients), 60.0)
-        cpu_before, started_at = rig.cpu(rig.store), time.monotonic()
-        rig.loop.run(rig.loop.clock() + seconds)
+        testbed.until(lambda: all(each.session.state is State.ON for each in clients), 60.0)
+        cpu_before, started_at = testbed.cpu(testbed.store), time.monotonic()
+        testbed.loop.run(testbed.loop.clock() + seconds)
         return {
-            "store_rest_cores": (rig.cpu(rig.store) - cpu_before) / (time.monotonic() - started_at),
-            "store_rest_memory": (rig.memory(rig.store) - empty_mib) * 2**20,
+            "store_rest_cores": (testbed.cpu(testbed.store) - cpu_before) / (time.monotonic() - started_at),
+            "store_rest_memory": (testbed.memory(testbed.store) - empty_mib) * 2**20,
         }
     finally:
-        rig.close()
+        testbed.close()
 
 
 # ---- supervisor process ----
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -1,8 +1,8 @@
-"""What coordination costs and how quick it is: agents and a store in virtual time.
+"""Measures the cost and latency of coordination: agents and a store in virtual time.
 
     python -m benchmarks.coordination [settle] [death] [rest] [histories N] [models]
 
-settle, death and rest unless given. Seconds are of virtual time, processor time is this machine's. One JSON object a
+Default: settle, death and rest. Seconds are of virtual time, processor time is this machine's. Prints one JSON object a
 line."""
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 NAMES = [f"s{k:02}" for k in range(25)]
 
 
-def settle(supervisors: int, delay: float, rounds: int = 20) -> dict:
-    """From a proposal to when each supervisor has seen it settled, with the store `delay` seconds away, one way."""
+def measure_commit(supervisors: int, delay: float, rounds: int = 20) -> dict:
+    """Time from a proposal until each supervisor has read it as committed; `delay`: seconds to the store, one way."""
     fleet = Fleet(NAMES[:supervisors], 1, delay=delay)
     fleet.up()
-    own, all_of_them, writes = [], [], []
+    proposer_seconds, everywhere_seconds, writes = [], [], []
     for k in range(rounds):
-        before, began = fleet.store.store.tree.zxid, fleet.loop.now
+        before, started_at = fleet.store.store.tree.zxid, fleet.loop.now
         proposal = fleet.propose(NAMES[k % supervisors], "policy", k)
         while proposal.state != "settled":
             fleet.run(0.001)
-        own.append(fleet.loop.now - began)
+        proposer_seconds.append(fleet.loop.now - started_at)
         while any(
             agent.topics["policy"].record.standing.epoch < proposal.epoch
             if agent.topics["policy"].record.standing
@@ -39,67 +39,77 @@
             for agent in fleet.all
         ):
             fleet.run(0.001)
-        all_of_them.append(fleet.loop.now - began)
+        everywhere_seconds.append(fleet.loop.now - started_at)
         writes.append(fleet.store.store.tree.zxid - before)
         fleet.run(0.5)
     return {
         "supervisors": supervisors,
         "store_ms": delay * 1e3,
-        "settled_ms": round(median(own) * 1e3, 1),
-        "seen_by_all_ms": round(median(all_of_them) * 1e3, 1),
-        "worst_ms": round(max(all_of_them) * 1e3, 1),
+        "settled_ms": round(median(proposer_seconds) * 1e3, 1),
+        "seen_by_all_ms": round(median(everywhere_seconds) * 1e3, 1),
+        "worst_ms": round(max(everywhere_seconds) * 1e3, 1),
         "writes": median(writes),
     }
 
 
-def death(supervisors: int, rounds: int = 20) -> dict:
-    """From a supervisor's death to when every survivor knows it, in time-outs of its session."""
-    took = []
+def measure_death(supervisors: int, rounds: int = 20) -> dict:
+    """The time from a supervisor's death until every survivor has noticed it, in session time-outs."""
+    durations = []
     for seed in range(rounds):
         fleet = Fleet(NAMES[:supervisors], seed)
         fleet.up()
         fleet.run(0.1 * seed)
         fleet.kill(NAMES[0])
-        began = fleet.loop.now
+        started_at = fleet.loop.now
         while any(NAMES[0] in agent.roll.order() for agent in fleet.all[1:]):
             fleet.run(0.01)
-        took.append((fleet.loop.now - began) / TIMEOUT)
-    return {"supervisors": supervisors, "timeouts": [round(min(took), 2), round(median(took), 2), round(max(took), 2)]}
+        durations.append((fleet.loop.now - started_at) / TIMEOUT)
+    return {
+        "supervisors": supervisors,
+        "timeouts": [round(min(durations), 2), round(median(durations), 2), round(max(durations), 2)],
+    }
 
 
-def rest(supervisors: int, seconds: float = 120.0) -> dict:
-    """At rest, after one record was settled and its words were swept; and with a change every second."""
+def measure_rest(supervisors: int, seconds: float = 120.0) -> dict:
+    """Writes, messages and bytes at rest, with the votes of an earlier change deleted; and with a change a second."""
     fleet = Fleet(NAMES[:supervisors], 1)
     fleet.up()
     fleet.propose(NAMES[0], "policy", 0)
     fleet.run(30)
     figures: dict = {"supervisors": supervisors}
-    for what in ("rest", "change"):
-        before, messages, came, cpu = fleet.store.store.tree.zxid, fleet.network.messages, traffic(fleet), cpu_now()
+    for phase in ("rest", "change"):
+        zxid_before, messages_before, bytes_before, cpu = (
+            fleet.store.store.tree.zxid,
+            fleet.network.messages,
+            traffic(fleet),
+            cpu_now(),
+        )
         for k in range(int(seconds)):
-            if what == "change":
+            if phase == "change":
                 fleet.propose(NAMES[k % supervisors], "policy", k)
             fleet.run(1.0)
         cpu = cpu_now() - cpu
         figures |= {
-            f"{what}_writes_a_second": round((fleet.store.store.tree.zxid - before) / seconds, 3),
-            f"{what}_messages_a_second": round((fleet.network.messages - messages) / seconds, 1),
-            f"{what}_bytes_a_second": round((traffic(fleet) - came) / seconds),
-            f"{what}_cores_an_agent": round(cpu / seconds / supervisors, 5),
+            f"{phase}_writes_a_second": round((fleet.store.store.tree.zxid - zxid_before) / seconds, 3),
+            f"{phase}_messages_a_second": round((fleet.network.messages - messages_before) / seconds, 1),
+            f"{phase}_bytes_a_second": round((traffic(fleet) - bytes_before) / seconds),
+            f"{phase}_cores_an_agent": round(cpu / seconds / supervisors, 5),
         }
     return figures
 
 
 def traffic(fleet: Fleet) -> int:
+    """Bytes in both directions on all streams to the store so far."""
     return sum(stream.came + stream.went for stream in fleet.network.streams if stream.peer[1] == 2181)
 
 
 def cpu_now() -> float:
+    """Processor time of this process, in seconds."""
     return time.process_time()
 
 
-def one_history(seed: int) -> tuple[str, int, int]:
-    """What broke, if anything, the events of the run, and the records that were written."""
+def run_history(seed: int) -> tuple[str, int, int]:
+    """The violated invariant, or an empty string; the events of the run; the number of records written."""
     try:
         fleet = history(seed)
         check(fleet)
@@ -109,45 +119,47 @@
     return "", fleet.loop.events, len(fleet.history())
 
 
-def histories(count: int) -> dict:
-    began = time.monotonic()
+def run_histories(count: int) -> dict:
+    """Runs `count` random histories with faults in parallel and sums up their results."""
+    started_at = time.monotonic()
     with Pool() as pool:
-        rows = pool.map(one_history, range(count), chunksize=20)
+        rows = pool.map(run_history, range(count), chunksize=20)
     return {
         "histories": count,
-        "broken": [said for said, _, _ in rows if said],
-        "events": sum(e for _, e, _ in rows),
-        "records_written": sum(w for _, _, w in rows),
-        "seconds": round(time.monotonic() - began, 1),
+        "broken": [failure for failure, _, _ in rows if failure],
+        "events": sum(event_count for _, event_count, _ in rows),
+        "records_written": sum(record_count for _, _, record_count in rows),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
 
 
-def models() -> None:
-    for name, start, moves, wrong, most in (
+def explore_models() -> None:
+    """Explores the models of leases and records, one JSON line each."""
+    for name, start, moves, find_violation, max_states in (
         ("leases of two starts", Leases(0, (Start(), Start())), lease_moves, lease_wrong, 3_000_000),
         ("leases of three starts", Leases(0, (Start(),) * 3), lease_moves, lease_wrong, 1_000_000),
         ("records, two, one crash", records(2, 2, 1, 0), record_moves, record_wrong, 600_000),
         ("records, two, a loss each", records(2, 2, 0, 1), record_moves, record_wrong, 600_000),
         ("records, three, one proposal", records(3, 1, 0, 0), record_moves, record_wrong, 600_000),
     ):
-        began = time.process_time()
-        found = explore(start, moves, wrong, most)
-        print(json.dumps({"model": name, **found._asdict(), "seconds": round(time.process_time() - began, 1)}))
+        started_at = time.process_time()
+        result = explore(start, moves, find_violation, max_states)
+        print(json.dumps({"model": name, **result._asdict(), "seconds": round(time.process_time() - started_at, 1)}))
 
 
 if __name__ == "__main__":
-    asked = sys.argv[1:] or ["settle", "death", "rest"]
-    if "settle" in asked:
+    arguments = sys.argv[1:] or ["settle", "death", "rest"]
+    if "settle" in arguments:
         for supervisors in (3, 5, 9, 25):
             for delay in (0.0, 0.02, 0.1):
-                print(json.dumps(settle(supervisors, delay)), flush=True)
-    if "death" in asked:
+                print(json.dumps(measure_commit(supervisors, delay)), flush=True)
+    if "death" in arguments:
         for supervisors in (3, 5, 25):
-            print(json.dumps(death(supervisors)), flush=True)
-    if "rest" in asked:
+            print(json.dumps(measure_death(supervisors)), flush=True)
+    if "rest" in arguments:
         for supervisors in (3, 25):
-            print(json.dumps(rest(supervisors)), flush=True)
-    if "histories" in asked:
-        print(json.dumps(histories(int(asked[asked.index("histories") + 1]))), flush=True)
-    if "models" in asked:
-        models()
+            print(json.dumps(measure_rest(supervisors)), flush=True)
+    if "histories" in arguments:
+        print(json.dumps(run_histories(int(arguments[arguments.index("histories") + 1]))), flush=True)
+    if "models" in arguments:
+        explore_models()
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -1,9 +1,9 @@
-"""What an event costs the module, by size of the fleet.
+"""Measures the processor time of the module per event, by size of the fleet.
 
-    python benchmarks/events.py [SERVERSxPROXIES ...]      26x37, 118x349, 400x1500 and 1600x6000 unless given
+    python benchmarks/events.py [SERVERSxPROXIES ...]      default: 26x37, 118x349, 400x1500 and 1600x6000
 
-Each half second every server is reported by two zones and every proxy's demand once, in one batch; a server drains and
-another starts now and then. Prints one JSON object a size."""
+Each half second, one batch has two zones' reports of every server and one report of every proxy's demand. Every four
+seconds a server starts to drain and another starts. Prints one JSON object a size."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from driftshed.brain import Brain
 from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
 
-PERIOD = 0.5
+PERIOD_S = 0.5
 
 
 def make_facts(proxies: int) -> face.StartFacts:
-    given = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
-    given |= {
+    """Start facts for this many proxies, with three operations."""
+    facts = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    facts |= {
         "proxies": proxies,
         "lines_per_second": 20.0 * proxies,
         "queue_cap": 40.0 * proxies,
@@ -30,65 +31,71 @@
         "listed_weights": "rough",
         "kinds": ("large", "small"),
     }
-    given["operations"] = tuple(
+    facts["operations"] = tuple(
         read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
         for name, value in (("status", 1), ("history", 2), ("credit", 3))
     )
-    return start_facts(given)
+    return start_facts(facts)
 
 
 def name(n: int) -> bytes:
+    """The binary address of server number `n`."""
     return bytes([10, n >> 16, n >> 8 & 255, n & 255, 31, 64])
 
 
 def batches(servers: int, proxies: int, seconds: float, now: float, brain) -> Iterator[tuple[float, list]]:
-    """The events of each half second; marks are answered in the next batch."""
+    """Pairs of time and events: the first list, joins, then a batch each half second, which also answers earlier marks.
+
+    `now`: the start time in seconds; `brain`: returns the module, whose unanswered marks are read."""
     random = Random(1)
 
     def entry(n: int, state: int = face.READY, started: float | None = None) -> face.Entry:
         return face.Entry(name(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
 
-    alive, newest = list(range(servers)), servers
-    yield now, [face.Listing(1, face.CACHED, tuple(entry(n) for n in alive))]
-    for first in range(0, proxies, 64):  # joins come as the channel bears them
+    server_numbers, last_number = list(range(servers)), servers
+    yield now, [face.Listing(1, face.CACHED, tuple(entry(n) for n in server_numbers))]
+    for first in range(0, proxies, 64):  # joins arrive at the rate that the channel supports
         now += 0.02
         yield now, [face.Joined(p % 2, True, p, 2.7) for p in range(first, min(proxies, first + 64))]
-    for step in range(int(seconds / PERIOD)):
-        now += PERIOD
+    for step in range(int(seconds / PERIOD_S)):
+        now += PERIOD_S
         events: list = [face.TimerDue(0)]
         events += [face.Applied(mark, proxy, 0.1) for proxy, mark in list(brain().unanswered.items())]
         if step % 8 == 3:
-            gone, newest = alive.pop(0), newest + 1
-            alive.append(newest)
-            events.append(face.Listing(2, face.DELTA, (entry(gone, face.DRAINING), entry(newest, started=now - 1))))
-        for n in alive:
+            drained, last_number = server_numbers.pop(0), last_number + 1
+            server_numbers.append(last_number)
+            events.append(
+                face.Listing(2, face.DELTA, (entry(drained, face.DRAINING), entry(last_number, started=now - 1)))
+            )
+        for n in server_numbers:
             for zone in (0, 1):
-                took = random.uniform(0.09, 0.2)
-                events.append(face.Heard(random.random() < 0.1, name(n), 12, PERIOD, zone, took, None))
-        events += [face.Demand(1 + random.randrange(2), p, PERIOD, 0, random.randrange(3)) for p in range(proxies)]
+                latency = random.uniform(0.09, 0.2)
+                events.append(face.Heard(random.random() < 0.1, name(n), 12, PERIOD_S, zone, latency, None))
+        events += [face.Demand(1 + random.randrange(2), p, PERIOD_S, 0, random.randrange(3)) for p in range(proxies)]
         yield now, events
 
 
 def measure(servers: int, proxies: int, seconds: float = 20.0) -> dict:
+    """Runs `batches` through a module and returns the processor time of its calls."""
     brain = Brain(make_facts(proxies), 1, 100.0)
-    took, count, worst, starting, joins = 0.0, 0, 0.0, 0.0, 0.0
+    total, count, worst_batch, first_list, worst_join_batch = 0.0, 0, 0.0, 0.0, 0.0
     for now, events in batches(servers, proxies, seconds, 100.0, lambda: brain):
-        began = time.process_time()
+        started_at = time.process_time()
         brain.handle(now, events)
-        spent = time.process_time() - began
+        duration = time.process_time() - started_at
         if isinstance(events[0], face.Listing):
-            starting = spent
+            first_list = duration
         elif isinstance(events[0], face.Joined):
-            joins = max(joins, spent)
+            worst_join_batch = max(worst_join_batch, duration)
         else:
-            took, count, worst = took + spent, count + len(events), max(worst, spent)
+            total, count, worst_batch = total + duration, count + len(events), max(worst_batch, duration)
     return {
         "size": f"{servers}x{proxies}",
-        "us_an_event": round(took / count * 1e6, 2),
-        "worst_batch_ms": round(worst * 1e3, 1),
-        "first_list_ms": round(starting * 1e3, 1),
-        "worst_join_batch_ms": round(joins * 1e3, 1),
-        "cores": round(took / seconds, 4),
+        "us_an_event": round(total / count * 1e6, 2),
+        "worst_batch_ms": round(worst_batch * 1e3, 1),
+        "first_list_ms": round(first_list * 1e3, 1),
+        "worst_join_batch_ms": round(worst_join_batch * 1e3, 1),
+        "cores": round(total / seconds, 4),
     }
 
 
--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -1,9 +1,9 @@
-"""A supervisor as `driftshed supervise` runs it, with a histogram of how long orders took: for `scale.py` alone.
+"""A supervisor like that of `driftshed supervise`, with histograms of the latency of orders. Used by `scale.py` only.
 
     python benchmarks/hosted.py PORT SERVERS PROXIES LINES_PER_SECOND [plain] [trace=DIR]
 
-`plain` puts a stand-in in the module's place that puts every proxy on one table and changes a line when the roster
-does: the program's own cost. On SIGTERM one JSON object goes to standard output."""
+`plain` replaces the module by a stand-in that gives every proxy the same table and changes a line when the roster does,
+which leaves the program's own cost. On SIGTERM it prints one JSON object to standard output."""
 
 from __future__ import annotations
 
@@ -27,13 +27,15 @@
 from driftshed.trace.writer import TraceWriter, tend_trace
 
 
-class Plain:
-    """One table, every proxy on it, and a line for each listed server."""
+class PlainModule:
+    """Replaces the module: all proxies use one table, which has a line for each listed server."""
 
     def __init__(self, facts, seed, now) -> None:
+        """Takes the arguments of the module and ignores them."""
         self.marks = 0
 
     def handle(self, now, events) -> list:
+        """Orders a line for each listed server and the table for each proxy that joins, followed by a mark."""
         orders = []
         for event in events:
             if isinstance(event, face.Listing):
@@ -45,35 +47,36 @@
 
 
 def main() -> None:
-    port, servers, proxies, pace = (int(each) for each in sys.argv[1:5])
-    given = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
-    given |= {
+    """Runs the supervisor until SIGTERM."""
+    port, servers, proxies, lines_per_second = (int(each) for each in sys.argv[1:5])
+    facts = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    facts |= {
         "proxies": proxies,
-        "lines_per_second": float(pace),
-        "queue_cap": 2.0 * pace,
+        "lines_per_second": float(lines_per_second),
+        "queue_cap": 2.0 * lines_per_second,
         "report_period": 1.0,
         "least_connections": 130.0,
         "listed_weights": "rough",
     }
-    given["operations"] = tuple(
+    facts["operations"] = tuple(
         read_operation(f"{name}:objective=0.8,timeout=2,value={value},effect=idempotent")
         for name, value in (("status", 1), ("history", 2), ("credit", 3))
     )
     loop = Loop()
-    brain = Plain if "plain" in sys.argv else Brain
-    instance = Instance(start_facts(given), 1, f"run{os.getpid()}", loop.clock(), time.monotonic() - time.time(), brain)
-    whole, own = HdrHistogram(1, 600_000_000, 3), HdrHistogram(1, 600_000_000, 3)
+    brain = PlainModule if "plain" in sys.argv else Brain
+    instance = Instance(start_facts(facts), 1, f"run{os.getpid()}", loop.clock(), time.monotonic() - time.time(), brain)
+    total_latency, channel_latency = HdrHistogram(1, 600_000_000, 3), HdrHistogram(1, 600_000_000, 3)
 
-    def applied(message, now) -> None:
-        whole.record_value(max(1, round((now - message.ordered_at) * 1e6)))
-        own.record_value(max(1, round((now - message.due_at) * 1e6)))
+    def record_latency(message, now) -> None:
+        total_latency.record_value(max(1, round((now - message.ordered_at) * 1e6)))
+        channel_latency.record_value(max(1, round((now - message.due_at) * 1e6)))
 
     service = Service(loop, instance, ("127.0.0.1", port), lambda *_, **__: None, 60.0, 30.0, Bounds(connections=30000))
-    instance.hub.on_applied = applied
+    instance.hub.on_applied = record_latency
     writer = None
-    for part in sys.argv[5:]:
-        if part.startswith("trace="):
-            writer = TraceWriter(Path(part.partition("=")[2]), "supervisor-0")
+    for argument in sys.argv[5:]:
+        if argument.startswith("trace="):
+            writer = TraceWriter(Path(argument.partition("=")[2]), "supervisor-0")
             service.on_message = Recording(instance, writer).message
             tend_trace(loop, writer)
     loop.on_signals((signal.SIGTERM,), lambda number: service.stop())
@@ -83,12 +86,12 @@
         writer.close()
     figures = {
         name: {
-            "count": h.get_total_count(),
-            "p50_ms": h.get_value_at_percentile(50) / 1000,
-            "p99_ms": h.get_value_at_percentile(99) / 1000,
-            "most_ms": h.get_max_value() / 1000,
+            "count": histogram.get_total_count(),
+            "p50_ms": histogram.get_value_at_percentile(50) / 1000,
+            "p99_ms": histogram.get_value_at_percentile(99) / 1000,
+            "most_ms": histogram.get_max_value() / 1000,
         }
-        for name, h in (("whole", whole), ("own", own))
+        for name, histogram in (("whole", total_latency), ("own", channel_latency))
     }
     print(json.dumps({**figures, "most_waiting": instance.hub.channel.most_waiting, "cpu": time.process_time()}))
 
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,4 +1,4 @@
-"""The laboratory itself: how fast virtual time runs at three sizes, and how alike the two clocks are.
+"""Measures the laboratory: the speed of virtual time at three sizes, and the agreement of its two clocks.
 
 python -m benchmarks.lab speed
 python -m benchmarks.lab clocks --days 20
@@ -28,38 +28,39 @@
 
 @click.group()
 def main() -> None:
-    """What the laboratory costs."""
+    """Measures the laboratory."""
 
 
 @main.command()
 @click.option("--seconds", default=20.0)
 @click.option("--sizes", default="small,full,large")
 def speed(seconds: float, sizes: str) -> None:
-    """Simulated seconds and events a real second, on one core, after the first 4 s of joining."""
+    """Simulated seconds and events per real second on one core, after the first 4 s, in which proxies join."""
     for size in sizes.split(","):
         day = bare_day(size, seconds)
-        ground = VirtualGround(day, 1)
-        World(day, 1, ground).open()
-        began = time.process_time()
+        environment = VirtualGround(day, 1)
+        World(day, 1, environment).open()
+        started_at = time.process_time()
         with rare_collections():
-            ground.whole.run(4.0)
-            joined, events = time.process_time(), ground.whole.events
-            ground.whole.run(seconds)
-        took = time.process_time() - joined
-        done = ground.whole.events - events
+            environment.whole.run(4.0)
+            joined, events = time.process_time(), environment.whole.events
+            environment.whole.run(seconds)
+        elapsed = time.process_time() - joined
+        event_count = environment.whole.events - events
         click.echo(
             f"{size:6} {day.fleet.servers:4} servers {day.facts.proxies:5} proxies {day.traffic.rate:6.0f} a second: "
-            f"{(seconds - 4) / took:6.2f} simulated seconds a second, {done / took:8.0f} events a second, "
-            f"{took / (seconds - 4) / day.traffic.rate * 1e6:6.0f} us an invocation; first 4 s {joined - began:.1f} s"
+            f"{(seconds - 4) / elapsed:6.2f} simulated seconds a second, {event_count / elapsed:8.0f} events a second, "
+            f"{elapsed / (seconds - 4) / day.traffic.rate * 1e6:6.0f} us an invocation; "
+            f"first 4 s {joined - started_at:.1f} s"
         )
 
 
 @main.command()
 @click.option("--days", default=20)
 def clocks(days: int) -> None:
-    """The same small days in virtual time and as processes: rules, and service."""
-    alike = 0
-    most = 0.0
+    """Compares broken rules and service of the same small days in virtual time and as processes."""
+    similar_days = 0
+    max_difference = 0.0
     for seed in range(1, days + 1):
         day = bare_day("tiny", 8.0)
         day.flags |= {"warm-within": 3.0}
@@ -74,17 +75,17 @@
             [Sick(1.5, 5.0, "slow", 4.0, Whom(count=2))],
         ][seed % 8]
         virtual, real = (run(check(day), seed, clock) for clock in ("virtual", "real"))
-        apart = real.service - virtual.service
-        most = max(most, abs(apart))
+        difference = real.service - virtual.service
+        max_difference = max(max_difference, abs(difference))
         rules = [{rule: row["broken"] for rule, row in outcome.rules.items()} for outcome in (virtual, real)]
-        same = rules[0] == rules[1]
-        alike += same and abs(apart) <= 0.03
+        rules_equal = rules[0] == rules[1]
+        similar_days += rules_equal and abs(difference) <= 0.03
         click.echo(
             f"seed {seed:2} {type(day.troubles[0]).__name__:8} virtual {virtual.service:.4f} real "
-            f"{real.service:.4f} apart {apart:+.4f}; rules {'equal' if same else 'differ'}; counts "
+            f"{real.service:.4f} apart {difference:+.4f}; rules {'equal' if rules_equal else 'differ'}; counts "
             f"{real.counts} (lag p99 {real.lag[0] * 1000:.1f} ms)"
         )
-    click.echo(f"{alike} of {days} with equal rules and service within 0.03; most apart {most:.4f}")
+    click.echo(f"{similar_days} of {days} with equal rules and service within 0.03; most apart {max_difference:.4f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,10 +1,10 @@
-"""Changes of policy in virtual time: drawn histories with faults, and how long a change takes without.
+"""Measures changes of policy in virtual time: random histories with faults, and the duration of a change without.
 
     python -m benchmarks.policy histories [COUNT]
     python -m benchmarks.policy times
-    python -m benchmarks.policy kills [COUNT]       # writers of the kept file, killed at points of their own
+    python -m benchmarks.policy kills [COUNT]       # writers of the policy store, killed at random points
 
-One JSON object a line."""
+Prints one JSON object a line."""
 
 from __future__ import annotations
 
@@ -22,31 +22,34 @@
 from tests.test_policy_processes import cut_short
 
 
-def history(seed: int) -> tuple[int, str, int, int, Counter]:
-    """Of one seed: what does not hold, versions settled, proposals, how they ended."""
+def run_history(seed: int) -> tuple[int, str, int, int, Counter]:
+    """Runs one history: seed, violated invariant, versions committed, proposals, and how these ended."""
     folder = Path(tempfile.mkdtemp())
     try:
         fleet = drawn_history(folder, seed)
-        said = ""
+        violation = ""
         try:
             check_policies(fleet)
             check(fleet)
         except AssertionError as error:
-            said = str(error)
-        ends = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
-        return seed, said, len(fleet.settled()), len(fleet.orders), ends
+            violation = str(error)
+        outcomes = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
+        return seed, violation, len(fleet.settled()), len(fleet.orders), outcomes
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def histories(count: int) -> None:
-    broken, settled, orders, ends, kinds = [], 0, 0, Counter(), Counter()
+def run_histories(count: int) -> None:
+    """Runs `count` histories in parallel and prints their sums."""
+    broken, settled, orders, outcomes, by_versions = [], 0, 0, Counter(), Counter()
     with Pool() as pool:
-        for seed, said, versions, ordered, ended in pool.imap_unordered(history, range(count), chunksize=8):
-            settled, orders, ends = settled + versions, orders + ordered, ends + ended
-            kinds[min(versions, 5)] += 1
-            if said:
-                broken.append([seed, said])
+        for seed, violation, seed_versions, seed_orders, seed_outcomes in pool.imap_unordered(
+            run_history, range(count), chunksize=8
+        ):
+            settled, orders, outcomes = settled + seed_versions, orders + seed_orders, outcomes + seed_outcomes
+            by_versions[min(seed_versions, 5)] += 1
+            if violation:
+                broken.append([seed, violation])
     print(
         json.dumps(
             {
@@ -55,65 +58,69 @@
                 "broken_in_all": len(broken),
                 "settled": settled,
                 "orders": orders,
-                "ends": ends,
-                "by_versions": dict(sorted(kinds.items())),
+                "ends": outcomes,
+                "by_versions": dict(sorted(by_versions.items())),
             }
         )
     )
 
 
-def times(supervisors: int) -> dict:
-    """From proposal to everywhere, and the spread of the switch, 10 changes."""
-    folder, took, spread = Path(tempfile.mkdtemp()), [], []
+def measure_times(supervisors: int) -> dict:
+    """Time from a proposal until all have switched, and between the first and last switch, over 10 changes.
+
+    Medians and maxima leave out the first change."""
+    folder, durations, spreads = Path(tempfile.mkdtemp()), [], []
     fleet = PolicyFleet(folder, tuple(f"s{k}" for k in range(supervisors)), proxies=8)
     fleet.up()
     fleet.run(2)
     for k in range(10):
-        began = fleet.loop.now
+        started_at = fleet.loop.now
         fleet.ask("s0", 2.5 + k / 10)
         fleet.until(lambda k=k: set(fleet.runs().values()) == {k + 1}, 20)
-        at = [at for at, _, event, fields in fleet.logs if event == "policy" and fields["version"] == k + 1]
-        took.append(max(at) - began)
-        spread.append(max(at) - min(at))
+        switch_times = [at for at, _, event, fields in fleet.logs if event == "policy" and fields["version"] == k + 1]
+        durations.append(max(switch_times) - started_at)
+        spreads.append(max(switch_times) - min(switch_times))
         fleet.run(2)
-    quiet = sum(agent.written for agent in fleet.agents.values())
+    written_before = sum(agent.written for agent in fleet.agents.values())
     fleet.run(10)
-    written = sum(agent.written for agent in fleet.agents.values()) - quiet
+    written = sum(agent.written for agent in fleet.agents.values()) - written_before
     shutil.rmtree(folder, ignore_errors=True)
     return {
         "supervisors": supervisors,
-        "everywhere_s": [round(median(took[1:]), 3), round(max(took[1:]), 3)],
-        "spread_ms": [round(1000 * median(spread[1:]), 1), round(1000 * max(spread[1:]), 1)],
+        "everywhere_s": [round(median(durations[1:]), 3), round(max(durations[1:]), 3)],
+        "spread_ms": [round(1000 * median(spreads[1:]), 1), round(1000 * max(spreads[1:]), 1)],
         "writes_at_rest_in_10_s": written,
     }
 
 
-def killed(seeds: range) -> list:
-    """Writers killed one after the other in one file: seeds after which it did not hold what was said, and nothing
-    torn."""
-    folder, wrong = Path(tempfile.mkdtemp()), []
+def run_kills(seeds: range) -> list:
+    """Kills writers of one policy store one after the other. Returns the seeds after which it contained neither the
+    last acknowledged version nor the one after it."""
+    folder, failures = Path(tempfile.mkdtemp()), []
     for seed in seeds:
-        said, kept = cut_short(folder, seed)
-        if kept not in (said, said + 1):
-            wrong.append([seed, said, kept])
+        acknowledged, stored = cut_short(folder, seed)
+        if stored not in (acknowledged, acknowledged + 1):
+            failures.append([seed, acknowledged, stored])
     shutil.rmtree(folder, ignore_errors=True)
-    return wrong
+    return failures
 
 
-def kills(count: int) -> None:
+def check_kills(count: int) -> None:
+    """Runs `count` kills in parallel and prints the failures."""
     with Pool() as pool:
-        wrong = pool.map(killed, [range(k, k + 25) for k in range(0, count, 25)], chunksize=1)
-    print(json.dumps({"kills": count, "wrong": [row for rows in wrong for row in rows]}))
+        failures = pool.map(run_kills, [range(k, k + 25) for k in range(0, count, 25)], chunksize=1)
+    print(json.dumps({"kills": count, "wrong": [row for rows in failures for row in rows]}))
 
 
 def main() -> None:
+    """Runs the measurement named on the command line; histories by default."""
     if sys.argv[1:2] == ["times"]:
         for supervisors in (3, 5, 9, 25):
-            print(json.dumps(times(supervisors)), flush=True)
+            print(json.dumps(measure_times(supervisors)), flush=True)
     elif sys.argv[1:2] == ["kills"]:
-        kills(int(sys.argv[2]) if len(sys.argv) > 2 else 1000)
+        check_kills(int(sys.argv[2]) if len(sys.argv) > 2 else 1000)
     else:
-        histories(int(sys.argv[2]) if len(sys.argv) > 2 else 1000)
+        run_histories(int(sys.argv[2]) if len(sys.argv) > 2 else 1000)
 
 
 if __name__ == "__main__":
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,5 +1,5 @@
-"""How long `python -m driftshed.node` takes from exec until it hears signals and until it gives its first sign of life,
-alone on a core and sharing it, and what of that is loading.
+"""Measures the time that `python -m driftshed.node` takes from exec until it answers PING, alone on a core and sharing
+it, and how much of that is the import of modules before and after its signal handlers are installed.
 
     .venv/bin/python -m benchmarks.start [--rounds 20] [--busy 3]
 """
@@ -21,23 +21,23 @@
 from tests.platforms import Platform, free_port, told
 
 
-def loading() -> tuple[float, float]:
-    """Seconds of loading: up to the handlers of signals, and of all the rest."""
+def measure_loading() -> tuple[float, float]:
+    """Seconds of importing what precedes the signal handlers, interpreter included, and of importing the rest."""
     code = "import driftshed.net.loop, time; at = time.perf_counter()\n"
     code += "import driftshed.node.service, driftshed.node.config; print(time.perf_counter() - at)"
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     subprocess.run([sys.executable, "-c", "import driftshed.net.loop"], check=True)
-    first = time.perf_counter() - began
-    return first, float(subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout)
+    loop_seconds = time.perf_counter() - started_at
+    return loop_seconds, float(subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout)
 
 
-def one(platform: Platform, folder: Path) -> float:
-    """Seconds from exec to PONG."""
+def measure_start(platform: Platform, folder: Path) -> float:
+    """Seconds from exec until the process answers PING."""
     port = free_port()
     file = folder / "config.json"
-    given = told(platform.relay.address, platform.discovery.address) | {"listen": f"127.0.0.1:{port}"}
-    file.write_bytes(msgspec.json.encode(given))
-    began = time.perf_counter()
+    configuration = told(platform.relay.address, platform.discovery.address) | {"listen": f"127.0.0.1:{port}"}
+    file.write_bytes(msgspec.json.encode(configuration))
+    started_at = time.perf_counter()
     process = subprocess.Popen(
         [sys.executable, "-m", "driftshed.node"], env={**os.environ, "LB_CONFIG": str(file)}, stderr=subprocess.DEVNULL
     )
@@ -57,33 +57,34 @@
                 break
         except BlockingIOError:
             pass
-    took = time.perf_counter() - began
+    elapsed = time.perf_counter() - started_at
     peer.close()
     process.terminate()
     process.wait()
-    return took
+    return elapsed
 
 
 def main() -> None:
+    """Prints import times, and start times alone on a core and with busy processes on it."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--rounds", type=int, default=20)
-    parser.add_argument("--busy", type=int, default=3, help="others that share the core")
-    asked = parser.parse_args()
-    first, rest = loading()
-    print(f"interpreter and the loop, loaded and ended: {first:.3f} s; the rest, loaded: {rest:.3f} s")
+    parser.add_argument("--busy", type=int, default=3, help="busy processes that share the core")
+    options = parser.parse_args()
+    loop_seconds, other_seconds = measure_loading()
+    print(f"interpreter and the loop, loaded and ended: {loop_seconds:.3f} s; the rest, loaded: {other_seconds:.3f} s")
     cores = sorted(os.sched_getaffinity(0))
     platform = Platform(serve=False)
-    popen = subprocess.Popen
-    for busy in (0, asked.busy):
-        pinned = lambda *a, **k: popen(*a, preexec_fn=lambda: os.sched_setaffinity(0, {cores[-1]}), **k)  # noqa: E731
+    original_popen = subprocess.Popen
+    for busy in (0, options.busy):
+        pinned = lambda *a, **k: original_popen(*a, preexec_fn=lambda: os.sched_setaffinity(0, {cores[-1]}), **k)  # noqa: E731
         subprocess.Popen = pinned
         spinners = [pinned([sys.executable, "-c", "while True: pass"]) for _ in range(busy)]
         with tempfile.TemporaryDirectory() as folder:
-            took = sorted(one(platform, Path(folder)) for _ in range(asked.rounds))
+            durations = sorted(measure_start(platform, Path(folder)) for _ in range(options.rounds))
         for spinner in spinners:
             spinner.kill()
-        print(f"one core, {busy} others on it: median {statistics.median(took):.3f} s, most {took[-1]:.3f} s")
-    subprocess.Popen = popen
+        print(f"one core, {busy} others on it: median {statistics.median(durations):.3f} s, most {durations[-1]:.3f} s")
+    subprocess.Popen = original_popen
     platform.close()
 
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,9 +1,10 @@
-"""A supervisor of three dies, stands still or leaves in peace: when its proxies are under orders of another.
+"""Measures how soon the proxies of a lost supervisor follow another one; it is killed, paused or shut down gracefully.
 
     python -m benchmarks.takeover [PROXIES] [SEED]
 
-The program's supervisors, proxies and store in virtual time, under traffic. Seconds count from the loss; `floor`: what
-the busiest survivor's channel needs to send what the newcomers are to get. One JSON object a line."""
+Three of the program's supervisors, its proxies and its store run in virtual time, under traffic. Seconds count from the
+loss; `floor`: the time that the busiest survivor's channel needs to send the newcomers' tables. Prints one JSON object
+a line."""
 
 from __future__ import annotations
 
@@ -20,66 +21,69 @@
 from driftshed.lab.scenario import bare_day, check
 from driftshed.lab.world import World
 
-LOST_AT, TILL = 12.6, 32.0
-ANSWERS = "changes"
+LOST_AT_S, END_S = 12.6, 32.0
+CHANGES_PATH = "changes"
 
 
-def takeover(how: str, proxies: int, pace: float, seed: int) -> dict:
+def measure_takeover(how: str, proxies: int, lines_per_second: float, seed: int) -> dict:
+    """Loses one of three supervisors at LOST_AT_S; `how`: "killed", "still" (paused) or "in peace" (shut down)."""
     day = bare_day("full", 40.0)
     day.fleet = replace(day.fleet, store=True, supervisors=3)
-    day.flags |= {"proxies": proxies, "lines-per-second": pace, "queue-cap": max(2000.0, 12.0 * proxies)}
-    ground = VirtualGround(check(day), seed)
-    world = World(day, seed, ground)
+    day.flags |= {"proxies": proxies, "lines-per-second": lines_per_second, "queue-cap": max(2000.0, 12.0 * proxies)}
+    environment = VirtualGround(check(day), seed)
+    world = World(day, seed, environment)
     world.open()
-    ground.whole.run(LOST_AT)
-    lost = set(ground.services[0].polls)
+    environment.whole.run(LOST_AT_S)
+    lost_proxies = set(environment.services[0].polls)
     if how == "killed":
-        ground.kill_supervisor(0)
+        environment.kill_supervisor(0)
     elif how == "still":
-        ground.pause_supervisor(TILL, 0)
+        environment.pause_supervisor(END_S, 0)
     else:
-        service = ground.services[0]
-        leave(ground.agents[0], service, lambda: ground.network.end(ground.supervisors[0]))
-    ground.whole.run(TILL)
-    left: dict[int, float] = {}  # when a proxy was last heard by the one that it leaves
-    ordered: dict[int, tuple[float, int, float]] = {}  # when it had another's tables, whose, of how many lines
-    for connection in ground.record.kinds["control"]:
-        owner = ground.owner(connection.asked)
+        service = environment.services[0]
+        leave(environment.agents[0], service, lambda: environment.network.end(environment.supervisors[0]))
+    environment.whole.run(END_S)
+    last_answers: dict[int, float] = {}  # by proxy: time of the last answer of the lost supervisor
+    # By proxy: time, owner and number of lines of the first tables of another supervisor.
+    first_tables: dict[int, tuple[float, int, float]] = {}
+    for connection in environment.record.kinds["control"]:
+        owner = environment.owner(connection.asked)
         for each in connection.exchanges:
             parts = each.path.split("/")
             proxy = int(parts[3])
-            if proxy not in lost or parts[4] != ANSWERS or each.answered_at is None:
+            if proxy not in lost_proxies or parts[4] != CHANGES_PATH or each.answered_at is None:
                 continue
             if owner == 0:
-                left[proxy] = max(left.get(proxy, 0.0), each.answered_at)
-            elif each.answered_at > LOST_AT and each.status == 200:
-                told: Changes = CHANGES.decode(each.body)
-                if told.changes and (proxy not in ordered or each.answered_at < ordered[proxy][0]):
-                    ordered[proxy] = each.answered_at, owner, told.lines
+                last_answers[proxy] = max(last_answers.get(proxy, 0.0), each.answered_at)
+            elif each.answered_at > LOST_AT_S and each.status == 200:
+                message: Changes = CHANGES.decode(each.body)
+                if message.changes and (proxy not in first_tables or each.answered_at < first_tables[proxy][0]):
+                    first_tables[proxy] = each.answered_at, owner, message.lines
     lines: dict[int, float] = {}
-    for _, owner, count in ordered.values():
+    for _, owner, count in first_tables.values():
         lines[owner] = lines.get(owner, 0.0) + count
-    took = sorted(at - LOST_AT for at, _, _ in ordered.values())
-    gaps = sorted(ordered[proxy][0] - max(left[proxy], LOST_AT) for proxy in ordered)
+    durations = sorted(at - LOST_AT_S for at, _, _ in first_tables.values())
+    gaps = sorted(first_tables[proxy][0] - max(last_answers[proxy], LOST_AT_S) for proxy in first_tables)
     return {
         "how": how,
         "proxies": proxies,
-        "lines_per_second": pace,
-        "lost": len(lost),
-        "under_orders": len(ordered),
-        "median_s": round(median(took), 2),
-        "last_s": round(took[-1], 2),
-        "floor_s": round(max(lines.values()) / pace, 2),
+        "lines_per_second": lines_per_second,
+        "lost": len(lost_proxies),
+        "under_orders": len(first_tables),
+        "median_s": round(median(durations), 2),
+        "last_s": round(durations[-1], 2),
+        "floor_s": round(max(lines.values()) / lines_per_second, 2),
         "gap_s": [round(median(gaps), 2), round(gaps[-1], 2)],
     }
 
 
 def main() -> None:
+    """Measures each kind of loss at two rates of lines per second."""
     proxies = int(sys.argv[1]) if len(sys.argv) > 1 else 349
     seed = int(sys.argv[2]) if len(sys.argv) > 2 else 1
-    for pace in (3000.0, 1000.0):
+    for lines_per_second in (3000.0, 1000.0):
         for how in ("killed", "still", "in peace"):
-            print(json.dumps(takeover(how, proxies, pace, seed)), flush=True)
+            print(json.dumps(measure_takeover(how, proxies, lines_per_second, seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -1,11 +1,11 @@
-"""A fleet in tiers in virtual time: drawn histories with faults, how long a change takes and where, and the model as
-far as there is room.
+"""Measures a hierarchical fleet in virtual time: random histories with faults, the duration of a change by stage, and a
+search of the model up to a number of states.
 
     python -m benchmarks.tiers histories [COUNT [FIRST]]
     python -m benchmarks.tiers times [REGIONSxCELLSxMEMBERS ...]
     python -m benchmarks.tiers model [STATES]
 
-One JSON object a line."""
+Prints one JSON object a line."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.test_tiers_model import BROKEN, Guards, fleet, search
 from tests.tiers import ROOT, TieredFleet, check, check_ends, drawn_history
 
-PROCESSES = 8
+WORKERS = 8
 SHAPES = ["2x2x3", "2x4x16", "4x4x4"]
 STAGES = (
     "asked",
@@ -40,8 +40,8 @@
     "switched",
 )
 
-WORDS = {"cells": "members' words", "regions": "cells' words", "whole": "regions' words"}
-RECORDS = {
+VOTE_STAGES = {"cells": "members' words", "regions": "cells' words", "whole": "regions' words"}
+RECORD_STAGES = {
     ("whole", "open"): "asked",
     ("regions", "open"): "to the regions",
     ("cells", "open"): "to the cells",
@@ -53,34 +53,42 @@
 }
 
 
-def history(seed: int) -> tuple[int, str, int, int, Counter, Counter]:
-    """Of one seed: what does not hold, versions settled, looks that found tables free to change, how asking and how
-    changes ended."""
+def run_history(seed: int) -> tuple[int, str, int, int, Counter, Counter]:
+    """Runs one history: seed, violated invariant, versions committed, checks that found tables free to change, and how
+    proposals and changes ended."""
     folder = Path(tempfile.mkdtemp())
     try:
         fleet = drawn_history(folder, seed)
-        said = ""
-        for each in (check, check_ends):
+        violation = ""
+        for check_invariants in (check, check_ends):
             try:
-                each(fleet)
+                check_invariants(fleet)
             except AssertionError as error:
-                said = said or str(error)
-        ends = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
-        return seed, said, len(fleet.settled()), len(fleet.acts), fleet.asked, ends
+                violation = violation or str(error)
+        outcomes = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
+        return seed, violation, len(fleet.settled()), len(fleet.acts), fleet.asked, outcomes
     except Exception as error:
         return seed, f"{type(error).__name__}: {error}", 0, 0, Counter(), Counter()
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def histories(count: int, first: int = 0) -> None:
-    broken, settled, acts, asked, ends, kinds = [], 0, 0, Counter(), Counter(), Counter()
-    with Pool(PROCESSES) as pool:
-        for seed, said, versions, acted, taken, ended in pool.imap_unordered(history, range(first, first + count)):
-            settled, acts, asked, ends = settled + versions, acts + acted, asked + taken, ends + ended
-            kinds[min(versions, 10)] += 1
-            if said:
-                broken.append([seed, said])
+def run_histories(count: int, first: int = 0) -> None:
+    """Runs `count` histories in parallel, from seed `first` on, and prints their sums."""
+    broken, settled, acts, proposals, outcomes, by_versions = [], 0, 0, Counter(), Counter(), Counter()
+    with Pool(WORKERS) as pool:
+        for seed, violation, seed_versions, seed_acts, seed_proposals, seed_outcomes in pool.imap_unordered(
+            run_history, range(first, first + count)
+        ):
+            settled, acts, proposals, outcomes = (
+                settled + seed_versions,
+                acts + seed_acts,
+                proposals + seed_proposals,
+                outcomes + seed_outcomes,
+            )
+            by_versions[min(seed_versions, 10)] += 1
+            if violation:
+                broken.append([seed, violation])
     print(
         json.dumps(
             {
@@ -90,105 +98,108 @@
                 "broken_in_all": len(broken),
                 "settled": settled,
                 "acts": acts,
-                "asked": asked,
-                "ends": ends,
-                "by_versions": dict(sorted(kinds.items())),
+                "asked": proposals,
+                "ends": outcomes,
+                "by_versions": dict(sorted(by_versions.items())),
             }
         )
     )
 
 
-def stages_of(fleet: TieredFleet, version: int, began: float) -> list[float]:
-    """When the last of each stage of the change was done that stands now, in the order of STAGES, in seconds since it
-    was asked for."""
-    at: dict[str, list[float]] = {stage: [] for stage in STAGES}
+def stage_times(fleet: TieredFleet, version: int, started_at: float) -> list[float]:
+    """When the last supervisor completed each stage of the current change, in the order of STAGES, in seconds since
+    `started_at`, the time of its proposal."""
+    times_by_stage: dict[str, list[float]] = {stage: [] for stage in STAGES}
     epoch = fleet.above().epoch
-    for place in fleet.stores.values():
-        for when, path, data in place.written():
+    for store in fleet.stores.values():
+        for when, path, data in store.written():
             folder, _, node = path.partition("/records/")
             tier = "whole" if folder == f"{ROOT}/whole" else folder.split("/")[2]
             if "/" in node:
-                ballot = agreement.read_ballot(node.rpartition("/")[2], data)
-                if ballot.epoch == epoch:
-                    at[WORDS[tier]].append(when)
+                vote = agreement.read_ballot(node.rpartition("/")[2], data)
+                if vote.epoch == epoch:
+                    times_by_stage[VOTE_STAGES[tier]].append(when)
                 continue
             record = agreement.read_record(node, data)
             if record.topic != TOPIC or record.epoch != epoch:
                 continue
-            kind = RECORDS.get((tier, record.state))
-            if kind:
-                at[kind].append(when)
-    at["switched"] = [
+            stage = RECORD_STAGES.get((tier, record.state))
+            if stage:
+                times_by_stage[stage].append(when)
+    times_by_stage["switched"] = [
         when for when, _, event, fields in fleet.logs if event == "policy" and fields["version"] == version
     ]
-    return [max(at[stage]) - began for stage in STAGES]
+    return [max(times_by_stage[stage]) - started_at for stage in STAGES]
 
 
-def times(shape: str, changes: int = 12) -> dict:
-    """From asking to everywhere, without faults: asked at another supervisor each time."""
+def measure_times(shape: str, changes: int = 12) -> dict:
+    """Time from a proposal until all have switched, without faults; each change is proposed at another supervisor."""
     regions, cells, members = map(int, shape.split("x"))
     folder = Path(tempfile.mkdtemp())
     fleet = TieredFleet(folder, regions, cells, members)
-    up = fleet.until(lambda: all(not part.instance.still() for part in fleet.parts.values()), 120)
+    ready_after = fleet.until(lambda: all(not part.instance.still() for part in fleet.parts.values()), 120)
     fleet.run(5)
     rows = []
     for k in range(changes):
-        began = fleet.loop.now
-        said = fleet.ask(fleet.names[7 * k % len(fleet.names)], 2.5 + k / 10)
-        assert not isinstance(said, str), said
+        started_at = fleet.loop.now
+        answer = fleet.ask(fleet.names[7 * k % len(fleet.names)], 2.5 + k / 10)
+        assert not isinstance(answer, str), answer
         fleet.until(lambda k=k: fleet.everywhere(k + 1), 60, 0.01)
         fleet.run(1.0)
-        rows.append(stages_of(fleet, k + 1, began))
+        rows.append(stage_times(fleet, k + 1, started_at))
         fleet.run(fleet.random.uniform(1, 3))
     check(fleet)
     shutil.rmtree(folder, ignore_errors=True)
-    took = [row[-1] for row in rows]
-    spent, before = {}, [0.0] * len(rows)
+    durations = [row[-1] for row in rows]
+    medians, before = {}, [0.0] * len(rows)
     for j, stage in enumerate(STAGES):
-        spent[stage] = round(1000 * median(row[j] - was for row, was in zip(rows, before, strict=True)))
+        medians[stage] = round(1000 * median(row[j] - earlier for row, earlier in zip(rows, before, strict=True)))
         before = [row[j] for row in rows]
     return {
         "shape": shape,
         "supervisors": regions * cells * members,
         "near_ms": 2000 * fleet.near,
         "far_ms": 2000 * fleet.far,
-        "all_free_after_s": round(up, 2),
+        "all_free_after_s": round(ready_after, 2),
         "changes": changes,
-        "everywhere_s": {"p50": round(median(took), 3), "worst": round(max(took), 3)},
+        "everywhere_s": {"p50": round(median(durations), 3), "worst": round(max(durations), 3)},
         "settled_s": {
             "p50": round(median(row[STAGES.index("settled")] for row in rows), 3),
             "worst": round(max(row[STAGES.index("settled")] for row in rows), 3),
         },
         "bound_s": round(fleet.bound(), 3),
-        "p50_ms_by_stage": spent,
+        "p50_ms_by_stage": medians,
     }
 
 
-def searched(asked: tuple) -> dict:
-    link, guard, counts, epochs, states = asked
+def search_model(job: tuple) -> dict:
+    """Searches the model of one link, without one guard unless ""; returns a row of results."""
+    link, guard, counts, epochs, states = job
     guards = Guards(link)._replace(**({guard: False} if guard else {}))
-    found = search(BROKEN[guard] if guard else fleet(*counts), guards, epochs, states)
-    return {"link": link, "without": guard, "members": counts, "proposals": epochs, **found._asdict()}
+    result = search(BROKEN[guard] if guard else fleet(*counts), guards, epochs, states)
+    return {"link": link, "without": guard, "members": counts, "proposals": epochs, **result._asdict()}
 
 
-def model(states: int) -> None:
+def search_models(states: int) -> None:
+    """Searches intact models of several shapes and models without one guard, up to `states` states each."""
     shapes = [((1,), 1), ((1,), 2), ((2,), 1), ((1, 1), 1), ((2,), 2), ((2, 1), 1), ((2, 2), 1)]
-    asked = [(link, "", counts, epochs, states) for counts, epochs in reversed(shapes) for link in ("beats", "roll")]
-    asked += [(link, guard, (), 1, states) for link in ("beats", "roll") for guard in BROKEN]
-    with Pool(PROCESSES) as pool:
-        for row in pool.imap_unordered(searched, asked):
+    jobs = [(link, "", counts, epochs, states) for counts, epochs in reversed(shapes) for link in ("beats", "roll")]
+    jobs += [(link, guard, (), 1, states) for link in ("beats", "roll") for guard in BROKEN]
+    with Pool(WORKERS) as pool:
+        for row in pool.imap_unordered(search_model, jobs):
             print(json.dumps(row), flush=True)
 
 
 def main() -> None:
-    what, *rest = sys.argv[1:] or ["histories"]
-    if what == "times":
-        for shape in rest or SHAPES:
-            print(json.dumps(times(shape)), flush=True)
-    elif what == "model":
-        model(int(rest[0]) if rest else 1_000_000)
+    """Runs the measurement named on the command line; histories by default."""
+    command, *arguments = sys.argv[1:] or ["histories"]
+    if command == "times":
+        for shape in arguments or SHAPES:
+            print(json.dumps(measure_times(shape)), flush=True)
+    elif command == "model":
+        search_models(int(arguments[0]) if arguments else 1_000_000)
     else:
-        histories(int(rest[0]) if rest else 1000, int(rest[1]) if len(rest) > 1 else 0)
+        run_histories(int(arguments[0]) if arguments else 1000, int(arguments[1]) if len(arguments) > 1 else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,12 +1,12 @@
-"""Zones that fail, left as a fleet and not: the same drawn days both ways, in virtual time; days on which none does.
+"""Measures evacuation of failing zones: the same random days with and without it, in virtual time, and false alarms.
 
     python -m benchmarks.zones paired [DAYS] [SIZE]
     python -m benchmarks.zones false [DAYS]
-    python -m benchmarks.zones alike [SEEDS]        # what looks like a zone that fails and is none
-    python -m benchmarks.zones pace [DAYS] [SIZE]   # the way back against fixed steps
-    python -m benchmarks.zones processes [SEEDS]    # five supervisors as processes, drawn troubles of theirs
+    python -m benchmarks.zones alike [SEEDS]        # faults that resemble a failing zone
+    python -m benchmarks.zones pace [DAYS] [SIZE]   # the pace of the return compared with fixed steps
+    python -m benchmarks.zones processes [SEEDS]    # supervisors as processes, with random faults
 
-One JSON object a day, then one of all. Times in seconds from the zone's failure."""
+Prints one JSON object a day, then one for all days. Times are in seconds from the zone's failure."""
 
 from __future__ import annotations
 
@@ -30,32 +30,35 @@
 from driftshed.lab import scenario as says
 from driftshed.lab.run import Outcome, run
 
-SECONDS, FAILS_AT = 70.0, 8.0
+DAY_S, FAILS_AT_S = 70.0, 8.0
 KINDS = ("lost", "hang", "errors", "slow", "flap")
-NEVER_SO = says.LateRoster | says.LyingRoster | says.ZoneLost | says.Clock  # what a store does not do, and lost zones
+# Faults that a fleet with a store does not have, and lost zones.
+EXCLUDED_FAULTS = says.LateRoster | says.LyingRoster | says.ZoneLost | says.Clock
 
 
-def failure(random: Random, kind: str, zone: str) -> list:
+def make_failure(random: Random, kind: str, zone: str) -> list:
+    """The faults that make `zone` fail at FAILS_AT_S."""
     lasts, whom = round(random.uniform(6, 16), 1), says.Whom(share=1.0, zone=zone)
     if kind == "lost":
-        return [says.ZoneLost(FAILS_AT, lasts, zone)]
+        return [says.ZoneLost(FAILS_AT_S, lasts, zone)]
     if kind == "flap":
-        return [says.Sick(FAILS_AT + k * 20, 8.0, "hang", 1.0, whom) for k in range(2)]
+        return [says.Sick(FAILS_AT_S + k * 20, 8.0, "hang", 1.0, whom) for k in range(2)]
     size = round(random.uniform(0.4, 0.9), 2) if kind == "errors" else round(random.uniform(3, 8), 1)
-    return [says.Sick(FAILS_AT, lasts, kind, 1.0 if kind == "hang" else size, whom)]
+    return [says.Sick(FAILS_AT_S, lasts, kind, 1.0 if kind == "hang" else size, whom)]
 
 
 def fleet_day(seed: int, size: str, leave: bool) -> tuple[says.Scenario, str]:
-    """The day of a seed; `leave` changes nothing else of it. Size "heavy": small, and more than two zones can do."""
+    """The day of a seed and the kind of its failure. `leave` changes nothing else of it. Size "heavy": a small fleet
+    with more load than two zones can handle."""
     random = Random(f"zones {seed}")
     load, size = random.uniform(0.35, 0.55) + 0.2 * (size == "heavy"), "small" if size == "heavy" else size
-    day = says.bare_day(size, SECONDS, load)
+    day = says.bare_day(size, DAY_S, load)
     kind = KINDS[seed % len(KINDS)]
     limits = os.environ.get("ZONE_LIMITS", "")
     day.fleet = replace(day.fleet, store=True, supervisors=random.choice([3, 5]), leave_zones=leave, zone_limits=limits)
-    day.troubles = failure(random, kind, random.choice(day.facts.zones))
+    day.troubles = make_failure(random, kind, random.choice(day.facts.zones))
     number = random.randrange(day.fleet.supervisors)
-    at = round(random.uniform(FAILS_AT, FAILS_AT + 25), 1)
+    at = round(random.uniform(FAILS_AT_S, FAILS_AT_S + 25), 1)
     day.troubles.append(
         random.choice(
             [
@@ -70,8 +73,8 @@
     return says.check(day), kind
 
 
-def shares(outcome: Outcome) -> dict[int, list[tuple[float, float]]]:
-    """By supervisor: when it laid which share over its list, of the zone that is left most."""
+def shares_by_supervisor(outcome: Outcome) -> dict[int, list[tuple[float, float]]]:
+    """By supervisor: times and shares that it withdraws, of the zone with the largest share."""
     rows: dict[int, list[tuple[float, float]]] = {}
     for at, what, row in outcome.stages:
         if what == "zones":
@@ -79,76 +82,82 @@
     return rows
 
 
-def paired(given: tuple[int, str]) -> dict:
-    seed, size = given
+def compare_leaving(job: tuple[int, str]) -> dict:
+    """Runs the day of (seed, size) with and without evacuation and compares them."""
+    seed, size = job
     day, kind = fleet_day(seed, size, True)
-    left, stays = run(day, seed), run(fleet_day(seed, size, False)[0], seed)
-    rows = shares(left)
-    first = [min((at for at, share in each if share > 0), default=None) for each in rows.values()]
-    first = [at for at in first if at is not None]
-    back = [each[-1][0] for each in rows.values() if each and each[-1][1] == 0]
+    leaving, staying = run(day, seed), run(fleet_day(seed, size, False)[0], seed)
+    rows = shares_by_supervisor(leaving)
+    left_at = [min((at for at, share in shares if share > 0), default=None) for shares in rows.values()]
+    left_at = [at for at in left_at if at is not None]
+    returned_at = [shares[-1][0] for shares in rows.values() if shares and shares[-1][1] == 0]
     return {
         "seed": seed,
         "kind": kind,
         "supervisors": day.fleet.supervisors,
-        "service": [round(stays.service, 4), round(left.service, 4)],
-        "worst": [round(stays.worst, 3), round(left.worst, 3)],
-        "left_s": round(max(first) - FAILS_AT, 1) if first else None,
-        "spread_s": round(max(first) - min(first), 2) if first else None,
-        "back_s": round(max(back) - FAILS_AT, 1) if back else None,
-        "broken": [stays.breaks[:2] + stays.faults[:1], left.breaks[:2] + left.faults[:1]],
+        "service": [round(staying.service, 4), round(leaving.service, 4)],
+        "worst": [round(staying.worst, 3), round(leaving.worst, 3)],
+        "left_s": round(max(left_at) - FAILS_AT_S, 1) if left_at else None,
+        "spread_s": round(max(left_at) - min(left_at), 2) if left_at else None,
+        "back_s": round(max(returned_at) - FAILS_AT_S, 1) if returned_at else None,
+        "broken": [staying.breaks[:2] + staying.faults[:1], leaving.breaks[:2] + leaving.faults[:1]],
     }
 
 
-def no_failure(seed: int) -> dict:
-    """A drawn day of other troubles, none of which hits half of a zone."""
+def run_without_failure(seed: int) -> dict:
+    """A random day with other faults, none of which affects half of a zone: no zone should be evacuated."""
     day = says.drawn(seed, "small", 40.0)
     day.fleet = replace(day.fleet, store=True, supervisors=3, leave_zones=True)
-    kept = []
+    remaining = []
     for trouble in day.troubles:
         whom = getattr(trouble, "whom", says.Whom())
-        wide = (whom.share or 0) >= 0.5 or whom.zone
-        if not isinstance(trouble, NEVER_SO) and not wide:
-            kept.append(trouble)
-    day.troubles = kept
+        hits_half_a_zone = (whom.share or 0) >= 0.5 or whom.zone
+        if not isinstance(trouble, EXCLUDED_FAULTS) and not hits_half_a_zone:
+            remaining.append(trouble)
+    day.troubles = remaining
     outcome = run(says.check(day), seed)
-    left = sorted({max(share for _, share in rows) for rows in shares(outcome).values() if rows})
+    shares_left = sorted({max(share for _, share in rows) for rows in shares_by_supervisor(outcome).values() if rows})
     return {
         "seed": seed,
-        "left": left,
+        "left": shares_left,
         "broken": outcome.breaks[:2] + outcome.faults[:1],
-        "troubles": [type(each).__name__ for each in kept],
+        "troubles": [type(each).__name__ for each in remaining],
     }
 
 
-def alike(given: tuple[int, int]) -> dict:
-    """A day of a look-alike: nobody is to leave."""
-    number, seed = given
+def run_lookalike(job: tuple[int, int]) -> dict:
+    """A day with a fault that resembles a failing zone: no zone should be evacuated."""
+    number, seed = job
     random = Random(f"alike {number} {seed}")
     day = says.bare_day("small", 36.0, random.uniform(0.35, 0.55))
     zones = day.facts.zones
     zone, other, third = random.sample(zones, 3)
     at, lasts, supervisors = 6.0, round(random.uniform(8, 14), 1), random.choice([3, 5])
-    paused = random.randrange(supervisors)
-    cut = [says.Link(at, lasts, one, zone, cut=True) for one in (other, third)]
-    away = says.Link(at + 1, lasts, says.control_zone(paused), "roster", cut=True)
+    supervisor = random.randrange(supervisors)
+    cut = [says.Link(at, lasts, source, zone, cut=True) for source in (other, third)]
+    store_cut = says.Link(at + 1, lasts, says.control_zone(supervisor), "roster", cut=True)
     day.troubles = [
         [cut[0]],
         cut,
         [says.Sick(at, lasts, "slow", round(random.uniform(3, 6), 1), says.Whom(share=1.0))],
         [says.Sick(at, lasts, "errors", 0.7, says.Whom(count=2, zone=zone))],
-        [says.Link(at, lasts, zone, "", delay=0.15, loss=0.1)],  # its proxies see all zones so
-        [says.Pause(at, 4.0, "supervisor", 1.0, paused), says.Sick(at, lasts, "errors", 0.6, says.Whom(count=2))],
-        [away, cut[0]],  # the one that is cut off sees what the others do not
-        [says.Sick(at, 1.5, "hang", 1.0, says.Whom(share=1.0, zone=zone))],  # over before it lasted
+        [says.Link(at, lasts, zone, "", delay=0.15, loss=0.1)],  # its proxies see all zones alike
+        [says.Pause(at, 4.0, "supervisor", 1.0, supervisor), says.Sick(at, lasts, "errors", 0.6, says.Whom(count=2))],
+        [store_cut, cut[0]],  # the supervisor that is cut off sees a fault that the others do not
+        [says.Sick(at, 1.5, "hang", 1.0, says.Whom(share=1.0, zone=zone))],  # over before it counts as lasting
     ][number]
     day.fleet = replace(day.fleet, store=True, supervisors=supervisors, leave_zones=True)
     outcome = run(says.check(day), seed)
-    left = max((share for rows in shares(outcome).values() for _, share in rows), default=0.0)
-    return {"kind": ALIKE[number], "seed": seed, "left": left, "broken": outcome.breaks[:2] + outcome.faults[:1]}
+    max_share = max((share for rows in shares_by_supervisor(outcome).values() for _, share in rows), default=0.0)
+    return {
+        "kind": LOOKALIKES[number],
+        "seed": seed,
+        "left": max_share,
+        "broken": outcome.breaks[:2] + outcome.faults[:1],
+    }
 
 
-ALIKE = (
+LOOKALIKES = (
     "a way is cut",
     "cut off, well inside",
     "all slow alike",
@@ -158,70 +167,79 @@
     "a supervisor cut off, and a way",
     "a short stall",
 )
-FIXED = (None, 0.1, 0.25, 0.5, 1.0)  # of a zone's servers at a time, on the way back; None: ours
+RETURN_STEPS = (None, 0.1, 0.25, 0.5, 1.0)  # share of a zone's servers per step back; None: the module's own pace
 
 
-def back_by(step: float | None) -> None:
-    """The way back by fixed steps, of this process from now on."""
+def set_return_step(step: float | None) -> None:
+    """Makes evacuations in this process return by fixed steps from now on; None restores the module's own pace."""
 
-    def following(zone, stage, sight, limits, order=()):
-        after = next_stage(zone, stage, sight, limits, order)
-        if step is None or after is None or after.phase != "returning" or stage.phase not in ("left", "returning"):
-            return after
-        return replace(after, share=round(max(0.0, stage.share - step), 6))
+    def stage_with_fixed_step(zone, stage, sight, limits, order=()):
+        following = next_stage(zone, stage, sight, limits, order)
+        if (
+            step is None
+            or following is None
+            or following.phase != "returning"
+            or stage.phase not in ("left", "returning")
+        ):
+            return following
+        return replace(following, share=round(max(0.0, stage.share - step), 6))
 
-    part.next_stage = following
+    part.next_stage = stage_with_fixed_step
     stages.follows = follows if step is None else lambda old, new, limits: None
 
 
-def paced(given: tuple[int, float | None, str]) -> dict:
-    seed, step, size = given
-    back_by(step)
+def run_paced(job: tuple[int, float | None, str]) -> dict:
+    """Runs the day of (seed, step, size) with the given step of the return."""
+    seed, step, size = job
+    set_return_step(step)
     day, kind = fleet_day(seed, size, True)
     outcome = run(day, seed)
-    back = [rows[-1][0] for rows in shares(outcome).values() if rows and rows[-1][1] == 0]
+    returned_at = [rows[-1][0] for rows in shares_by_supervisor(outcome).values() if rows and rows[-1][1] == 0]
     return {
         "seed": seed,
         "kind": kind,
         "step": step,
         "service": outcome.service,
         "worst": outcome.worst,
-        "back_s": max(back) - FAILS_AT if back else None,
+        "back_s": max(returned_at) - FAILS_AT_S if returned_at else None,
         "broken": bool(outcome.breaks or outcome.faults),
         "failback": outcome.margins.get("failback", 0.0),
     }
 
 
-def pace(days: int, size: str) -> None:
+def compare_paces(days: int, size: str) -> None:
+    """Runs `days` days with each of RETURN_STEPS and prints their means."""
     with Pool() as pool:
-        rows = pool.map(paced, [(seed, step, size) for seed in range(days) for step in FIXED], chunksize=1)
-    ours = {row["seed"]: row for row in rows if row["step"] is None}
-    for step in FIXED:
-        own = [row for row in rows if row["step"] == step]
-        back = [row["back_s"] for row in own if row["back_s"] is not None]
+        rows = pool.map(run_paced, [(seed, step, size) for seed in range(days) for step in RETURN_STEPS], chunksize=1)
+    own_by_seed = {row["seed"]: row for row in rows if row["step"] is None}
+    for step in RETURN_STEPS:
+        step_rows = [row for row in rows if row["step"] == step]
+        return_seconds = [row["back_s"] for row in step_rows if row["back_s"] is not None]
         print(
             json.dumps(
                 {
                     "step": step,
-                    "days": len(own),
-                    "service": round(mean(row["service"] for row in own), 4),
-                    "beside_ours": round(mean(row["service"] - ours[row["seed"]]["service"] for row in own), 4),
-                    "worst": round(mean(row["worst"] for row in own), 3),
-                    "broken": sum(row["broken"] for row in own),
-                    "back": len(back),
-                    "back_s": round(median(back), 1) if back else None,
-                    "most_of_what_tips": round(max(row["failback"] for row in own), 2),
+                    "days": len(step_rows),
+                    "service": round(mean(row["service"] for row in step_rows), 4),
+                    "beside_ours": round(
+                        mean(row["service"] - own_by_seed[row["seed"]]["service"] for row in step_rows), 4
+                    ),
+                    "worst": round(mean(row["worst"] for row in step_rows), 3),
+                    "broken": sum(row["broken"] for row in step_rows),
+                    "back": len(return_seconds),
+                    "back_s": round(median(return_seconds), 1) if return_seconds else None,
+                    "most_of_what_tips": round(max(row["failback"] for row in step_rows), 2),
                 }
             )
         )
 
 
-def process_day(seed: int) -> dict:
-    """A zone of a day of real processes fails; which way and what befalls the supervisors goes by the seed."""
+def run_process_day(seed: int) -> dict:
+    """A day of real processes with a failing zone; the seed selects the kind of failure and the supervisors' faults."""
     random, kind = Random(f"process {seed}"), KINDS[seed % len(KINDS)]
     script = day_script.load_script("zone")
     lasts = round(random.uniform(6, 10), 1)
-    sick = {
+    faults = {
         "lost": [day_script.Sick(6.0, lasts, "hang", zone="east"), day_script.Cut(6.0, lasts, "east")],
         "hang": [day_script.Sick(6.0, lasts, "hang", zone="east")],
         "errors": [day_script.Sick(6.0, lasts, "errors", size=0.6, zone="east")],
@@ -229,53 +247,54 @@
         "flap": [day_script.Sick(at, 5.0, "hang", zone="east") for at in (6.0, 26.0)],
     }[kind]
     fleet = replace(script.fleet, supervisors=random.choice([3, 5]))
-    script = with_drawn(replace(script, fleet=fleet, troubles=sick), seed)
-    with tempfile.TemporaryDirectory() as scratch:
-        stage = play(script, seed, Path(scratch), None, None, None)
+    script = with_drawn(replace(script, fleet=fleet, troubles=faults), seed)
+    with tempfile.TemporaryDirectory() as folder:
+        stage = play(script, seed, Path(folder), None, None, None)
         verdict = judge(script, stage.record)
-    left = {owner: max(share for _, share in rows) for owner, rows in verdict.left.get("east", {}).items()}
+    left_shares = {owner: max(share for _, share in rows) for owner, rows in verdict.left.get("east", {}).items()}
     return {
         "seed": seed,
         "kind": kind,
         "supervisors": fleet.supervisors,
         "service": round(verdict.service, 4),
-        "left": left,
+        "left": left_shares,
         "breaks": verdict.breaks[:3],
         "rules": {name: [row["checked"], row["broken"]] for name, row in verdict.rules.items()},
     }
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else "paired"
+    """Runs the measurement named on the command line; `paired` by default."""
+    command = sys.argv[1] if len(sys.argv) > 1 else "paired"
     days = int(sys.argv[2]) if len(sys.argv) > 2 else 20
     size = sys.argv[3] if len(sys.argv) > 3 else "small"
-    if what == "pace":
-        pace(days, size)
+    if command == "pace":
+        compare_paces(days, size)
         return
-    if what == "processes":
+    if command == "processes":
         with Pool(2) as pool:
-            for row in pool.imap(process_day, range(days)):
+            for row in pool.imap(run_process_day, range(days)):
                 print(json.dumps(row), flush=True)
         return
     with Pool() as pool:
-        if what == "alike":
-            drawn = [(number, seed) for number in range(len(ALIKE)) for seed in range(days)]
-            rows = pool.map(alike, drawn, chunksize=1)
-            for kind in ALIKE:
-                own = [row for row in rows if row["kind"] == kind]
+        if command == "alike":
+            jobs = [(number, seed) for number in range(len(LOOKALIKES)) for seed in range(days)]
+            rows = pool.map(run_lookalike, jobs, chunksize=1)
+            for kind in LOOKALIKES:
+                kind_rows = [row for row in rows if row["kind"] == kind]
                 print(
                     json.dumps(
                         {
                             "kind": kind,
-                            "days": len(own),
-                            "left": [row["seed"] for row in own if row["left"]],
-                            "broken": [row["broken"] for row in own if row["broken"]],
+                            "days": len(kind_rows),
+                            "left": [row["seed"] for row in kind_rows if row["left"]],
+                            "broken": [row["broken"] for row in kind_rows if row["broken"]],
                         }
                     )
                 )
             return
-        if what == "false":
-            rows = pool.map(no_failure, range(days), chunksize=1)
+        if command == "false":
+            rows = pool.map(run_without_failure, range(days), chunksize=1)
             for row in rows:
                 if row["left"] or row["broken"]:
                     print(json.dumps(row))
@@ -289,28 +308,30 @@
                 )
             )
             return
-        rows = pool.map(paired, [(seed, size) for seed in range(days)], chunksize=1)
+        rows = pool.map(compare_leaving, [(seed, size) for seed in range(days)], chunksize=1)
     for row in rows:
         print(json.dumps(row))
     for kind in (*KINDS, "all"):
-        own = [row for row in rows if kind in (row["kind"], "all")]
-        if not own:
+        kind_rows = [row for row in rows if kind in (row["kind"], "all")]
+        if not kind_rows:
             continue
-        gain = [row["service"][1] - row["service"][0] for row in own]
-        left = [row["left_s"] for row in own if row["left_s"] is not None]
+        gain = [row["service"][1] - row["service"][0] for row in kind_rows]
+        leave_seconds = [row["left_s"] for row in kind_rows if row["left_s"] is not None]
         print(
             json.dumps(
                 {
                     "kind": kind,
-                    "days": len(own),
-                    "left": len(left),
-                    "left_s": [median(left), max(left)] if left else None,
-                    "spread_s": max((row["spread_s"] for row in own if row["spread_s"] is not None), default=None),
-                    "back_s": median([row["back_s"] for row in own if row["back_s"] is not None] or [0]),
-                    "service": [round(mean(row["service"][k] for row in own), 4) for k in (0, 1)],
+                    "days": len(kind_rows),
+                    "left": len(leave_seconds),
+                    "left_s": [median(leave_seconds), max(leave_seconds)] if leave_seconds else None,
+                    "spread_s": max(
+                        (row["spread_s"] for row in kind_rows if row["spread_s"] is not None), default=None
+                    ),
+                    "back_s": median([row["back_s"] for row in kind_rows if row["back_s"] is not None] or [0]),
+                    "service": [round(mean(row["service"][k] for row in kind_rows), 4) for k in (0, 1)],
                     "gain": [round(min(gain), 4), round(median(gain), 4), round(max(gain), 4)],
-                    "worst": [round(mean(row["worst"][k] for row in own), 3) for k in (0, 1)],
-                    "broken": [sum(bool(row["broken"][k]) for row in own) for k in (0, 1)],
+                    "worst": [round(mean(row["worst"][k] for row in kind_rows), 3) for k in (0, 1)],
+                    "broken": [sum(bool(row["broken"][k]) for row in kind_rows) for k in (0, 1)],
                 }
             )
         )
