--- a/benchmarks/hollow_worker.py
+++ b/benchmarks/hollow_worker.py
@@ -1,6 +1,6 @@
-"""Many hollow supervisors in one process: the real agent, its sessions, roll, records, lease and policy part over real
-sockets, without a module, without proxies and without an HTTP listener. Commands come as JSON lines on the socket that
-is the process's standard input, answers go back on it."""
+"""A process with many hollow supervisors. Each has the real agent with its sessions, membership view, records, lease
+and policy part over real sockets, but no module, no proxies and no HTTP listener. Commands arrive as JSON lines on the
+socket that is the process's standard input; answers are sent on the same socket."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from driftshed.policy.part import Asked, PolicyPart
 from driftshed.roster.announce import Standing
 
-TEXT = """
+POLICY_TEXT = """
 ahead = {ahead}
 despite_after = {despite_after}
 [[operations]]
@@ -43,21 +43,22 @@
 drain-grace = {grace}
 lines-per-second = 2000
 """
-AHEAD, DESPITE_AFTER = 0.3, 3.0  # seconds
-FACTS = policies.facts(policies.read(TEXT.format(ahead=AHEAD, despite_after=DESPITE_AFTER, grace=2.5)))
-LOOK_EVERY = 0.1  # seconds between looks at who is ready, and of how late the loop is
-MOST_OUT = 64 << 20  # bytes of answers that the driver has not read
-MOST_ERRORS = 20  # kept of a process
+AHEAD_S, DESPITE_AFTER_S = 0.3, 3.0
+FACTS = policies.facts(policies.read(POLICY_TEXT.format(ahead=AHEAD_S, despite_after=DESPITE_AFTER_S, grace=2.5)))
+POLL_PERIOD_S = 0.1  # between polls of readiness and of the loop's lateness
+MAX_UNREAD_BYTES = 64 << 20  # of answers, by the driver
+MAX_ERRORS = 20  # kept per process
 
 
-def text_of(grace: float) -> str:
-    """A document; its drain-grace tells versions apart."""
-    return TEXT.format(ahead=AHEAD, despite_after=DESPITE_AFTER, grace=round(grace, 3))
+def policy_text(grace: float) -> str:
+    """A policy document; `grace`, its drain-grace in seconds, distinguishes versions."""
+    return POLICY_TEXT.format(ahead=AHEAD_S, despite_after=DESPITE_AFTER_S, grace=round(grace, 3))
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True):
-    """What a worker is started with. `tiers`: the text of a tiers file; without it all are one flat fleet of `expected`
-    at `hosts`. `policy`: with a policy part; `look_every`: seconds between its looks, 0.1 in a real one."""
+    """The configuration of a worker. `tiers`: the text of a tiers file; if empty, all supervisors form one flat fleet
+    of `expected` at `hosts`. `policy`: whether they have a policy part; `look_every`: its polling period in seconds,
+    0.1 in a real supervisor. `timeout`: of sessions, in seconds. `folder`: holds the policy stores."""
 
     folder: str
     seed: int
@@ -70,140 +71,152 @@
     expected: list[str] = []
 
 
-class Frames:
-    """Counts the messages in one direction of a stream: four bytes of length before each."""
+class MessageCounter:
+    """Counts messages in one direction of a stream; each has a four-byte length prefix."""
 
-    __slots__ = ("head", "skip")
+    __slots__ = ("header", "remaining")
 
     def __init__(self) -> None:
-        self.head, self.skip = b"", 0
+        """Starts at a message boundary."""
+        self.header, self.remaining = b"", 0
 
-    def begun(self, data: bytes) -> int:
-        """How many messages begin in these bytes."""
-        found, at, size = 0, 0, len(data)
+    def count_starts(self, data: bytes) -> int:
+        """The number of messages whose length prefix ends in these bytes."""
+        count, at, size = 0, 0, len(data)
         while at < size:
-            if self.skip:
-                step = min(self.skip, size - at)
-                self.skip -= step
+            if self.remaining:
+                step = min(self.remaining, size - at)
+                self.remaining -= step
                 at += step
                 continue
-            part = data[at : at + 4 - len(self.head)]
-            self.head += part
+            part = data[at : at + 4 - len(self.header)]
+            self.header += part
             at += len(part)
-            if len(self.head) == 4:
-                self.skip, self.head = int.from_bytes(self.head, "big"), b""
-                found += 1
-        return found
+            if len(self.header) == 4:
+                self.remaining, self.header = int.from_bytes(self.header, "big"), b""
+                count += 1
+        return count
 
 
-class Wire:
-    """What passed between one start of a supervisor and one store."""
+class Traffic:
+    """Bytes, messages and connection attempts between one start of a supervisor and one store."""
 
-    __slots__ = ("out", "came", "sent", "got", "dialled")
+    __slots__ = ("bytes_out", "bytes_in", "messages_out", "messages_in", "dials")
 
     def __init__(self) -> None:
-        self.out = self.came = self.sent = self.got = self.dialled = 0
+        """Starts at zero."""
+        self.bytes_out = self.bytes_in = self.messages_out = self.messages_in = self.dials = 0
 
 
-class Seat:
-    """The loop as one supervisor sees it: when it is ended, nothing of it is called any more. `cpu`: seconds of this
-    thread's processor time in its calls."""
+class LoopHandle:
+    """One supervisor's handle of the shared loop. Once it is ended, none of its callbacks run. `cpu`: seconds of this
+    thread's processor time spent in its callbacks; `calls`: their number."""
 
     def __init__(self, loop: Loop, on_error: Callable[[Exception], object]) -> None:
+        """`on_error` receives exceptions of callbacks."""
         self.loop, self.clock, self.on_error = loop, loop.clock, on_error
         self.ended, self.cpu, self.calls = False, 0.0, 0
-        self.wires: dict[tuple[str, int], Wire] = {}
+        self.traffic_by_store: dict[tuple[str, int], Traffic] = {}
         self.streams: dict[Stream, None] = {}
 
     @property
     def now(self) -> float:
+        """Seconds on the loop's clock, as of this turn."""
         return self.loop.now
 
-    def _own(self, call: Callable[..., object]) -> Callable[..., None]:
-        def run(*given: object) -> None:
+    def _guarded(self, call: Callable[..., object]) -> Callable[..., None]:
+        def run(*arguments: object) -> None:
             if self.ended:
                 return
             self.calls += 1
-            began = time.thread_time()
+            started_at = time.thread_time()
             try:
-                call(*given)
+                call(*arguments)
             except Exception as error:
                 self.on_error(error)
-            self.cpu += time.thread_time() - began
+            self.cpu += time.thread_time() - started_at
 
         return run
 
     def at(self, when: float, call: Callable[[], object]) -> Timer:
-        return self.loop.at(when, self._own(call))
+        """Calls `call` at a time on the loop's clock, unless ended by then."""
+        return self.loop.at(when, self._guarded(call))
 
     def after(self, seconds: float, call: Callable[[], object]) -> Timer:
-        return self.loop.at(self.clock() + seconds, self._own(call))
+        """Calls `call` after `seconds`, unless ended by then."""
+        return self.loop.at(self.clock() + seconds, self._guarded(call))
 
     def soon(self, call: Callable[[], object]) -> None:
-        self.loop.soon(self._own(call))
+        """Calls `call` in the next turn, unless ended by then."""
+        self.loop.soon(self._guarded(call))
 
     def watch(self, sock: socket.socket, events: int, call: Callable[[int], object] | None) -> None:
-        self.loop.watch(sock, events, call and self._own(call))
+        """Calls `call` on these events of the socket; None stops watching."""
+        self.loop.watch(sock, events, call and self._guarded(call))
 
     def dial(self, loop: object, address: tuple[str, int]) -> Stream:
-        """As `net.stream.dial`, counted."""
-        wire = self.wires.setdefault(tuple(address), Wire())
-        wire.dialled += 1
-        out, came = Frames(), Frames()
+        """Like `net.stream.dial`, with its traffic counted by store."""
+        traffic = self.traffic_by_store.setdefault(tuple(address), Traffic())
+        traffic.dials += 1
+        outbound, inbound = MessageCounter(), MessageCounter()
 
-        def tap(outward: bool, data: bytes) -> None:
+        def tap(is_outbound: bool, data: bytes) -> None:
             if not data:
                 self.streams.pop(stream, None)
-            elif outward:
-                wire.out += len(data)
-                wire.sent += out.begun(data)
+            elif is_outbound:
+                traffic.bytes_out += len(data)
+                traffic.messages_out += outbound.count_starts(data)
             else:
-                wire.came += len(data)
-                wire.got += came.begun(data)
+                traffic.bytes_in += len(data)
+                traffic.messages_in += inbound.count_starts(data)
 
         stream = dial(self, address, tap=tap)
         self.streams[stream] = None
         return stream
 
     def end(self) -> None:
-        """As SIGKILL does: the kernel closes its sockets, and it says nothing."""
+        """Simulates SIGKILL: the sockets are closed, and no callback runs and no message is sent any more."""
         self.ended = True
         for stream in list(self.streams):
             stream.on_end = lambda reason: None
             stream.abort("killed")
 
     def agents(self) -> list:
-        """Those that have a session now or are about to: by way of who hears what comes on its streams."""
-        found = []
+        """The agents that have a session or are connecting, found through the receivers of this handle's streams."""
+        agents = []
         for stream in self.streams:
             client = getattr(stream.on_data, "__self__", None)
-            chair = getattr(getattr(client, "session", None), "on_event", None)
-            agent = getattr(getattr(chair, "__self__", None), "agent", None)
+            on_event = getattr(getattr(client, "session", None), "on_event", None)
+            agent = getattr(getattr(on_event, "__self__", None), "agent", None)
             if agent is not None:
-                found.append(agent)
-        return found
+                agents.append(agent)
+        return agents
 
 
 class HollowInstance:
-    """What taking part and the policy part touch of an instance; no module behind it."""
+    """The part of an instance that fleet participation and the policy part use; it has no module."""
 
     def __init__(self, now: Callable[[], float]) -> None:
+        """`now` gives the time at which switches are recorded."""
         self.facts, self.policy, self.faults, self.now = FACTS, 0, 0, now
         self.still: Callable[[], bool] = lambda: False
-        self.switched: list[tuple[int, float]] = []  # version and when, seconds on the monotonic clock
+        self.switched: list[tuple[int, float]] = []  # version and time, in seconds of the monotonic clock
 
     def check_switch(self, facts: object) -> str:
+        """Accepts every policy."""
         return ""
 
     def switch(self, facts: object, policy: int, now: float) -> None:
+        """Records the version and the time of the switch."""
         self.facts, self.policy = facts, policy
         self.switched.append((policy, self.now()))
 
 
 class HollowService:
-    """What taking part and the policy part touch of a service; it listens nowhere."""
+    """The part of a service that fleet participation and the policy part use; it has no listener."""
 
     def __init__(self, instance: HollowInstance, address: tuple[str, int]) -> None:
+        """`address` is published, but nothing listens there."""
         self.instance, self.address = instance, address
         self.living: Callable[[], list[str]] = lambda: []
         self.waits: Callable[[], str] = lambda: ""
@@ -212,25 +225,25 @@
         self.polls: dict = {}
 
     def soon(self) -> None:
-        """It has no turn."""
+        """Does nothing: there is no listener to wake."""
 
 
 class Row(NamedTuple):
-    """One supervisor in a report. `role`: 1 a member, 2 the speaker of its cell, 3 that of its region too. Counts are
-    of this start. `ready_after`: seconds from its start until it could act, None before; `ready_bytes`: until then.
-    `read_bytes`: until it had read roll and records; its older session may still have to lapse then."""
+    """One supervisor in a report. `role`: 1 a member, 2 also the delegate of its cell, 3 also that of its region.
+    Counts cover this start. `ready_after`: seconds from the start until it could act, None before that; `ready_bytes`:
+    until then. `read_bytes`: until it had read members and records; its previous session may still be open then."""
 
     name: str
     start: int
     role: int
     sessions: int
-    out: int
-    came: int
-    sent: int
-    got: int
+    bytes_out: int
+    bytes_in: int
+    messages_out: int
+    messages_in: int
     watches: int
     records: int
-    roll: int
+    known_members: int
     version: int
     cpu: float
     ready_after: float | None
@@ -240,21 +253,22 @@
     read_messages: int
 
 
-class Hollow:
+class HollowSupervisor:
     """One start of a hollow supervisor."""
 
     def __init__(self, worker: Worker, name: str, start: int) -> None:
-        self.name, self.start, self.begun = name, start, time.monotonic()
+        """Starts the agent and, if the plan asks for it, the policy part."""
+        self.name, self.start, self.started_at = name, start, time.monotonic()
         self.ready_at: float | None = None
         self.ready_bytes = self.ready_messages = self.read_bytes = self.read_messages = 0
-        self.seat = seat = Seat(worker.loop, lambda error: worker.failed(name, error))
+        self.seat = seat = LoopHandle(worker.loop, lambda error: worker.record_error(name, error))
         self.instance = HollowInstance(time.monotonic)
         number = int("".join(filter(str.isdigit, name)) or 0)
         service = HollowService(
             self.instance, (f"127.{100 + number // 62500}.{number // 250 % 250}.{1 + number % 250}", 7000)
         )
         plan, tiers = worker.plan, {} if worker.tiers is None else {"tiers": worker.tiers}
-        log = worker.logged
+        log = worker.count_log
         self.agent = take_part(
             seat,
             service,
@@ -268,62 +282,68 @@
             dial=seat.dial,
             **tiers,
         )
-        self.keep = self.part = None
+        self.policy_store = self.policy_part = None
         if plan.policy:
-            self.keep = Keep(Path(plan.folder) / name, "fleet", name)
-            self.part = PolicyPart(seat, service, self.agent, self.keep, log)
+            self.policy_store = Keep(Path(plan.folder) / name, "fleet", name)
+            self.policy_part = PolicyPart(seat, service, self.agent, self.policy_store, log)
 
     def is_ready(self) -> bool:
-        """Whether it may act on what was agreed, and goes by it."""
+        """Whether it may act, has read members and records, and follows a policy in force."""
         acts = getattr(self.agent, "acts", self.agent.holds)
         if not acts() or not self.agent.records.whole or not self.agent.members.whole:
             return False
-        return self.part is None or (self.part.known and not self.part._holds_still())
+        return self.policy_part is None or (self.policy_part.known and not self.policy_part._holds_still())
 
-    def _passed(self) -> tuple[int, int]:
-        """Bytes and messages so far."""
-        wires = self.seat.wires.values()
-        return sum(wire.out + wire.came for wire in wires), sum(wire.sent + wire.got for wire in wires)
+    def _traffic_so_far(self) -> tuple[int, int]:
+        """Bytes and messages of all stores so far."""
+        traffic_by_store = self.seat.traffic_by_store.values()
+        return sum(traffic.bytes_out + traffic.bytes_in for traffic in traffic_by_store), sum(
+            traffic.messages_out + traffic.messages_in for traffic in traffic_by_store
+        )
 
-    def look(self) -> None:
+    def poll(self) -> None:
+        """Records when the supervisor has read members and records, and when it became ready."""
         if not self.read_bytes and self.agent.members.whole and self.agent.records.whole:
-            self.read_bytes, self.read_messages = self._passed()
+            self.read_bytes, self.read_messages = self._traffic_so_far()
         if self.ready_at is None and self.is_ready():
             self.ready_at = time.monotonic()
-            self.ready_bytes, self.ready_messages = self._passed()
+            self.ready_bytes, self.ready_messages = self._traffic_so_far()
 
-    def runs(self) -> int:
+    def active_version(self) -> int:
+        """The version of the policy that it runs; 0 without one."""
         return self.instance.policy
 
-    def at_version(self, version: int) -> float | None:
-        """When it began to go by this version or a later one."""
+    def switched_at(self, version: int) -> float | None:
+        """When it switched to this version or a later one; None if it has not."""
         return next((at for number, at in self.instance.switched if number >= version), None)
 
     def kill(self) -> None:
+        """Ends it as SIGKILL does and closes its policy store."""
         self.seat.end()
-        if self.keep is not None:
-            self.keep.close()
-
-    def row(self) -> Row:
-        wires, agents = self.seat.wires.values(), self.seat.agents()
-        watched = sum(len(paths) for agent in agents for paths in agent.client.session.watched.values())
-        after = None if self.ready_at is None else round(self.ready_at - self.begun, 3)
-        role = 1 + sum(getattr(self.agent, part, None) is not None for part in ("for_cell", "for_region"))
+        if self.policy_store is not None:
+            self.policy_store.close()
+
+    def make_row(self) -> Row:
+        """Its row of a report."""
+        traffic_by_store, agents = self.seat.traffic_by_store.values(), self.seat.agents()
+        watches = sum(len(paths) for agent in agents for paths in agent.client.session.watched.values())
+        ready_after = None if self.ready_at is None else round(self.ready_at - self.started_at, 3)
+        role = 1 + sum(getattr(self.agent, attribute, None) is not None for attribute in ("for_cell", "for_region"))
         return Row(
             self.name,
             self.start,
             role,
             len(agents),
-            sum(wire.out for wire in wires),
-            sum(wire.came for wire in wires),
-            sum(wire.sent for wire in wires),
-            sum(wire.got for wire in wires),
-            watched,
+            sum(traffic.bytes_out for traffic in traffic_by_store),
+            sum(traffic.bytes_in for traffic in traffic_by_store),
+            sum(traffic.messages_out for traffic in traffic_by_store),
+            sum(traffic.messages_in for traffic in traffic_by_store),
+            watches,
             sum(len(agent.topics) for agent in agents),
             sum(len(agent.roll.nodes) for agent in agents),
-            self.runs(),
+            self.active_version(),
             round(self.seat.cpu, 6),
-            after,
+            ready_after,
             self.ready_bytes,
             self.ready_messages,
             self.read_bytes,
@@ -332,7 +352,10 @@
 
 
 class Worker:
+    """Executes the driver's commands on the supervisors of this process; each `do_` method is a command."""
+
     def __init__(self, plan: Plan, loop: Loop, sock: socket.socket) -> None:
+        """Reads commands from `sock` and polls the supervisors every POLL_PERIOD_S."""
         self.plan, self.loop = plan, loop
         part.LOOK_EVERY = plan.look_every
         self.random = Random(f"hollow worker {plan.seed}")
@@ -341,48 +364,51 @@
             from driftshed.coordination.tiers import read_tiers
 
             self.tiers = read_tiers(plan.tiers)
-        self.living: dict[str, Hollow] = {}
+        self.living: dict[str, HollowSupervisor] = {}
         self.starts: Counter = Counter()
-        self.gone: dict[tuple[str, int], list[int]] = {}  # of starts that are over: bytes and messages by store
-        self.past_rows: list[tuple[float, int, int]] = []  # of starts that are over: how they became ready
+        # Of ended starts, by store: bytes out and in, messages out and in.
+        self.past_traffic: dict[tuple[str, int], list[int]] = {}
+        self.past_starts: list[tuple[float, int, int]] = []  # ready_after, ready_bytes, ready_messages of ended starts
         self.logs: Counter = Counter()
         self.errors: list[str] = []
-        self.late: deque[float] = deque(maxlen=6000)  # seconds
+        self.lateness: deque[float] = deque(maxlen=6000)  # in seconds
         self.input = b""
-        self.stream = Stream(loop, sock, MOST_OUT)
-        self.stream.on_data, self.stream.on_end = self._data, lambda reason: loop.stop()
-        loop.on_error = lambda error: self.failed("", error)
-        self.due = loop.clock() + LOOK_EVERY
-        loop.at(self.due, self._look)
-
-    def failed(self, name: str, error: Exception) -> None:
+        self.stream = Stream(loop, sock, MAX_UNREAD_BYTES)
+        self.stream.on_data, self.stream.on_end = self._receive, lambda reason: loop.stop()
+        loop.on_error = lambda error: self.record_error("", error)
+        self.next_poll_at = loop.clock() + POLL_PERIOD_S
+        loop.at(self.next_poll_at, self._poll)
+
+    def record_error(self, name: str, error: Exception) -> None:
+        """Counts an exception and keeps its text with the innermost source line."""
         self.logs["raised"] += 1
-        if len(self.errors) < MOST_ERRORS:
-            trace, where = error.__traceback__, ""
-            while trace is not None:
-                where = f"{Path(trace.tb_frame.f_code.co_filename).name}:{trace.tb_lineno}"
-                trace = trace.tb_next
-            self.errors.append(f"{name}: {type(error).__name__}: {error} at {where}")
-
-    def logged(self, event: str, **fields: object) -> None:
+        if len(self.errors) < MAX_ERRORS:
+            traceback, location = error.__traceback__, ""
+            while traceback is not None:
+                location = f"{Path(traceback.tb_frame.f_code.co_filename).name}:{traceback.tb_lineno}"
+                traceback = traceback.tb_next
+            self.errors.append(f"{name}: {type(error).__name__}: {error} at {location}")
+
+    def count_log(self, event: str, **fields: object) -> None:
+        """Counts a log event and keeps the text of errors."""
         self.logs[event] += 1
-        # One that speaks for a cell or a region is fenced by the next one by design; that a supervisor itself is fenced
-        # is told by `do_look`.
-        if fields.get("level") == "error" and event != "fenced" and len(self.errors) < MOST_ERRORS:
+        # The delegate of a cell or region is fenced by its successor by design. `do_look` counts supervisors that are
+        # fenced themselves.
+        if fields.get("level") == "error" and event != "fenced" and len(self.errors) < MAX_ERRORS:
             self.errors.append(f"{event} {fields}")
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         now = self.loop.clock()
-        self.late.append(now - self.due)
-        for hollow in self.living.values():
-            if hollow.ready_at is None:
-                hollow.look()
-        self.due = now + LOOK_EVERY
-        self.loop.at(self.due, self._look)
+        self.lateness.append(now - self.next_poll_at)
+        for supervisor in self.living.values():
+            if supervisor.ready_at is None:
+                supervisor.poll()
+        self.next_poll_at = now + POLL_PERIOD_S
+        self.loop.at(self.next_poll_at, self._poll)
 
-    # ---- commands ---------------------------------------------------------------------------------------------
+    # ---- commands ----
 
-    def _data(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         *lines, self.input = (self.input + data).split(b"\n")
         for line in lines:
             command = msgspec.json.decode(line)
@@ -392,108 +418,122 @@
     def _start(self, name: str) -> None:
         if name not in self.living:
             self.starts[name] += 1
-            self.living[name] = Hollow(self, name, self.starts[name])
+            self.living[name] = HollowSupervisor(self, name, self.starts[name])
 
     def do_start(self, names: list[str], within: float) -> dict:
-        """Starts these, each at a drawn moment within so many seconds."""
+        """Starts these supervisors, each at a random time within `within` seconds."""
         for name in names:
             self.loop.after(self.random.uniform(0, within), lambda name=name: self._start(name))
         return {}
 
     def do_kill(self, name: str, again: float | None) -> dict:
-        """As SIGKILL does; started `again` after so many seconds, or not."""
-        hollow = self.living.pop(name, None)
-        if hollow is None:
+        """Kills a supervisor as SIGKILL does; it restarts after `again` seconds, or not at all if None."""
+        supervisor = self.living.pop(name, None)
+        if supervisor is None:
             return {"killed": False}
-        hollow.kill()
-        for address, wire in hollow.seat.wires.items():
-            sums = self.gone.setdefault(address, [0, 0, 0, 0])
-            for k, value in enumerate((wire.out, wire.came, wire.sent, wire.got)):
+        supervisor.kill()
+        for address, traffic in supervisor.seat.traffic_by_store.items():
+            sums = self.past_traffic.setdefault(address, [0, 0, 0, 0])
+            for k, value in enumerate((traffic.bytes_out, traffic.bytes_in, traffic.messages_out, traffic.messages_in)):
                 sums[k] += value
-        if hollow.ready_at is not None:
-            self.past_rows.append((hollow.ready_at - hollow.begun, hollow.ready_bytes, hollow.ready_messages))
+        if supervisor.ready_at is not None:
+            self.past_starts.append(
+                (supervisor.ready_at - supervisor.started_at, supervisor.ready_bytes, supervisor.ready_messages)
+            )
         if again is not None:
             self.loop.after(again, lambda: self._start(name))
         return {"killed": True}
 
     def do_propose(self, name: str, text: str, patience: float) -> dict:
-        hollow = self.living.get(name)
-        if hollow is None or hollow.part is None:
+        """Proposes a policy at a supervisor; answers its version and the time, or why it was refused."""
+        supervisor = self.living.get(name)
+        if supervisor is None or supervisor.policy_part is None:
             return {"refused": "it is not there"}
-        at = time.monotonic()
+        proposed_at = time.monotonic()
         try:
-            asked = hollow.part.ask(Asked("propose", "benchmark", text, patience=patience))
+            answer = supervisor.policy_part.ask(Asked("propose", "benchmark", text, patience=patience))
         except Refused as error:
             return {"refused": str(error)}
-        return {"version": asked["version"], "at": at}
+        return {"version": answer["version"], "at": proposed_at}
 
     def do_look(self, version: int = 0, asked: float = 0.0, by: str = "") -> dict:
-        """How many live, are ready, were there when it was asked, and how many of these go by the version."""
-        stayed = [hollow for hollow in self.living.values() if hollow.begun < asked]
-        there = sum(hollow.runs() >= version for hollow in stayed)
-        # Without `_holds_still`: who became ready stays counted; what holds still now is told apart.
-        still = sum(bool(hollow.part and hollow.part.was_still) for hollow in self.living.values())
-        fenced = sum(hollow.agent.chair.standing is Standing.FENCED for hollow in self.living.values())
-        ready = sum(hollow.ready_at is not None for hollow in self.living.values())
+        """Counts living and ready supervisors, those started before `asked`, and those of the latter at `version` or
+        later.
+
+        `by`: the proposer, whose proposal's state is added as `mine`. Times are on the monotonic clock."""
+        stayed = [supervisor for supervisor in self.living.values() if supervisor.started_at < asked]
+        switched = sum(supervisor.active_version() >= version for supervisor in stayed)
+        # `ready` ignores `_holds_still`: a supervisor stays counted as ready; paused updates are counted as `still`.
+        frozen = sum(
+            bool(supervisor.policy_part and supervisor.policy_part.was_still) for supervisor in self.living.values()
+        )
+        fenced = sum(supervisor.agent.chair.standing is Standing.FENCED for supervisor in self.living.values())
+        ready = sum(supervisor.ready_at is not None for supervisor in self.living.values())
         answer = {
             "living": len(self.living),
             "fenced": fenced,
             "ready": ready,
             "stayed": len(stayed),
-            "there": there,
-            "still": still,
+            "there": switched,
+            "still": frozen,
             "errors": len(self.errors),
         }
         if by in self.living:
-            mine = self.living[by].part.mine
-            answer["mine"] = None if mine is None else [mine.state, mine.why]
+            proposal = self.living[by].policy_part.mine
+            answer["mine"] = None if proposal is None else [proposal.state, proposal.why]
         return answer
 
     def do_times(self, version: int, asked: float, until: float) -> dict:
-        """Seconds from asking until it went by the version, of those that stayed; of those that were started
-        meanwhile, from their start."""
-        stayed, began, missing = [], [], []
-        for hollow in self.living.values():
-            at = hollow.at_version(version)
-            if hollow.begun < asked:
-                stayed.append(round(at - asked, 4)) if at is not None else missing.append(hollow.name)
-            elif hollow.begun < until and at is not None:
-                began.append(round(at - hollow.begun, 4))
-        return {"stayed": stayed, "began": began, "missing": missing}
+        """Seconds until each supervisor switched to `version`: from `asked` for those started before it, from their own
+        start for those started between `asked` and `until`."""
+        stayed, started, missing = [], [], []
+        for supervisor in self.living.values():
+            switched_at = supervisor.switched_at(version)
+            if supervisor.started_at < asked:
+                stayed.append(round(switched_at - asked, 4)) if switched_at is not None else missing.append(
+                    supervisor.name
+                )
+            elif supervisor.started_at < until and switched_at is not None:
+                started.append(round(switched_at - supervisor.started_at, 4))
+        return {"stayed": stayed, "began": started, "missing": missing}
 
     def do_report(self) -> dict:
-        stores: dict[tuple[str, int], list[int]] = {address: [*sums, 0] for address, sums in self.gone.items()}
-        for hollow in self.living.values():
-            for address, wire in hollow.seat.wires.items():
+        """Counts by store and by supervisor, processor time, memory, lateness since the last report, and errors."""
+        stores: dict[tuple[str, int], list[int]] = {address: [*sums, 0] for address, sums in self.past_traffic.items()}
+        for supervisor in self.living.values():
+            for address, traffic in supervisor.seat.traffic_by_store.items():
                 sums = stores.setdefault(address, [0, 0, 0, 0, 0])
-                for k, value in enumerate((wire.out, wire.came, wire.sent, wire.got)):
+                for k, value in enumerate(
+                    (traffic.bytes_out, traffic.bytes_in, traffic.messages_out, traffic.messages_in)
+                ):
                     sums[k] += value
-            for stream in hollow.seat.streams:
+            for stream in supervisor.seat.streams:
                 stores[tuple(stream.peer)][4] += 1
-        late, self.late = sorted(self.late), deque(maxlen=self.late.maxlen)
+        lateness, self.lateness = sorted(self.lateness), deque(maxlen=self.lateness.maxlen)
         times = os.times()
         return {
             "at": time.monotonic(),
             "pid": os.getpid(),
             "cpu": times.user + times.system,
-            "rss": rss(os.getpid()),
+            "rss": resident_bytes(os.getpid()),
             "most_rss": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
-            "late_p50": late[len(late) // 2] if late else 0.0,
-            "late_worst": late[-1] if late else 0.0,
+            "late_p50": lateness[len(lateness) // 2] if lateness else 0.0,
+            "late_worst": lateness[-1] if lateness else 0.0,
             "stores": [[f"{host}:{port}", *sums] for (host, port), sums in sorted(stores.items())],
-            "rows": [hollow.row() for hollow in self.living.values()],
-            "past": self.past_rows,
+            "rows": [supervisor.make_row() for supervisor in self.living.values()],
+            "past": self.past_starts,
             "logs": dict(self.logs),
             "errors": self.errors,
         }
 
     def do_end(self) -> dict:
+        """Stops the loop."""
         self.loop.soon(self.loop.stop)
         return {}
 
 
-def rss(pid: int) -> int:
-    """Bytes of memory that a process holds now; 0 of one that is gone."""
+def resident_bytes(pid: int) -> int:
+    """Resident memory of a process in bytes; 0 if it does not exist."""
     try:
         status = Path(f"/proc/{pid}/statm").read_text().split()
     except OSError:
@@ -502,21 +542,22 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Runs a worker with the plan at this path; returns the exit code."""
     try:
         plan = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=Plan)
     except (IndexError, OSError, msgspec.DecodeError) as error:
-        print(f"worker: {error}; name the plan that the driver has written", file=sys.stderr)
+        print(f"worker: {error}; expected the path of a plan written by the driver", file=sys.stderr)
         return 2
     try:
         sock = socket.socket(fileno=os.dup(0))
         sock.setblocking(False)
     except OSError as error:
-        print(f"worker: {error}; its standard input is to be a socket: let the driver start it", file=sys.stderr)
+        print(f"worker: {error}; standard input must be a socket; the driver starts workers", file=sys.stderr)
         return 2
     loop = Loop()
     worker = Worker(plan, loop, sock)
     loop.run()
-    for hollow in worker.living.values():
-        hollow.kill()
+    for supervisor in worker.living.values():
+        supervisor.kill()
     loop.close()
     return 0
