--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -427,14 +427,14 @@
         share = CELL_MEMBERS / DESIGN["supervisors"] if limit.key.startswith("one.") else 1.0  # its own cell's restarts
         member = value_at_size(row, CELL_MEMBERS) * limit.factor * share
         region = value_at_size(row, CELLS_PER_REGION) * limit.factor * share
-        whole = value_at_size(row, DESIGN["regions"]) * limit.factor * share
+        root = value_at_size(row, DESIGN["regions"]) * limit.factor * share
         unit = limit.unit
         rows.append(
             [
                 limit.what,
                 _with_unit(limit.budget, unit),
-                *(_with_unit(each, unit) for each in (member, member + region, member + region + whole)),
-                f"{(member + region + whole) / limit.budget:.1%}",
+                *(_with_unit(each, unit) for each in (member, member + region, member + region + root)),
+                f"{(member + region + root) / limit.budget:.1%}",
             ]
         )
     return markdown_table(
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -130,11 +130,11 @@
     """Bytes of one table of all servers as the core sends it: the full snapshot, and one changed line."""
     hub = Hub(module_events.make_facts(64), "0123456789ab")
     record = fill_one_table(hub, servers, 1)[0]
-    whole = len(hub.news(record))
+    snapshot_bytes = len(hub.news(record))
     hub.ack(record, record.version, 1e9)
     hub.apply([face.SetLine(module_events.name(0), 1.25, 0)], 1e9)
     hub.release(2e9)
-    return {"whole_bytes": whole, "delta_bytes": len(hub.news(record))}
+    return {"whole_bytes": snapshot_bytes, "delta_bytes": len(hub.news(record))}
 
 
 def core(servers: int, proxies: int) -> dict:
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -70,9 +70,9 @@
     return [names[a:b] for a, b in zip(cuts, cuts[1:], strict=False)]
 
 
-def make_tiers_text(names: list[str], regions: int, cells: int, whole: str, stores: list[str]) -> str:
-    """The tiers file of a fleet. `cells`: per region; `whole`: the root store; `stores`: connect strings by region."""
-    lines = ["form = 1", 'root = "/driftshed"', f'stores = "{whole}"']
+def make_tiers_text(names: list[str], regions: int, cells: int, root_store: str, stores: list[str]) -> str:
+    """The tiers file of a fleet. `cells`: per region; `root_store`, `stores` (by region): connect strings."""
+    lines = ["form = 1", 'root = "/driftshed"', f'stores = "{root_store}"']
     for k, (store, region_names) in enumerate(zip(stores, split_evenly(names, regions), strict=True)):
         lines += ["[[regions]]", f'name = "r{k + 1:02}"', f'stores = "{store}"']
         for j, members in enumerate(split_evenly(region_names, cells)):
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -182,12 +182,10 @@
         self.loop.after(1.0, lambda: self.report_every_second(proxy))
         proxy.report()
 
-    def send_list(self, whole: bool, servers: list[ListedServer]) -> None:
-        """Sends a list of servers, or changed entries unless `whole`."""
+    def send_list(self, full: bool, servers: list[ListedServer]) -> None:
+        """Sends a list of servers, or changed entries unless `full`."""
         self.version += 1
-        self.feed.call(
-            "POST", "/v1/roster", encode(RosterNews(self.version, whole, servers)), lambda answer: None, 20.0
-        )
+        self.feed.call("POST", "/v1/roster", encode(RosterNews(self.version, full, servers)), lambda answer: None, 20.0)
 
     def listed_server(self, n: int, state: str = "ready") -> ListedServer:
         """The list's entry of server number `n`."""
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -27,32 +27,32 @@
 from driftshed.day.stage import play
 from driftshed.evacuation import part, stages
 from driftshed.evacuation.stages import follows, next_stage
-from driftshed.lab import scenario as says
+from driftshed.lab import scenario as lab_scenario
 from driftshed.lab.run import Outcome, run
 
 DAY_S, FAILS_AT_S = 70.0, 8.0
 KINDS = ("lost", "hang", "errors", "slow", "flap")
 # Faults that a fleet with a store does not have, and lost zones.
-EXCLUDED_FAULTS = says.LateRoster | says.LyingRoster | says.ZoneLost | says.Clock
+EXCLUDED_FAULTS = lab_scenario.LateRoster | lab_scenario.LyingRoster | lab_scenario.ZoneLost | lab_scenario.Clock
 
 
 def make_failure(random: Random, kind: str, zone: str) -> list:
     """The faults that make `zone` fail at FAILS_AT_S."""
-    lasts, whom = round(random.uniform(6, 16), 1), says.Whom(share=1.0, zone=zone)
+    lasts, whom = round(random.uniform(6, 16), 1), lab_scenario.Whom(share=1.0, zone=zone)
     if kind == "lost":
-        return [says.ZoneLost(FAILS_AT_S, lasts, zone)]
+        return [lab_scenario.ZoneLost(FAILS_AT_S, lasts, zone)]
     if kind == "flap":
-        return [says.Sick(FAILS_AT_S + k * 20, 8.0, "hang", 1.0, whom) for k in range(2)]
+        return [lab_scenario.Sick(FAILS_AT_S + k * 20, 8.0, "hang", 1.0, whom) for k in range(2)]
     size = round(random.uniform(0.4, 0.9), 2) if kind == "errors" else round(random.uniform(3, 8), 1)
-    return [says.Sick(FAILS_AT_S, lasts, kind, 1.0 if kind == "hang" else size, whom)]
+    return [lab_scenario.Sick(FAILS_AT_S, lasts, kind, 1.0 if kind == "hang" else size, whom)]
 
 
-def fleet_day(seed: int, size: str, leave: bool) -> tuple[says.Scenario, str]:
+def fleet_day(seed: int, size: str, leave: bool) -> tuple[lab_scenario.Scenario, str]:
     """The day of a seed and the kind of its failure. `leave` changes nothing else of it. Size "heavy": a small fleet
     with more load than two zones can handle."""
     random = Random(f"zones {seed}")
     load, size = random.uniform(0.35, 0.55) + 0.2 * (size == "heavy"), "small" if size == "heavy" else size
-    day = says.bare_day(size, DAY_S, load)
+    day = lab_scenario.bare_day(size, DAY_S, load)
     kind = KINDS[seed % len(KINDS)]
     limits = os.environ.get("ZONE_LIMITS", "")
     day.fleet = replace(day.fleet, store=True, supervisors=random.choice([3, 5]), leave_zones=leave, zone_limits=limits)
@@ -62,15 +62,15 @@
     day.troubles.append(
         random.choice(
             [
-                says.Kill(at, 3.0, number),
-                says.Pause(at, 4.0, "supervisor", 1.0, number),
-                says.StoreDown(at, 2.0),
-                says.Link(at, 5.0, says.control_zone(number), "roster", cut=True),
-                says.Link(at, 8.0, says.control_zone(number), "roster", delay=0.1, loss=0.05),
+                lab_scenario.Kill(at, 3.0, number),
+                lab_scenario.Pause(at, 4.0, "supervisor", 1.0, number),
+                lab_scenario.StoreDown(at, 2.0),
+                lab_scenario.Link(at, 5.0, lab_scenario.control_zone(number), "roster", cut=True),
+                lab_scenario.Link(at, 8.0, lab_scenario.control_zone(number), "roster", delay=0.1, loss=0.05),
             ]
         )
     )
-    return says.check(day), kind
+    return lab_scenario.check(day), kind
 
 
 def shares_by_supervisor(outcome: Outcome) -> dict[int, list[tuple[float, float]]]:
@@ -106,16 +106,16 @@
 
 def run_without_failure(seed: int) -> dict:
     """A random day with other faults, none of which affects half of a zone: no zone should be evacuated."""
-    day = says.drawn(seed, "small", 40.0)
+    day = lab_scenario.drawn(seed, "small", 40.0)
     day.fleet = replace(day.fleet, store=True, supervisors=3, leave_zones=True)
     remaining = []
     for trouble in day.troubles:
-        whom = getattr(trouble, "whom", says.Whom())
+        whom = getattr(trouble, "whom", lab_scenario.Whom())
         hits_half_a_zone = (whom.share or 0) >= 0.5 or whom.zone
         if not isinstance(trouble, EXCLUDED_FAULTS) and not hits_half_a_zone:
             remaining.append(trouble)
     day.troubles = remaining
-    outcome = run(says.check(day), seed)
+    outcome = run(lab_scenario.check(day), seed)
     shares_left = sorted({max(share for _, share in rows) for rows in shares_by_supervisor(outcome).values() if rows})
     return {
         "seed": seed,
@@ -129,25 +129,30 @@
     """A day with a fault that resembles a failing zone: no zone should be evacuated."""
     number, seed = job
     random = Random(f"alike {number} {seed}")
-    day = says.bare_day("small", 36.0, random.uniform(0.35, 0.55))
+    day = lab_scenario.bare_day("small", 36.0, random.uniform(0.35, 0.55))
     zones = day.facts.zones
     zone, other, third = random.sample(zones, 3)
     at, lasts, supervisors = 6.0, round(random.uniform(8, 14), 1), random.choice([3, 5])
     supervisor = random.randrange(supervisors)
-    cut = [says.Link(at, lasts, source, zone, cut=True) for source in (other, third)]
-    store_cut = says.Link(at + 1, lasts, says.control_zone(supervisor), "roster", cut=True)
+    cut = [lab_scenario.Link(at, lasts, source, zone, cut=True) for source in (other, third)]
+    store_cut = lab_scenario.Link(at + 1, lasts, lab_scenario.control_zone(supervisor), "roster", cut=True)
     day.troubles = [
         [cut[0]],
         cut,
-        [says.Sick(at, lasts, "slow", round(random.uniform(3, 6), 1), says.Whom(share=1.0))],
-        [says.Sick(at, lasts, "errors", 0.7, says.Whom(count=2, zone=zone))],
-        [says.Link(at, lasts, zone, "", delay=0.15, loss=0.1)],  # its proxies see all zones alike
-        [says.Pause(at, 4.0, "supervisor", 1.0, supervisor), says.Sick(at, lasts, "errors", 0.6, says.Whom(count=2))],
+        [lab_scenario.Sick(at, lasts, "slow", round(random.uniform(3, 6), 1), lab_scenario.Whom(share=1.0))],
+        [lab_scenario.Sick(at, lasts, "errors", 0.7, lab_scenario.Whom(count=2, zone=zone))],
+        [lab_scenario.Link(at, lasts, zone, "", delay=0.15, loss=0.1)],  # its proxies see all zones alike
+        [
+            lab_scenario.Pause(at, 4.0, "supervisor", 1.0, supervisor),
+            lab_scenario.Sick(at, lasts, "errors", 0.6, lab_scenario.Whom(count=2)),
+        ],
         [store_cut, cut[0]],  # the supervisor that is cut off sees a fault that the others do not
-        [says.Sick(at, 1.5, "hang", 1.0, says.Whom(share=1.0, zone=zone))],  # over before it counts as lasting
+        [
+            lab_scenario.Sick(at, 1.5, "hang", 1.0, lab_scenario.Whom(share=1.0, zone=zone))
+        ],  # over before it counts as lasting
     ][number]
     day.fleet = replace(day.fleet, store=True, supervisors=supervisors, leave_zones=True)
-    outcome = run(says.check(day), seed)
+    outcome = run(lab_scenario.check(day), seed)
     max_share = max((share for rows in shares_by_supervisor(outcome).values() for _, share in rows), default=0.0)
     return {
         "kind": LOOKALIKES[number],
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -20,7 +20,7 @@
             continue
         match = ENTRY.fullmatch(line.strip())
         if match is None:
-            raise pytest.UsageError(f"{FILE}: {line!r}: 'FILE.py::TEST: CAUSE (issue N)' is wanted")
+            raise pytest.UsageError(f"{FILE}: {line!r}: expected 'FILE.py::TEST: CAUSE (issue N)'")
         if match["test"] in causes:
             raise pytest.UsageError(f"{FILE}: {line!r}: named twice")
         if len(causes) == MAX_ENTRIES:
@@ -56,7 +56,7 @@
         item.config.stash.setdefault(FAILURES_KEY, {})[item.nodeid] = cause
     elif call.when == "call":
         report.outcome = "failed"
-        report.longrepr = f"{item.nodeid} does not fail, but stands in {FILE}: take its line out"
+        report.longrepr = f"{item.nodeid} does not fail, but is listed in {FILE}: remove its line"
     return report
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -62,17 +62,17 @@
 @pytest.mark.parametrize("test", ["test_good", "test_each[a b]", "test_skipped"])
 def test_what_does_not_fail_any_more_fails_the_run_until_its_line_is_out(tmp_path, test):
     code, output = run(tmp_path, f"test_it.py::{test}: once it did (issue 7)\n", "-k", "good or each or skipped")
-    assert code == 1 and "take its line out" in output
+    assert code == 1 and "remove its line" in output
 
 
 @pytest.mark.parametrize(
     "entries, message",
     [
         ("\n".join(f"test_it.py::test_bad{k}: why (issue 1)" for k in range(4)), "test_bad3"),
-        ("test_it.py::test_bad", "'FILE.py::TEST: CAUSE (issue N)' is wanted"),
-        ("test_bad: it does (issue 7)", "wanted"),
-        ("test_it.py::test_bad: it does", "is wanted"),
-        ("test_it.py::test_bad:  (issue 7)", "is wanted"),
+        ("test_it.py::test_bad", "expected 'FILE.py::TEST: CAUSE (issue N)'"),
+        ("test_bad: it does (issue 7)", "expected 'FILE.py::TEST"),
+        ("test_it.py::test_bad: it does", "expected 'FILE.py::TEST"),
+        ("test_it.py::test_bad:  (issue 7)", "expected 'FILE.py::TEST"),
         ("test_it.py::test_gone: it did (issue 7)", "names no test"),
         (f"{FAILING}\n{FAILING}", "named twice"),
         ("test_away.py::test_bad: it did (issue 7)", "names no test"),
