--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -87,7 +87,7 @@
         joins = [face.Joined(p % 2, True, p, 2.7) for p in range(first, min(proxies, first + 64))]
         hub.apply(brain.handle(now, joins), now)
     hub.release(1e9)
-    bodies = [hub.news(record) or b"" for record in records]
+    bodies = [hub.update_body(record) or b"" for record in records]
     lines = [sum(key[0] == "line" for key in record.held) for record in records]
     return {
         "dealt_lines": sum(lines) / proxies,
@@ -110,7 +110,7 @@
         hub.apply(brain.handle(now, events), now)
         for record in hub.release(now):
             lines += sum(len(m.changes) for m in record.log if m.version > record.acked) if now > 110 else 0
-            body = hub.news(record)
+            body = hub.update_body(record)
             sent += len(body or b"") if now > 110 else 0
             hub.ack(record, record.version, now)
     return {"fan_bytes_a_second": sent / (now - 110), "fan_lines_a_second": lines / (now - 110)}
@@ -130,11 +130,11 @@
     """Bytes of one table of all servers as the core sends it: the full snapshot, and one changed line."""
     hub = Hub(module_events.make_facts(64), "0123456789ab")
     record = fill_one_table(hub, servers, 1)[0]
-    snapshot_bytes = len(hub.news(record))
+    snapshot_bytes = len(hub.update_body(record))
     hub.ack(record, record.version, 1e9)
     hub.apply([face.SetLine(module_events.name(0), 1.25, 0)], 1e9)
     hub.release(2e9)
-    return {"whole_bytes": snapshot_bytes, "delta_bytes": len(hub.news(record))}
+    return {"whole_bytes": snapshot_bytes, "delta_bytes": len(hub.update_body(record))}
 
 
 def core(servers: int, proxies: int) -> dict:
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -100,7 +100,7 @@
 
 def traffic(fleet: Fleet) -> int:
     """Bytes in both directions on all streams to the store so far."""
-    return sum(stream.came + stream.went for stream in fleet.network.streams if stream.peer[1] == 2181)
+    return sum(stream.bytes_received + stream.bytes_sent for stream in fleet.network.streams if stream.peer[1] == 2181)
 
 
 def cpu_now() -> float:
--- a/benchmarks/hollow_worker.py
+++ b/benchmarks/hollow_worker.py
@@ -199,7 +199,7 @@
     def __init__(self, now: Callable[[], float]) -> None:
         """`now` gives the time at which switches are recorded."""
         self.facts, self.policy, self.faults, self.now = FACTS, 0, 0, now
-        self.still: Callable[[], bool] = lambda: False
+        self.tables_frozen: Callable[[], bool] = lambda: False
         self.switched: list[tuple[int, float]] = []  # version and time, in seconds of the monotonic clock
 
     def check_switch(self, facts: object) -> str:
--- a/benchmarks/proxies.py
+++ b/benchmarks/proxies.py
@@ -73,7 +73,7 @@
 def measure_open_loop(address: tuple[str, int], rate: float, span: float) -> dict:
     """Sends invocations at random times for `span` seconds; latency counts from the time at which one was due."""
     loop, random, answer_count = Loop(), Random(1), [0]
-    client, histogram = HttpClient(loop, address, idle_most=512), HdrHistogram(1, 60_000_000, 3)
+    client, histogram = HttpClient(loop, address, max_idle=512), HdrHistogram(1, 60_000_000, 3)
     due_times, due_at = [], loop.clock() + 0.2
     while due_at < loop.clock() + 0.2 + span:
         due_at += random.expovariate(rate)
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -256,7 +256,12 @@
     )
     testbed.until(lambda: lists)
     stream = follower.client.stream
-    reads_before, bytes_in, bytes_out, cpu_before = follower.reads, stream.came, stream.went, testbed.cpu(testbed.store)
+    reads_before, bytes_in, bytes_out, cpu_before = (
+        follower.reads,
+        stream.bytes_received,
+        stream.bytes_sent,
+        testbed.cpu(testbed.store),
+    )
     first_list_bytes = bytes_in
     for k in range(changes):
         done = []
@@ -267,7 +272,8 @@
         testbed.until(lambda done=done, lists_expected=lists_expected: done and len(lists) >= lists_expected)
     click.echo(
         f"a change: {(follower.reads - reads_before) / changes:.2f} nodes read of {servers}, "
-        f"{(stream.came - bytes_in) / changes:.0f} bytes to the follower, {(stream.went - bytes_out) / changes:.0f} "
+        f"{(stream.bytes_received - bytes_in) / changes:.0f} bytes to the follower, "
+        f"{(stream.bytes_sent - bytes_out) / changes:.0f} "
         f"from it (the first list took {first_list_bytes}); "
         f"{1000 * (testbed.cpu(testbed.store) - cpu_before) / changes:.2f} ms of the "
         "store's core"
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,9 +26,9 @@
     ListedServer,
     OperationReport,
     Report,
-    RosterNews,
+    RosterUpdate,
     ServerReport,
-    encode,
+    encode_json,
 )
 from driftshed.net.http import HttpClient
 from driftshed.net.loop import Loop
@@ -106,7 +106,7 @@
             body |= {"run": self.run, "version": self.version}
         self.client.close()
         path = f"/v1/proxies/{self.number}/join"
-        self.client.call("POST", path, encode(body), self.on_joined, 20.0, fresh=True)
+        self.client.call("POST", path, encode_json(body), self.on_joined, 20.0, fresh=True)
 
     def on_joined(self, answer) -> None:
         """Starts to poll, or joins again after a short random time."""
@@ -155,7 +155,7 @@
             rows = [OperationReport(name, 1, 0) for name in ("status", "history", "credit")]
             path = f"/v1/proxies/{self.number}/report"
             self.reports.call(
-                "POST", path, encode(Report(self.stream, server_reports, rows)), lambda answer: None, 20.0
+                "POST", path, encode_json(Report(self.stream, server_reports, rows)), lambda answer: None, 20.0
             )
 
 
@@ -185,7 +185,9 @@
     def send_list(self, full: bool, servers: list[ListedServer]) -> None:
         """Sends a list of servers, or changed entries unless `full`."""
         self.version += 1
-        self.feed.call("POST", "/v1/roster", encode(RosterNews(self.version, full, servers)), lambda answer: None, 20.0)
+        self.feed.call(
+            "POST", "/v1/roster", encode_json(RosterUpdate(self.version, full, servers)), lambda answer: None, 20.0
+        )
 
     def listed_server(self, n: int, state: str = "ready") -> ListedServer:
         """The list's entry of server number `n`."""
@@ -306,11 +308,11 @@
         0.0,
     )
     hub.release(1e6)
-    snapshot_bytes = len(hub.news(record))
+    snapshot_bytes = len(hub.update_body(record))
     hub.ack(record, record.version, 1e6)
     hub.apply([face.SetLine(bytes([10, 0, 0, 7, 31, 64]), weights.uniform(0.5, 2), 0)], 1e6)
     hub.release(2e6)
-    delta_bytes = len(hub.news(record))
+    delta_bytes = len(hub.update_body(record))
     print_json(
         lines=118, whole_bytes=snapshot_bytes, delta_bytes=delta_bytes, ratio=round(snapshot_bytes / delta_bytes, 1)
     )
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from driftshed.node.collectors import PONG
-from driftshed.node.resp import message
-from tests.platforms import Platform, free_port, told
+from driftshed.node.resp import encode_message
+from tests.platforms import Platform, free_port, make_configuration
 
 
 def measure_loading() -> tuple[float, float]:
@@ -35,7 +35,9 @@
     """Seconds from exec until the process answers PING."""
     port = free_port()
     file = folder / "config.json"
-    configuration = told(platform.relay.address, platform.discovery.address) | {"listen": f"127.0.0.1:{port}"}
+    configuration = make_configuration(platform.relay.address, platform.discovery.address) | {
+        "listen": f"127.0.0.1:{port}"
+    }
     file.write_bytes(msgspec.json.encode(configuration))
     started_at = time.perf_counter()
     process = subprocess.Popen(
@@ -51,7 +53,7 @@
                 peer = None
                 continue
             peer.setblocking(False)
-            peer.send(message("PING"))
+            peer.send(encode_message("PING"))
         try:
             if peer.recv(100) == PONG:
                 break
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -137,7 +137,7 @@
     regions, cells, members = map(int, shape.split("x"))
     folder = Path(tempfile.mkdtemp())
     fleet = TieredFleet(folder, regions, cells, members)
-    ready_after = fleet.until(lambda: all(not part.instance.still() for part in fleet.parts.values()), 120)
+    ready_after = fleet.until(lambda: all(not part.instance.tables_frozen() for part in fleet.parts.values()), 120)
     fleet.run(5)
     rows = []
     for k in range(changes):
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -17,8 +17,8 @@
 
 from benchmarks.events import make_facts
 from driftshed import interface as face
-from driftshed.node.config import Told
-from driftshed.node.service import Host
+from driftshed.node.config import SupervisorOptions
+from driftshed.node.service import SupervisorHost
 
 SERVERS, PROXIES, SUPERVISORS, PERIOD_S, LINES_PER_SECOND = 200, 1600, 5, 1.0, 4000.0
 LOCAL = "127.0.0.1", 1
@@ -43,23 +43,23 @@
         facts = make_facts(PROXIES)._replace(
             supervisors=SUPERVISORS, lines_per_second=LINES_PER_SECOND, queue_cap=2 * LINES_PER_SECOND
         )
-        self.host = Host(Told("n0", LOCAL, LOCAL, LOCAL, 1, 256, facts, None, {}), 100.0, 100.0)
+        self.host = SupervisorHost(SupervisorOptions("n0", LOCAL, LOCAL, LOCAL, 1, 256, facts, None, {}), 100.0, 100.0)
         self.random, self.now, self.pending_marks, self.turn_seconds = Random(1), 100.0, [], []
 
     def turn(self, events: list) -> None:
         """Runs one turn with these events; its orders are acknowledged at the rate that the channel supports."""
-        self.host.take(events)
+        self.host.add_events(events)
         started_at = time.process_time()
-        self.host.turn(self.now)
+        self.host.run_turn(self.now)
         self.turn_seconds.append(time.process_time() - started_at)
-        waiting_lines = self.host.brain._waiting()
+        waiting_lines = self.host.brain.waiting_lines()
         if self.host.orders.waiting:
             self.pending_marks.append((self.now + waiting_lines / LINES_PER_SECOND, dict(self.host.brain.unanswered)))
             self.host.orders.waiting.clear()
 
     def run_second(self, extra: list | None = None) -> None:
         """Handles a second's reports and `extra` in one turn, then acknowledgements in turns every 20 ms."""
-        joined = self.host.joins.held
+        joined = self.host.join_state.joined
         reports = [
             face.Heard(
                 self.random.random() < 0.1, server_name(n), 12, PERIOD_S, zone, self.random.uniform(0.09, 0.2), None
@@ -74,14 +74,14 @@
             due = [marks for at, marks in self.pending_marks if at <= self.now]
             self.pending_marks = [row for row in self.pending_marks if row[0] > self.now]
             events = [face.Applied(mark, proxy, 0.1) for marks in due for proxy, mark in marks.items()]
-            if events or self.host.module_at() <= self.now:
+            if events or self.host.module_due_at() <= self.now:
                 self.turn(events)
         self.now += 0.02
 
     def join(self, first: int, last: int) -> list:
         """Events by which the proxies from `first` to before `last` join."""
         joins = [face.Joined(p % 2, True, p, 2.7) for p in range(first, last)]
-        self.host.joins.held.update({each.proxy: each for each in joins})
+        self.host.join_state.joined.update({each.proxy: each for each in joins})
         return joins
 
 
--- a/driftshed/adapter/loop.py
+++ b/driftshed/adapter/loop.py
@@ -9,14 +9,14 @@
 from driftshed.brain import Brain
 
 
-class Host:
+class InstanceHost:
     """The instances of one process. They share no state; a failed one receives no more events."""
 
     def __init__(self) -> None:
         """Without instances; a Start event creates one."""
         self.brains: dict[int, Brain | None] = {}
 
-    def play(self, now: float, events: list[tuple[int, object]]) -> list[tuple[int, object]]:
+    def handle_batch(self, now: float, events: list[tuple[int, object]]) -> list[tuple[int, object]]:
         """The orders that answer one batch of (instance, event) pairs, by instance in the order of their first event.
         Raises BadInput for an event to an instance that was never started."""
         starts: dict[int, face.Start | None] = {}
@@ -54,11 +54,11 @@
 def serve(source, sink, errors) -> int:
     """Answers the frames of `source` on `sink` until the input ends. Returns the exit code: 2 for bad input, of which
     one line is written to `errors`."""
-    host = Host()
+    host = InstanceHost()
     try:
         for number, body in enumerate(read_frames(source), 1):
             try:
-                sink.write(encode_reply(host.play(*decode_batch(body))))
+                sink.write(encode_reply(host.handle_batch(*decode_batch(body))))
             except BadInput as error:
                 raise BadInput(f"frame {number}: {error}") from None
             sink.flush()
--- a/driftshed/brain.py
+++ b/driftshed/brain.py
@@ -100,14 +100,14 @@
         self.cold_share = facts.cold_share
         self.warm_within = facts.warm_within
         self.slow_start_limit = facts.tip_multiple * SLOW_START_LIMIT
-        self.cap = facts.queue_cap
+        self.queue_cap = facts.queue_cap
         self.picks_of_two = facts.pick == "two"
         self.message_overhead = facts.lines_per_message + 1  # in lines, with that of the mark
-        self.round_lines = ORDINARY_SHARE * min(self.cap, facts.lines_per_second * facts.drain_grace)
+        self.round_lines = ORDINARY_SHARE * min(self.queue_cap, facts.lines_per_second * facts.drain_grace)
         self.message_cap = facts.message_cap
         self.message_span = facts.message_span
         self.urgent_interval = facts.message_span / facts.message_cap if facts.message_cap else facts.drain_grace / 10
-        self.patience = 4 * facts.worst_transit + 8 * facts.queue_cap / facts.lines_per_second
+        self.answer_timeout = 4 * facts.worst_transit + 8 * facts.queue_cap / facts.lines_per_second
         self.evaluation_interval = facts.report_period / 2
         self.baseline_gain = facts.report_period / 2 / BASELINE_TIME_CONSTANT_S
         self.objectives = [operation.latency_objective for operation in facts.operations]
@@ -126,26 +126,26 @@
         # until they are overloaded. Factors regress toward the listed weights; without those they do not regress.
         self.factor_decay = FACTOR_DECAY if self.weights_listed else 0.0
         zones = range(len(facts.zones))
-        self.place = {}  # slot of each server, by id
+        self.slot_of = {}  # slot of each server, by id
         self.gone_slots = {}  # slots of servers that are gone, the longest gone first
         # Servers: parallel arrays, indexed by slot.
-        self.array = [[] for _ in range(14)]
-        self.ids = self.array[0]
-        self.kind = self.array[1]
-        self.state = self.array[2]
-        self.started = self.array[3]  # time
-        self.entered = self.array[4]  # time of the first entry step
-        self.out_at = self.array[5]  # time of the withdrawal for health, or None
-        self.listed_weight = self.array[6]
-        self.factor = self.array[7]  # learnt; multiplies the listed weight
+        self.server_arrays = [[] for _ in range(14)]
+        self.server_ids = self.server_arrays[0]
+        self.kind = self.server_arrays[1]
+        self.state = self.server_arrays[2]
+        self.started = self.server_arrays[3]  # time
+        self.entered = self.server_arrays[4]  # time of the first entry step
+        self.withdrawn_at = self.server_arrays[5]  # time of the withdrawal for health, or None
+        self.listed_weight = self.server_arrays[6]
+        self.factor = self.server_arrays[7]  # learnt; multiplies the listed weight
         # Tries, succeeded tries and total time, with exponential decay from solve to solve.
-        self.solve_sample = self.array[8]
+        self.solve_sample = self.server_arrays[8]
         # The same since the last evaluation of strain, with the time of succeeded tries alone.
-        self.strain_sample = self.array[9]
-        self.utilisation = self.array[10]  # last reported share of cores in use, or None
-        self.part = self.array[11]
-        self.line = self.array[12]  # weight of the present line, 0 without one
-        self.withdrawn = self.array[13]  # whether a withdrawal is in force
+        self.strain_sample = self.server_arrays[9]
+        self.utilisation = self.server_arrays[10]  # last reported share of cores in use, or None
+        self.part = self.server_arrays[11]
+        self.line_weight = self.server_arrays[12]  # weight of the present line, 0 without one
+        self.withdrawn = self.server_arrays[13]  # whether a withdrawal is in force
         # What each zone observes of each server: parallel arrays, indexed by zone and slot.
         self.zone_arrays = [[[] for _ in zones] for _ in range(5)]
         self.reports = self.zone_arrays[0]  # queues of time, tries, errored tries, latency
@@ -169,7 +169,7 @@
         self.proxy_zone = {}
         self.demand = {}  # arrivals per second, by operation
         self.rate = {}  # arrivals per second of all operations
-        self.sent_at = {}  # times of recent messages
+        self.message_times = {}  # times of recent messages
         self.joined_at = {}
         self.target_part = {}  # the part that the proxy should hold
         self.held_part = {}  # the part that the proxy holds
@@ -179,9 +179,9 @@
         self.levels_pending = False  # levels were sent and not yet answered by all
         self.awaiting_first_list = True
         self.operation_mix = [1.0 for _ in self.objectives]  # moving average of arrivals
-        self.let_in = 1.0  # admitted share of all arrivals
+        self.admitted_share = 1.0  # admitted share of all arrivals
         self.tries = face.ONE_AFTER_PROOF
-        self.floor = float("inf")  # lowest latency of the median server, rising slowly
+        self.lowest_latency = float("inf")  # lowest latency of the median server, rising slowly
         self.best_unit_rate = 0.0  # most succeeded tries per second and unit of weight, decaying
         # What the fleet can answer at its best, as a share of the offered tries with their repeats. Starts at the
         # worst value, since an instance without reports cannot rule it out.
@@ -205,7 +205,7 @@
         self.now = now
         self.orders = []
         for event in events:
-            getattr(self, f"_hear_{type(event).__name__.lower()}", lambda _: None)(event)
+            getattr(self, f"_handle_{type(event).__name__.lower()}", lambda _: None)(event)
         # Repeated until answered, with a random delay so that supervisors do not ask at the same moment.
         if self.next_subscribe is not None and now >= self.next_subscribe:
             self.orders.append(face.Subscribe(True))
@@ -229,7 +229,7 @@
 
     # ---- list of servers ----
 
-    def _hear_listing(self, listing: face.Listing) -> None:
+    def _handle_listing(self, listing: face.Listing) -> None:
         """Applies a list or a change of it. A server that a full list leaves out is gone."""
         if listing.kind == face.FAILED:
             self.next_subscribe = self.now + self.subscribe_retry_interval * self.random.uniform(0.2, 1)
@@ -238,17 +238,17 @@
             self.next_subscribe = None  # the answer to a subscription, or its changes
         if listing.kind != face.DELTA:
             present = {entry.server for entry in listing.entries}
-            for i in [i for server, i in self.place.items() if server not in present]:
+            for i in [i for server, i in self.slot_of.items() if server not in present]:
                 self.state[i] = face.GONE
                 self.gone_slots.setdefault(i)
         if self.awaiting_first_list:
             self._create_parts([entry for entry in listing.entries if entry.state == face.READY])
         # Of each part: the number of its servers by kind, and their weight; updated with each entry.
         self.part_tally = [(defaultdict(int), [0.0]) for _ in self.part_zone]
-        for i in range(len(self.ids)):
+        for i in range(len(self.server_ids)):
             self._update_tally(i, 1)
         for entry in listing.entries:
-            if entry.server in self.place or entry.state != face.GONE:
+            if entry.server in self.slot_of or entry.state != face.GONE:
                 self._apply_entry(entry)
         # A list without a ready server does not show the size of the fleet.
         self.awaiting_first_list &= face.READY not in self.state
@@ -270,11 +270,11 @@
     def _apply_entry(self, entry) -> None:
         """Applies the entry of one server; a ready server that is new or restarted begins its entry steps."""
         started = LONG_AGO if entry.started is None else entry.started
-        if is_new := entry.server not in self.place:
+        if is_new := entry.server not in self.slot_of:
             self._allocate_slot(entry)
-        i = self.place[entry.server]
+        i = self.slot_of[entry.server]
         self._update_tally(i, -1)
-        if not self.line[i] and not self.withdrawn[i]:
+        if not self.line_weight[i] and not self.withdrawn[i]:
             self.part[i] = self._choose_part(entry)
         if entry.state == face.READY and (self.state[i] != face.READY or started > self.started[i]):
             self._begin_entry(i, LONG_AGO if self.awaiting_first_list else self.now)
@@ -295,14 +295,14 @@
         Guards against growth with each server ever listed: once the gone servers outnumber the rest, the slot of the
         longest gone is reused. Late reports are looked up by server id, so none is credited to the new server.
         """
-        reuse = 2 * len(self.gone_slots) > len(self.ids)
-        reusable = (k for k in self.gone_slots if reuse and not self.line[k] and not self.withdrawn[k])
-        i = next(reusable, len(self.ids))
-        if i < len(self.ids):
-            del self.place[self.ids[i]], self.gone_slots[i]
-        self.place[entry.server] = i
+        reuse = 2 * len(self.gone_slots) > len(self.server_ids)
+        reusable = (k for k in self.gone_slots if reuse and not self.line_weight[k] and not self.withdrawn[k])
+        i = next(reusable, len(self.server_ids))
+        if i < len(self.server_ids):
+            del self.slot_of[self.server_ids[i]], self.gone_slots[i]
+        self.slot_of[entry.server] = i
         initial = entry.server, entry.kind, face.GONE, LONG_AGO, LONG_AGO, None, 1.0, 1.0, [0.0] * 3, [0.0] * 3
-        for array, value in zip(self.array, (*initial, None, 0, 0.0, False), strict=True):
+        for array, value in zip(self.server_arrays, (*initial, None, 0, 0.0, False), strict=True):
             array[i : i + 1] = [value]
         for zone in range(len(self.reports)):
             self._discard_view(zone, i)
@@ -331,30 +331,30 @@
     def _begin_entry(self, i: int, at: float) -> None:
         """Starts the entry steps of a new, restarted or returned server and clears the complaints of it."""
         self.entered[i] = at
-        self.out_at[i] = None
+        self.withdrawn_at[i] = None
         for zone in range(len(self.reports)):
             self.reports[zone][i].clear()
             self.complaint_since[zone][i] = None
 
     # ---- proxies and their answers ----
 
-    def _hear_joined(self, joined: face.Joined) -> None:
+    def _handle_joined(self, joined: face.Joined) -> None:
         """Adds a proxy and forgets an earlier stay of it; its rate is split by the present mix of operations."""
-        self._hear_left(joined)
-        self.sent_at[joined.proxy] = deque()
+        self._handle_left(joined)
+        self.message_times[joined.proxy] = deque()
         self.proxy_zone[joined.proxy] = joined.zone
         self.joined_at[joined.proxy] = self.now
         self.demand[joined.proxy] = [joined.rate * weight / sum(self.operation_mix) for weight in self.operation_mix]
         self.rate[joined.proxy] = sum(self.demand[joined.proxy])
 
-    def _hear_left(self, left: face.Left) -> None:
+    def _handle_left(self, left: face.Left) -> None:
         by_proxy = self.target_part, self.held_part, self.unanswered
-        for mapping in (self.sent_at, self.joined_at, self.proxy_zone, self.demand, self.rate, *by_proxy):
+        for mapping in (self.message_times, self.joined_at, self.proxy_zone, self.demand, self.rate, *by_proxy):
             mapping.pop(left.proxy, None)
         if not self.unanswered:
             self.channel.clear()  # no proxy remains that could answer
 
-    def _hear_applied(self, applied: face.Applied) -> None:
+    def _handle_applied(self, applied: face.Applied) -> None:
         """Records a proxy's answer to a mark."""
         # Messages are delivered in order: this answer covers all messages before this mark too.
         if any(mark == applied.mark for mark, _, _ in self.channel):
@@ -367,9 +367,9 @@
 
     # ---- reports and complaints ----
 
-    def _hear_heard(self, heard: face.Heard) -> None:
+    def _handle_heard(self, heard: face.Heard) -> None:
         """Adds a report to the samples of its server and part; an errored try counts with the latency objective."""
-        i = self.place.get(heard.server)
+        i = self.slot_of.get(heard.server)
         if i is None or not heard.tries or heard.zone >= len(self.reports):
             return
         succeeded = heard.tries - min(heard.errored, heard.tries)
@@ -436,9 +436,9 @@
         self.median_slowness[zone].replace(slowness, None)
         self.median_error_share[zone].replace(error_share, None)
 
-    def _hear_demand(self, demand: face.Demand) -> None:
+    def _handle_demand(self, demand: face.Demand) -> None:
         """Updates the arrival rates of a proxy and the mix of operations, both as moving averages."""
-        if demand.proxy in self.sent_at and demand.window > 0 and demand.operation < len(self.operation_mix):
+        if demand.proxy in self.message_times and demand.window > 0 and demand.operation < len(self.operation_mix):
             rates = self.demand[demand.proxy]
             rates[demand.operation] += (demand.arrived / demand.window - rates[demand.operation]) / 2
             self.rate[demand.proxy] = sum(rates)
@@ -450,7 +450,7 @@
             objective * weight for objective, weight in zip(self.objectives, self.operation_mix, strict=True)
         ) / sum(self.operation_mix)
 
-    def _warm(self, i: int) -> bool:
+    def is_warm(self, i: int) -> bool:
         """Whether a server is ready and past its warm-up."""
         return self.state[i] == face.READY and self.now - self.started[i] >= self.warm_within
 
@@ -461,11 +461,11 @@
         by_part = self._ready_by_part()
         ready = [i for servers in by_part for i in servers]
         for i in ready:
-            if self.out_at[i] is not None and self.now - self.out_at[i] >= WITHDRAWAL_DURATION_S:
+            if self.withdrawn_at[i] is not None and self.now - self.withdrawn_at[i] >= WITHDRAWAL_DURATION_S:
                 self._begin_entry(i, self.now)
         complained_of = []
         for i in ready:
-            if self.out_at[i] is None:
+            if self.withdrawn_at[i] is None:
                 # Only zones with a recent view of the server count: a part may be in use by a single zone.
                 viewing_zones = [
                     zone for zone, view in enumerate(self.view) if view[i][0] > self.now - COMPLAINT_EXPIRY_S
@@ -476,23 +476,23 @@
         for _, i in sorted(complained_of):  # the longest complaint first
             # The design's caps apply to each part as they do to a small fleet.
             part_servers, recent_withdrawals = by_part[self.part[i]], self.withdrawal_times[self.part[i]]
-            out_count = sum(self.out_at[k] is not None for k in part_servers)
+            out_count = sum(self.withdrawn_at[k] is not None for k in part_servers)
             while recent_withdrawals and recent_withdrawals[0] <= self.now - WITHDRAWAL_BUDGET_WINDOW_S:
                 recent_withdrawals.popleft()
-            warm_remains = any(self._warm(k) and self.out_at[k] is None for k in part_servers if k != i)
+            warm_remains = any(self.is_warm(k) and self.withdrawn_at[k] is None for k in part_servers if k != i)
             if (
                 out_count + 1 > min(MAX_WITHDRAWN, int(len(part_servers) * MAX_WITHDRAWN_SHARE))
                 or len(recent_withdrawals) >= WITHDRAWAL_BUDGET
                 or not warm_remains
             ):
                 continue
-            self.out_at[i] = self.now
+            self.withdrawn_at[i] = self.now
             recent_withdrawals.append(self.now)
             views = [view[i] for view in self.view if view[i][0] > LONG_AGO]
             summary = "; ".join(
                 f"{slowness:.1f} x usual, {error_share:.0%} erred" for _, slowness, error_share in views
             )
-            self.orders.append(face.Log(f"withdrawn {self.ids[i].hex()}, {out_count} were out: {summary}"))
+            self.orders.append(face.Log(f"withdrawn {self.server_ids[i].hex()}, {out_count} were out: {summary}"))
 
     def _complaint_counts(self, zone: int, i: int) -> bool:
         """Whether a zone's complaint of a server is old enough and has not expired."""
@@ -510,7 +510,7 @@
         latency = {i: total_time / max(1.0, succeeded) for i, (_, succeeded, total_time) in samples.items()}
         for sample in [*self.solve_sample, *self.part_sample.values()]:
             sample[:] = [value * RETENTION_PER_SOLVE for value in sample]
-        in_service = [i for i in latency if self.state[i] == face.READY and self.out_at[i] is None]
+        in_service = [i for i in latency if self.state[i] == face.READY and self.withdrawn_at[i] is None]
         median_latency = median([latency[i] for i in in_service])
         for i in in_service:
             step = min(1 + MAX_SOLVE_STEP, max(1 - MAX_SOLVE_STEP, (median_latency / latency[i]) ** SOLVE_EXPONENT))
@@ -542,11 +542,12 @@
         latency = objective if latency is None else latency
         # Work that takes long without queueing is no strain: the lowest latency of the fleet raises the threshold.
         pressure = latency / min(
-            2 * STRAIN_THRESHOLD * objective, max(STRAIN_THRESHOLD * objective, ELEVATED_LATENCY_RATIO * self.floor)
+            2 * STRAIN_THRESHOLD * objective,
+            max(STRAIN_THRESHOLD * objective, ELEVATED_LATENCY_RATIO * self.lowest_latency),
         )
         utilisation, recovery = median([share for share in self.utilisation if share is not None]), RECOVERY_THRESHOLD
         if pressure <= 1:
-            self.floor = min(latency, self.floor / DECAY_PER_EVALUATION)
+            self.lowest_latency = min(latency, self.lowest_latency / DECAY_PER_EVALUATION)
         # High latency of servers with idle cores is not for lack of servers.
         if utilisation is not None:
             pressure, recovery = min(pressure, utilisation / BUSY_UTILISATION), 1.0
@@ -565,11 +566,16 @@
             if not retries_to_cut and self.level_form != "off":
                 # What a strained fleet answers is its capacity: admit a little less, in few large steps. The arrival
                 # rate is from reports of other moments, so a slight strain is measured by this sample alone.
-                by_sample = self.let_in * succeeded / tries / pressure**2
+                by_sample = self.admitted_share * succeeded / tries / pressure**2
                 sustainable = ADMITTED_PER_ANSWERED * max(succeeded / elapsed / arrival_rate, by_sample)
-                self.let_in = min(self.let_in, max(self.let_in * ADMISSION_CUT_FACTOR, sustainable, MIN_ADMITTED_SHARE))
-        elif pressure < recovery and self.let_in < 1:
-            self.let_in = min(1.0, self.let_in * recovery / max(pressure, recovery / ADMISSION_RISE_FACTOR))
+                self.admitted_share = min(
+                    self.admitted_share,
+                    max(self.admitted_share * ADMISSION_CUT_FACTOR, sustainable, MIN_ADMITTED_SHARE),
+                )
+        elif pressure < recovery and self.admitted_share < 1:
+            self.admitted_share = min(
+                1.0, self.admitted_share * recovery / max(pressure, recovery / ADMISSION_RISE_FACTOR)
+            )
         elif pressure < recovery:
             self.tries = face.ONE_AFTER_PROOF
         # Only here: levels that followed every swing of demand would always be pending and never be evaluated.
@@ -581,7 +587,7 @@
 
     def _reset_strain_sample(self) -> None:
         """Starts a new strain sample and puts the next evaluation of strain one interval from now."""
-        self.strain_sample[:] = [[0.0, 0.0, 0.0] for _ in self.ids]
+        self.strain_sample[:] = [[0.0, 0.0, 0.0] for _ in self.server_ids]
         self.strain_since = self.now
         self.next_control = self.now + self.control_interval
 
@@ -590,22 +596,22 @@
         rates = [sorted(rates[k] for rates in self.demand.values()) for k in range(len(self.low_value))]
         total = sum(map(sum, rates))
         low_value_rate = sum(sum(rates[k]) for k, is_low in enumerate(self.low_value) if is_low) or 1.0
-        low_value_share = max(MIN_ADMITTED_SHARE, 1 - (1 - self.let_in) * total / low_value_rate)
+        low_value_share = max(MIN_ADMITTED_SHARE, 1 - (1 - self.admitted_share) * total / low_value_rate)
         high_value_share = max(
             MIN_ADMITTED_SHARE,
-            (self.let_in * total - low_value_share * low_value_rate) / (total - low_value_rate or 1.0),
+            (self.admitted_share * total - low_value_share * low_value_rate) / (total - low_value_rate or 1.0),
         )
         levels = []
         for k, share in enumerate(low_value_share if is_low else high_value_share for is_low in self.low_value):
             level = share if self.level_form == "share" else fair_rate(rates[k], share)
-            levels.append((level if self.let_in < 1 and share < 1 else self.unlimited_level, self.tries))
+            levels.append((level if self.admitted_share < 1 and share < 1 else self.unlimited_level, self.tries))
         return levels
 
     # ---- target state ----
 
     def _target_weights(self) -> list[float]:
         """The weight that the line of each server should have now; 0 for no line. Also sets `bearable_share`."""
-        weights = [0.0] * len(self.ids)
+        weights = [0.0] * len(self.server_ids)
         by_part = self._ready_by_part()
         ready = [i for servers in by_part for i in servers]
         entry_weight = sum(self.listed_weight[i] for i in ready) / max(1, len(ready)) * ENTRY_WEIGHT_SHARE
@@ -615,7 +621,7 @@
         for part, servers in enumerate(by_part):
             steps = {i: min(99.0, (self.now - self.entered[i]) // ENTRY_STEP_S) for i in servers}
             settled_weight = sum(
-                self.listed_weight[i] for i in servers if steps[i] >= ENTRY_STEPS and self.out_at[i] is None
+                self.listed_weight[i] for i in servers if steps[i] >= ENTRY_STEPS and self.withdrawn_at[i] is None
             )
             entering = settled_weight < sum(self.listed_weight[i] for i in servers) / 2
             for i in servers:
@@ -646,7 +652,7 @@
                     cold_limit[i] = 1 - max(0.0, 1 - share) ** 0.5 if self.picks_of_two else share
             # Guards against overloading a cold server: whatever the demand, its share of all tries stays within what
             # it can bear, while warm servers do not fail. Harm: in a deep overload it is underused.
-            warm_weight = sum(weights[i] for i in servers if i not in cold_limit and self.out_at[i] is None)
+            warm_weight = sum(weights[i] for i in servers if i not in cold_limit and self.withdrawn_at[i] is None)
             self.bearable_share[part] = float("inf") if warm_weight else self.bearable_share[part]
             if warm_weight and sum(cold_limit.values()) < 1:
                 for i, share in cold_limit.items():
@@ -655,9 +661,9 @@
 
     def _target_withdrawals(self) -> list[bool]:
         """Whether each server should be withdrawn now."""
-        withdrawn = [at is not None and self.state[i] == face.READY for i, at in enumerate(self.out_at)]
+        withdrawn = [at is not None and self.state[i] == face.READY for i, at in enumerate(self.withdrawn_at)]
         # Guards against a part without a usable server: without another warm one, no server is withdrawn for health.
-        parts_with_warm = {self.part[i] for i in range(len(withdrawn)) if self._warm(i) and not withdrawn[i]}
+        parts_with_warm = {self.part[i] for i in range(len(withdrawn)) if self.is_warm(i) and not withdrawn[i]}
         return [is_withdrawn and self.part[i] in parts_with_warm for i, is_withdrawn in enumerate(withdrawn)]
 
     def _assign_parts(self, weights: list[float], withdrawn: list[bool]) -> None:
@@ -764,23 +770,23 @@
 
     def _reconcile(self, weights: list[float], withdrawals: list[bool]) -> None:
         """Appends the orders that lead from the present state to the target state, as far as the caps allow."""
-        while self.channel and self.now - self.channel[0][2] > self.patience:
+        while self.channel and self.now - self.channel[0][2] > self.answer_timeout:
             self.channel.popleft()  # a lost answer must not block later rounds
             pending_marks = {mark for mark, _, _ in self.channel}
             self.unanswered = {p: mark for p, mark in self.unanswered.items() if mark in pending_marks}
         urgent, ordinary = [], []
         for i, weight in enumerate(weights):
-            part, present = self.part[i], self.line[i]
-            order = (part, face.SetLine(self.ids[i], weight, part))
+            part, present = self.part[i], self.line_weight[i]
+            order = (part, face.SetLine(self.server_ids[i], weight, part))
             restarted = self.entered[i] == self.now or self.now - self.started[i] < self.warm_within
             if present and (not weight or (restarted and weight < present * (1 - MAX_SOLVE_STEP))):
                 urgent.append((weight, *order))
             elif weight and (not present or abs(weight - present) >= MIN_RELATIVE_CHANGE * present):
                 ordinary.append((-abs(weight - present) / (weight + present), *order))  # the largest first
             if withdrawals[i] != self.withdrawn[i]:
-                ordinary.append((-1.0, part if present else NO_PART, face.Withdraw(withdrawals[i], self.ids[i])))
+                ordinary.append((-1.0, part if present else NO_PART, face.Withdraw(withdrawals[i], self.server_ids[i])))
         remaining = [0.0] * len(self.part_zone)
-        for part, weight, present, withdrawn in zip(self.part, weights, self.line, withdrawals, strict=True):
+        for part, weight, present, withdrawn in zip(self.part, weights, self.line_weight, withdrawals, strict=True):
             remaining[part] += 0.0 if withdrawn else min(weight, present)
         for part in {part for weight, part, _ in urgent if not weight}:
             if remaining[part] <= self.part_weight[part] * REMAINING_WEIGHT_THRESHOLD:
@@ -797,12 +803,14 @@
         for proxy in self.proxy_zone:
             holders[self.held_part.get(proxy)].append(proxy)  # None: those that hold tables of other supervisors
         selected, messages, round_answered = [], {}, not self.unanswered
-        if self.now >= self.next_urgent and self._select_orders(urgent, holders, messages, self.cap, 1.0, selected):
+        if self.now >= self.next_urgent and self._select_orders(
+            urgent, holders, messages, self.queue_cap, 1.0, selected
+        ):
             self.next_urgent = self.now + self.urgent_interval
         rows = [row for row in ordinary if round_answered or row[1] not in holders]
         self._select_orders(rows, holders, messages, self.round_lines, ORDINARY_SHARE, selected)
         part_lines = [0] * len(self.part_zone)
-        for part, line, withdrawn in zip(self.part, self.line, self.withdrawn, strict=True):
+        for part, line, withdrawn in zip(self.part, self.line_weight, self.withdrawn, strict=True):
             part_lines[part] += bool(line) + withdrawn
         for proxy, part in self.target_part.items():
             held = self.held_part.get(proxy)
@@ -814,8 +822,10 @@
                 1 + part_lines[part] + len(self.objectives) + self.message_overhead,
                 ORDINARY_SHARE if is_move else 1.0,
             )
-            waiting = self._waiting() + sum(messages.values())
-            limit = self.cap * (ORDINARY_SHARE if waiting and held is None else share)  # reserves capacity for drains
+            waiting = self.waiting_lines() + sum(messages.values())
+            limit = self.queue_cap * (
+                ORDINARY_SHARE if waiting and held is None else share
+            )  # reserves capacity for drains
             if waiting + size > limit or not self._may_message(proxy, share):
                 continue
             selected.append(face.UseTable(0, part, proxy))
@@ -828,7 +838,7 @@
             self.channel.append((self.last_mark, sum(messages.values()), self.now))
             for proxy in messages:
                 self.unanswered[proxy] = self.last_mark
-                self.sent_at[proxy].append(self.now)
+                self.message_times[proxy].append(self.now)
         self.orders += selected
 
     def _select_orders(
@@ -840,14 +850,14 @@
         proxy's message, and `selected` are extended. They fit within `max_lines` and `cap_share` of the caps. Returns
         whether any order was selected.
         """
-        waiting, used, sent, may_write = self._waiting(), sum(messages.values()), False, {}
+        waiting, used, sent, may_write = self.waiting_lines(), sum(messages.values()), False, {}
         for _, part, order in sorted(rows, key=lambda row: row[0]):
             proxies = holders.get(part, []) + holders.get(None, []) * isinstance(order, face.Withdraw)
             if part not in may_write:
                 may_write[part] = all(proxy in messages or self._may_message(proxy, cap_share) for proxy in proxies)
             cost = sum(1 if proxy in messages else 1 + self.message_overhead for proxy in proxies)
             is_first = not sent and cap_share < 1  # one order per round goes out even if it exceeds the round's lines
-            over_cap = waiting + used + cost > self.cap * cap_share or (used + cost > max_lines and not is_first)
+            over_cap = waiting + used + cost > self.queue_cap * cap_share or (used + cost > max_lines and not is_first)
             if cost and (over_cap or not may_write[part]):
                 continue
             for proxy in proxies:
@@ -855,20 +865,20 @@
             used, sent = used + cost, True
             selected.append(order)
             if isinstance(order, face.SetLine):
-                self.line[self.place[order.server]] = order.weight
+                self.line_weight[self.slot_of[order.server]] = order.weight
             elif isinstance(order, face.Withdraw):
-                self.withdrawn[self.place[order.server]] = order.on
+                self.withdrawn[self.slot_of[order.server]] = order.on
             else:
                 self.current_levels[part, order.operations.bit_length() - 1] = (order.level, order.tries)
         return sent
 
     def _may_message(self, proxy: int, share: float) -> bool:
         """Whether a proxy may be sent a message within this share of the message cap."""
-        sent = self.sent_at[proxy]
+        sent = self.message_times[proxy]
         while sent and sent[0] <= self.now - self.message_span:
             sent.popleft()
         return not self.message_cap or len(sent) < self.message_cap * share - 1
 
-    def _waiting(self) -> float:
+    def waiting_lines(self) -> float:
         """Lines of the messages under way in the channel."""
         return sum(lines for _, lines, _ in self.channel)
--- a/driftshed/core/hosting.py
+++ b/driftshed/core/hosting.py
@@ -22,13 +22,14 @@
 
     error: str
     place: str
-    turns: list[tuple[float, list]]
+    event_batches: list[tuple[float, list]]
 
 
-class Hosted:
-    """Hosts one instance of the decisions module. Events are appended to `news`; `hear(now)` passes them to the module
-    and returns its orders. Times are seconds on the caller's clock. A subclass returns from `what_stands` the events
-    that bring a restarted module up to date, and discards in `forget_orders` the orders of the previous one."""
+class ModuleHost:
+    """Hosts one instance of the decisions module. Events are appended to `pending_events`; `run_module(now)` passes
+    them to the module and returns its orders. Times are seconds on the caller's clock. A subclass returns from
+    `current_state_events` the events that bring a restarted module up to date, and discards in `discard_orders` the
+    orders of the previous one."""
 
     def __init__(
         self,
@@ -38,42 +39,45 @@
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
     ) -> None:
         """`brain(facts, seed, now)` creates the module; it is called again with another seed after each fault."""
-        self.facts, self.seed, self.make_brain, self.began = facts, seed, brain, now
+        self.facts, self.seed, self.make_brain, self.started_at = facts, seed, brain, now
         self.brain = brain(facts, seed, now)
-        self.news: list = []
+        self.pending_events: list = []
         self.recent_batches: deque[tuple[float, list]] = deque(maxlen=MAX_FAULT_BATCHES)
         self.wake_at, self.last_turn_at = now, float("-inf")
         self.faults = self.order_count = 0
         self.on_log: Callable[[str], object] = lambda text: None
         self.on_fault: Callable[[Fault], object] = lambda fault: None
         self.on_turn: Callable[[float, list, list], object] | None = None
-        self.on_begin: Callable[[int, float], object] = lambda seed, now: None
+        self.on_module_start: Callable[[int, float], object] = lambda seed, now: None
 
-    def what_stands(self) -> list:
+    def current_state_events(self) -> list:
         """Returns the events that give a new module the current roster and the joined proxies."""
         raise NotImplementedError
 
-    def forget_orders(self) -> None:
+    def discard_orders(self) -> None:
         """Discards the orders of the previous module; a new one has issued none."""
         raise NotImplementedError
 
-    def module_at(self) -> float:
+    def module_due_at(self) -> float:
         """Returns when the module must run next if no further event arrives."""
-        return min(self.wake_at, self.last_turn_at + self.facts.tick) if self.news else self.wake_at
+        return min(self.wake_at, self.last_turn_at + self.facts.tick) if self.pending_events else self.wake_at
 
-    def hear(self, now: float) -> list:
+    def run_module(self, now: float) -> list:
         """Runs the module if it is due and returns its orders. A module that raises is replaced, and its turn returns
         no orders."""
         timer = self.wake_at <= now
         if timer:
             self.wake_at = float("inf")
-            self.news.append(face.TimerDue(0))
+            self.pending_events.append(face.TimerDue(0))
         # Events that arrive within one tick are handled together, whatever else causes turns. Otherwise the module
         # would decide again for each message that leaves the channel.
-        if not self.news or not (timer or now >= self.last_turn_at + self.facts.tick):
+        if not self.pending_events or not (timer or now >= self.last_turn_at + self.facts.tick):
             return []
         self.last_turn_at = now
-        events, self.news = self.news[:MAX_EVENTS_PER_TURN], self.news[MAX_EVENTS_PER_TURN:]
+        events, self.pending_events = (
+            self.pending_events[:MAX_EVENTS_PER_TURN],
+            self.pending_events[MAX_EVENTS_PER_TURN:],
+        )
         self.recent_batches.append((now, events))
         try:
             orders = self.brain.handle(now, events)
@@ -104,8 +108,8 @@
         self.recent_batches.clear()
         self.faults += 1
         self.brain = self.make_brain(self.facts, self.seed + self.faults, now)
-        self.on_begin(self.seed + self.faults, now)
+        self.on_module_start(self.seed + self.faults, now)
         self.wake_at = now
-        self.forget_orders()
+        self.discard_orders()
         # These events replace the ones still pending: they contain the current roster and the joined proxies.
-        self.news = self.what_stands()
+        self.pending_events = self.current_state_events()
--- a/driftshed/core/hub.py
+++ b/driftshed/core/hub.py
@@ -8,8 +8,8 @@
 
 from driftshed import interface as face
 from driftshed.core.channel import Channel, Message
-from driftshed.core.holding import apply_changes, fold
-from driftshed.core.messages import Change, In, Level, Line, Out, Use, encode, server_name
+from driftshed.core.messages import Change, In, Level, Line, Out, Use, encode_json, server_name
+from driftshed.core.proxy_state import apply_changes, fold
 
 MAX_LOGGED_MESSAGES = 64  # per proxy, for deltas; to a proxy that is further behind a full snapshot is sent
 MAX_RECORDS_PER_PROXY = 4  # per expected proxy, records of proxies that are not joined included
@@ -24,7 +24,7 @@
         self.status, self.reason = status, reason
 
 
-class Record:
+class ProxyRecord:
     """The supervisor's state of one proxy. `held`: what the proxy holds once it has applied all released messages."""
 
     __slots__ = (
@@ -39,7 +39,7 @@
         "version",
         "acked",
         "marks",
-        "silent_to",
+        "discarded_to",
         "pending",
         "base",
         "rate",
@@ -54,7 +54,7 @@
         self.first = self.version = self.acked = 0  # the log begins after version `first`
         self.marks: deque[Message] = deque()  # released, with a mark that is not acknowledged yet
         # Versions up to this one are not sent: they were discarded with the last stream.
-        self.silent_to = 0
+        self.discarded_to = 0
         self.pending: list[Message] = []  # waiting in the channel
         # From this version on it is known what the proxy holds; after an earlier one it gets a full snapshot.
         self.base = 1
@@ -82,7 +82,7 @@
         self.lines_per_message = facts.lines_per_message
         self.channel = Channel(facts.lines_per_second)
         self.max_records = MAX_RECORDS_PER_PROXY * max(64, facts.proxies)
-        self.records: dict[int, Record] = {}
+        self.records: dict[int, ProxyRecord] = {}
         self.streams_opened = 0
         self.messages_sent = 0
         self.on_applied: Callable[[Message, float], object] | None = (
@@ -100,10 +100,10 @@
         self.tables: dict[int, dict[str, Line]] = {}
         self.levels: dict[tuple[int, int], Level] = {}
         self.out: set[str] = set()
-        self.users: dict[int, dict[int, Record]] = {}  # by table, in the order in which they were put on it
+        self.users: dict[int, dict[int, ProxyRecord]] = {}  # by table, in the order in which they were put on it
         self.fragments: dict[Change, bytes] = {}
 
-    def restart(self) -> list[Record]:
+    def restart(self) -> list[ProxyRecord]:
         """Discards all orders, since a new module has issued none; what proxies hold stays known. Returns the records
         of the joined proxies."""
         self.channel.drop(None)
@@ -115,7 +115,7 @@
 
     # ---- proxies ----------------------------------------------------------------------------------------------
 
-    def join(self, proxy: int, zone: int, run: str | None, version: int) -> tuple[Record, bool]:
+    def join(self, proxy: int, zone: int, run: str | None, version: int) -> tuple[ProxyRecord, bool]:
         """Begins a stream. Returns the record and whether an older stream was replaced. Raises Refused for a version of
         this run that was never sent to the proxy, or when no more proxies can be kept."""
         record = self.records.get(proxy)
@@ -124,7 +124,7 @@
             raise Refused(409, f"version {version} of run {run} was never sent: the newest is {newest}")
         if record is None:
             self._evict_record()
-            record = self.records[proxy] = Record(proxy)
+            record = self.records[proxy] = ProxyRecord(proxy)
         replaced = record.joined
         if replaced:
             self.leave(proxy)
@@ -136,7 +136,7 @@
             record.log.clear()
             version = record.first = record.version
             record.base = record.version + 1
-        record.acked, record.silent_to = version, record.version
+        record.acked, record.discarded_to = version, record.version
         return record, replaced
 
     def _evict_record(self) -> None:
@@ -159,16 +159,16 @@
         self.records[proxy] = self.records.pop(proxy)  # moved to the end: evicted last
         return True
 
-    def _unbind(self, record: Record) -> None:
+    def _unbind(self, record: ProxyRecord) -> None:
         if record.pending:
             self.channel.drop(record.proxy)
         record.pending, record.bound = [], {}
         record.marks.clear()
-        record.silent_to = record.version
+        record.discarded_to = record.version
         for users in self.users.values():
             users.pop(record.proxy, None)
 
-    def ack(self, record: Record, version: int, now: float) -> list[face.Applied]:
+    def ack(self, record: ProxyRecord, version: int, now: float) -> list[face.Applied]:
         """Handles the version that a poll acknowledges as applied, and returns an event for each mark up to it. Raises
         Refused for a version that was never sent."""
         if version > record.version:
@@ -214,7 +214,7 @@
         if body is None:
             if len(self.fragments) > 4096:
                 self.fragments.clear()
-            body = self.fragments[change] = encode(change)
+            body = self.fragments[change] = encode_json(change)
         return body
 
     def _add_for_users(self, table: int, change: Change, changes_by_proxy: dict[int, list[Change]]) -> None:
@@ -288,7 +288,7 @@
                 elif key[0] == "out":
                     changes.append(In(change.server))
 
-    def _desired_changes(self, record: Record) -> dict[tuple, Change]:
+    def _desired_changes(self, record: ProxyRecord) -> dict[tuple, Change]:
         tables = dict.fromkeys(record.bound.values())
         changes: list[Change] = [Use(operation, table) for operation, table in record.bound.items()]
         for table in tables:
@@ -300,10 +300,10 @@
 
     # ---- updates ----------------------------------------------------------------------------------------------
 
-    def release(self, now: float) -> list[Record]:
+    def release(self, now: float) -> list[ProxyRecord]:
         """Moves the messages that have left the channel into the versions of their proxies. Returns the records of the
         proxies that have new changes."""
-        updated: dict[int, Record] = {}
+        updated: dict[int, ProxyRecord] = {}
         for message in self.channel.release_due(now):
             record = self.records[message.proxy]
             record.pending.pop(0)
@@ -319,10 +319,10 @@
             self.messages_sent += 1
         return list(updated.values())
 
-    def news(self, record: Record, now: float | None = None) -> bytes | None:
+    def update_body(self, record: ProxyRecord, now: float | None = None) -> bytes | None:
         """Returns the body of the answer that brings a proxy from the version it has acknowledged to the newest one, or
         None if there is no change. `now`: when the answer is sent."""
-        if record.version <= max(record.acked, record.silent_to):
+        if record.version <= max(record.acked, record.discarded_to):
             return None
         unacked = [message for message in record.log if message.version > record.acked]
         # If a proxy left a table and returned to it between two polls, a merged delta would not show that the table was
@@ -348,7 +348,7 @@
         if now is not None and (len(unacked) > 1 or unacked[0].released_at < now):
             # When each message waited in the channel, in seconds before now, so that merged answers can be summed.
             intervals = [[round(now - m.ordered_at, 6), round(now - m.released_at, 6), m.cost] for m in unacked]
-            stood = b'"stood":%s,' % encode(intervals)
+            stood = b'"stood":%s,' % encode_json(intervals)
         return b'{"run":"%s","since":%d,"version":%d,"whole":%s,"waited":%.6f,"lines":%d,%s"changes":[%s]}' % (
             self.run.encode(),
             record.acked,
@@ -360,7 +360,7 @@
             changes,
         )
 
-    def no_news(self, record: Record) -> bytes:
+    def empty_update_body(self, record: ProxyRecord) -> bytes:
         """Returns the body of an answer without changes."""
         return b'{"run":"%s","since":%d,"version":%d,"whole":false,"changes":[]}' % (
             self.run.encode(),
--- a/driftshed/core/instance.py
+++ b/driftshed/core/instance.py
@@ -8,15 +8,15 @@
 
 from driftshed import interface as face
 from driftshed.brain import Brain
-from driftshed.core.carrying import CannotCarry, carried
-from driftshed.core.hosting import Hosted
-from driftshed.core.hub import Hub, Record, Refused
-from driftshed.core.messages import BadName, Join, Report, RosterNews, server_id, server_name
+from driftshed.core.hosting import ModuleHost
+from driftshed.core.hub import Hub, ProxyRecord, Refused
+from driftshed.core.messages import InvalidServerName, Join, Report, RosterUpdate, server_id, server_name
+from driftshed.core.migration import CannotMigrate, migrate
 from driftshed.core.roster import Roster
 from driftshed.core.sums import Sums
 
 
-class Instance(Hosted):
+class Instance(ModuleHost):
     """Runs the decisions module on joins, reports and roster updates, and publishes its orders. Call `turn(now)` soon
     after any input and when `next_at()` is due. Times are seconds on the caller's clock."""
 
@@ -26,27 +26,29 @@
         seed: int,
         run: str,
         now: float,
-        wall: float = 0.0,
+        wall_offset: float = 0.0,
         brain: Callable[[face.StartFacts, int, float], Brain] = Brain,
     ) -> None:
-        """`run` names this run in versions and streams; `wall` is added to unix times to get times on the instance's
-        clock."""
+        """`run` names this run in versions and streams; `wall_offset` is added to unix times to get times on the
+        instance's clock."""
         super().__init__(facts, seed, now, brain)
         self.hub = Hub(facts, run)
-        self.roster = Roster(facts, wall)
+        self.roster = Roster(facts, wall_offset)
         self.sums = Sums(facts.report_lines_per_second)
         self.zones = {name: index for index, name in enumerate(facts.zones)}
         self.operations = {operation.name: index for index, operation in enumerate(facts.operations)}
         self.next_sums_at = now + facts.report_period
-        self.why: dict[str, tuple[float, str]] = {}  # by server: time and text of the module's last log about it
-        self.on_answered: Callable[[str], object] | None = None  # called with servers that gave good answers
+        self.server_reasons: dict[
+            str, tuple[float, str]
+        ] = {}  # by server: time and text of the module's last log about it
+        self.on_server_answered: Callable[[str], object] | None = None  # called with servers that gave good answers
         # Called with each server report: now, zone of the proxy, server, tries, errored, mean latency of the
         # successful tries.
-        self.on_met: Callable[[float, int, face.Server, int, int, float | None], object] | None = None
+        self.on_server_report: Callable[[float, int, face.Server, int, int, float | None], object] | None = None
         self.policy = 0  # version of the policy in force; 0: none
         # Whether tables are frozen: only changes that the rules demand are published. Checked before each batch of
         # orders, so that a process that was suspended finds out before it publishes anything.
-        self.still: Callable[[], bool] = lambda: False
+        self.tables_frozen: Callable[[], bool] = lambda: False
         self.deferred_orders: list = []  # orders issued while tables are frozen
         self.on_switch: Callable[[float], object] = lambda now: None
         # Maps a listing of the roster to the one that the module gets.
@@ -54,7 +56,7 @@
 
     # ---- input ------------------------------------------------------------------------------------------------
 
-    def join(self, proxy: int, join: Join, now: float) -> tuple[Record, bool]:
+    def join(self, proxy: int, join: Join, now: float) -> tuple[ProxyRecord, bool]:
         """Begins a stream for a proxy. Returns its record and whether an older stream was replaced. Raises Refused for
         an unknown zone, a version that was never sent, or when no more proxies can be kept."""
         if join.zone not in self.zones:
@@ -64,7 +66,7 @@
         if was_joined:
             self._record_departure(proxy)
         record.rate = join.rate
-        self.news.append(face.Joined(record.zone, join.fresh, proxy, join.rate))
+        self.pending_events.append(face.Joined(record.zone, join.fresh, proxy, join.rate))
         return record, replaced
 
     def leave(self, proxy: int) -> bool:
@@ -75,10 +77,10 @@
         return True
 
     def _record_departure(self, proxy: int) -> None:
-        self.news.append(face.Left(proxy))
+        self.pending_events.append(face.Left(proxy))
         self.sums.drop_proxy(proxy, len(self.operations))
 
-    def record(self, proxy: int, stream: str) -> Record:
+    def record(self, proxy: int, stream: str) -> ProxyRecord:
         """Returns the record of a joined proxy. Raises Refused if it is not joined or `stream` is not its current
         one."""
         record = self.hub.records.get(proxy)
@@ -88,16 +90,16 @@
             raise Refused(409, f"stream {stream[:64]!r} of proxy {proxy} was replaced by a newer one")
         return record
 
-    def ack(self, record: Record, version: int, now: float) -> None:
+    def ack(self, record: ProxyRecord, version: int, now: float) -> None:
         """Handles the acknowledgement of a version: the proxy has applied everything up to it. Raises Refused if it was
         never sent."""
-        self.news += self.hub.ack(record, version, now)
+        self.pending_events += self.hub.ack(record, version, now)
 
-    def report(self, record: Record, report: Report, now: float) -> None:
+    def report(self, record: ProxyRecord, report: Report, now: float) -> None:
         """Accepts a proxy's report completely, or raises Refused and accepts nothing of it."""
         try:
             server_reports = [(server_id(each.server), each) for each in report.servers]
-        except BadName as error:
+        except InvalidServerName as error:
             raise Refused(400, str(error)) from None
         for each in report.operations:
             if each.operation not in self.operations:
@@ -109,40 +111,40 @@
         for server, each in server_reports:
             load = tuple(each.load) if each.load and len(each.load) == fields else None
             self.sums.add_server_report(now, record.zone, server, each.tries, each.errored, each.latency, load)
-            if self.on_met:
-                self.on_met(now, record.zone, server, each.tries, each.errored, each.latency)
-            if self.on_answered and each.tries > each.errored:
-                self.on_answered(each.server)
+            if self.on_server_report:
+                self.on_server_report(now, record.zone, server, each.tries, each.errored, each.latency)
+            if self.on_server_answered and each.tries > each.errored:
+                self.on_server_answered(each.server)
         for each in report.operations:
             self.sums.add_demand(now, record.proxy, self.operations[each.operation], each.arrived, each.errored)
 
-    def hear_roster(self, update: RosterNews) -> None:
+    def apply_roster_update(self, update: RosterUpdate) -> None:
         """Applies a roster update. Raises Refused, without any change, if it is invalid or does not follow the version
         held."""
-        self.news.append(self.overlay(self.roster.apply_update(update)))
+        self.pending_events.append(self.overlay(self.roster.apply_update(update)))
 
     # ---- turns ------------------------------------------------------------------------------------------------
 
     def next_at(self) -> float:
         """Returns when the next turn is due if no further input arrives."""
-        next_due = min(self.module_at(), self.next_sums_at)
+        next_due = min(self.module_due_at(), self.next_sums_at)
         channel_due = self.hub.channel.next_at()
         return next_due if channel_due is None else min(next_due, channel_due)
 
-    def turn(self, now: float) -> list[Record]:
+    def turn(self, now: float) -> list[ProxyRecord]:
         """Runs the module if it is due and publishes its orders. Returns the records of the proxies that have new
         changes."""
         if self.next_sums_at <= now:
             self.next_sums_at = max(self.next_sums_at + self.facts.report_period, now)
-            self.news += self.sums.release_events(now, self.facts.report_period)
-        self.hub.apply(self._let_through(self.hear(now)), now)
+            self.pending_events += self.sums.release_events(now, self.facts.report_period)
+        self.hub.apply(self._publishable_orders(self.run_module(now)), now)
         return self.hub.release(now)
 
-    def _let_through(self, orders: list) -> list:
+    def _publishable_orders(self, orders: list) -> list:
         """Returns the orders to publish now: all of them, or, while tables are frozen, only those that remove lines (of
         draining and gone servers). The others are published in their order once tables may change again; to the module
         they are still in the channel."""
-        if not self.still():
+        if not self.tables_frozen():
             orders, self.deferred_orders = self.deferred_orders + orders, []
             return orders
         removals = [order for order in orders if isinstance(order, face.SetLine) and not order.weight]
@@ -158,9 +160,9 @@
         """Returns why this instance cannot switch to these facts, or "" if it can. Tries the switch on a copy of the
         module."""
         try:
-            trial = deepcopy(carried(self.brain, self.facts, facts, self.make_brain))
+            trial = deepcopy(migrate(self.brain, self.facts, facts, self.make_brain))
             orders = trial.handle(self.brain.now, [])
-        except CannotCarry as error:
+        except CannotMigrate as error:
             return str(error)
         except Exception as error:  # a policy under which the module raises is refused, whatever the exception
             return f"the module raises under it: {type(error).__name__}: {error}"
@@ -175,9 +177,9 @@
         return ""
 
     def switch(self, facts: face.StartFacts, policy: int, now: float) -> None:
-        """Switches to other facts and keeps all learnt state. Call between two turns. Raises CannotCarry if the facts
+        """Switches to other facts and keeps all learnt state. Call between two turns. Raises CannotMigrate if the facts
         differ in what an instance is built on."""
-        self.brain = carried(self.brain, self.facts, facts, self.make_brain)
+        self.brain = migrate(self.brain, self.facts, facts, self.make_brain)
         self.facts, self.policy = facts, policy
         self.hub.switch(facts, now)
         self.sums.lines_per_second = facts.report_lines_per_second
@@ -191,15 +193,15 @@
             server = server_name(bytes.fromhex(first.split()[-1]))
         except (ValueError, IndexError):
             return
-        self.why[server] = now, f"{first.split()[0]},{rest}"
+        self.server_reasons[server] = now, f"{first.split()[0]},{rest}"
 
-    def forget_orders(self) -> None:
+    def discard_orders(self) -> None:
         """Discards the orders of the previous module, both deferred and published ones."""
         self.deferred_orders = []
         self.hub.restart()
 
-    def what_stands(self) -> list:
+    def current_state_events(self) -> list:
         """Returns the events that give a new module the current roster and the joined proxies."""
-        events = [self.overlay(self.roster.told())] if self.roster.version is not None else []
+        events = [self.overlay(self.roster.snapshot())] if self.roster.version is not None else []
         joined = (record for record in self.hub.records.values() if record.joined)
         return events + [face.Joined(record.zone, False, record.proxy, record.rate) for record in joined]
--- a/driftshed/core/messages.py
+++ b/driftshed/core/messages.py
@@ -22,7 +22,7 @@
 STATES = {"ready": face.READY, "draining": face.DRAINING, "gone": face.GONE}
 
 
-class BadName(ValueError):
+class InvalidServerName(ValueError):
     """A server name that is not "address:port"."""
 
 
@@ -34,7 +34,7 @@
 
 @lru_cache(SERVER_NAME_CACHE_SIZE)
 def server_id(name: str) -> face.Server:
-    """Returns the six bytes of an "address:port". Raises BadName for anything else."""
+    """Returns the six bytes of an "address:port". Raises InvalidServerName for anything else."""
     address, _, port = name.rpartition(":")
     try:
         port_number = int(port)
@@ -42,7 +42,7 @@
             raise ValueError
         return ipaddress.IPv4Address(address).packed + port_number.to_bytes(2, "big")
     except ValueError:
-        raise BadName(f"server {name[:64]!r}: an IPv4 address, a colon and a port are wanted") from None
+        raise InvalidServerName(f"server {name[:64]!r}: an IPv4 address, a colon and a port are wanted") from None
 
 
 # ---- changes of a proxy's state -------------------------------------------------------------------------------
@@ -222,7 +222,7 @@
     weight: Share = 1.0
 
 
-class RosterNews(Struct, forbid_unknown_fields=True):
+class RosterUpdate(Struct, forbid_unknown_fields=True):
     """A roster update. `whole`: a full snapshot, in which servers not named are gone; else a delta, whose `version`
     must be one more than the last."""
 
@@ -231,4 +231,4 @@
     servers: Annotated[list[ListedServer], Meta(max_length=65536)]
 
 
-encode = msgspec.json.encode
+encode_json = msgspec.json.encode
--- a/driftshed/core/carrying.py
+++ b/driftshed/core/migration.py
@@ -13,12 +13,12 @@
 from driftshed.brain import Brain
 
 
-class CannotCarry(ValueError):
+class CannotMigrate(ValueError):
     """The facts differ in what an instance is built on; the text names the fact."""
 
 
 # Facts that may differ: no list of the module has a length that depends on them.
-FREE = {
+CHANGEABLE_FACTS = {
     "cold_share",
     "warm_within",
     "drain_grace",
@@ -39,17 +39,17 @@
 
 
 def check_migration(old: face.StartFacts, new: face.StartFacts) -> None:
-    """Raises CannotCarry if an instance cannot move from the old facts to the new. Of an operation all but its name and
-    place may change."""
+    """Raises CannotMigrate if an instance cannot move from the old facts to the new. Of an operation all but its name
+    and place may change."""
     for name in face.StartFacts._fields:
         before, after = getattr(old, name), getattr(new, name)
         if name == "operations":
             before, after = [each.name for each in before], [each.name for each in after]
-        if before != after and name not in FREE:
-            raise CannotCarry(f"{name.replace('_', ' ')}: {before!r} here, {after!r} there; it holds from a start")
+        if before != after and name not in CHANGEABLE_FACTS:
+            raise CannotMigrate(f"{name.replace('_', ' ')}: {before!r} here, {after!r} there; it holds from a start")
 
 
-def carried(
+def migrate(
     brain: Brain,
     old: face.StartFacts,
     new: face.StartFacts,
--- a/driftshed/core/roster.py
+++ b/driftshed/core/roster.py
@@ -4,28 +4,28 @@
 
 from driftshed import interface as face
 from driftshed.core.hub import Refused
-from driftshed.core.messages import STATES, BadName, RosterNews, server_id
+from driftshed.core.messages import STATES, InvalidServerName, RosterUpdate, server_id
 
 
 class Roster:
     """The servers by their six bytes, as entries of the module's interface, and the version of the last update."""
 
-    def __init__(self, facts: face.StartFacts, wall: float) -> None:
-        """`wall` is added to unix times to get times on the instance's clock. It is constant for the whole run, so that
-        a start reported twice is the same start."""
+    def __init__(self, facts: face.StartFacts, wall_offset: float) -> None:
+        """`wall_offset` is added to unix times to get times on the instance's clock. It is constant for the whole run,
+        so that a start reported twice is the same start."""
         self.zones = {name: index for index, name in enumerate(facts.zones)}
         self.kinds = {name: index for index, name in enumerate(facts.kinds)}
-        self.wall, self.version = wall, None
+        self.wall_offset, self.version = wall_offset, None
         self.entries: dict[face.Server, face.Entry] = {}
 
-    def apply_update(self, update: RosterNews) -> face.Listing:
+    def apply_update(self, update: RosterUpdate) -> face.Listing:
         """Applies an update and returns its event. Raises Refused, without any change, for an unknown zone, kind or
         state, a bad name, a server named twice, or a delta that does not follow the version held."""
         entries: dict[face.Server, face.Entry] = {}
         for listed in update.servers:
             try:
                 server = server_id(listed.server)
-            except BadName as error:
+            except InvalidServerName as error:
                 raise Refused(400, str(error)) from None
             for field, name, allowed in (
                 ("zone", listed.zone, self.zones),
@@ -36,7 +36,7 @@
                     raise Refused(400, f"server {listed.server}: {field} {name!r} is none of {', '.join(allowed)}")
             if server in entries:
                 raise Refused(400, f"server {listed.server} is named twice")
-            started = None if listed.started is None else listed.started + self.wall
+            started = None if listed.started is None else listed.started + self.wall_offset
             entries[server] = face.Entry(
                 server,
                 self.zones[listed.zone],
@@ -60,7 +60,7 @@
                 del self.entries[server]
         return face.Listing(update.version, kind, tuple(entries.values()))
 
-    def told(self) -> face.Listing | None:
+    def snapshot(self) -> face.Listing | None:
         """Returns the full roster as an event for a new module, or None before the first update."""
         if self.version is None:
             return None
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from driftshed.core.messages import ListedServer, RosterNews, encode
+from driftshed.core.messages import ListedServer, RosterUpdate, encode_json
 from driftshed.day.between import FaultRelay, frame_length
 from driftshed.day.stage import Launched, free_net
 from driftshed.net.loop import Loop
@@ -182,10 +182,10 @@
     def list(self, name: str) -> None:
         """Sends a list of one server to a supervisor, not through a relay."""
         self.version += 1
-        update = RosterNews(self.version, True, [ListedServer(self.server, "east", "standard")])
+        update = RosterUpdate(self.version, True, [ListedServer(self.server, "east", "standard")])
         host, port = self.addresses[name]
         request = urllib.request.Request(
-            f"http://{host}:{port}/v1/roster", encode(update), {"content-type": "application/json"}
+            f"http://{host}:{port}/v1/roster", encode_json(update), {"content-type": "application/json"}
         )
         urllib.request.urlopen(request, timeout=5).close()
 
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from driftshed import interface as face
-from driftshed.core.holding import fold, lines_of
-from driftshed.core.messages import Changes, RosterNews
+from driftshed.core.messages import Changes, RosterUpdate
+from driftshed.core.proxy_state import fold, lines_of
 from driftshed.day.accord import judge_accord
 from driftshed.day.policies import judge_policies
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, WORK, read_record
@@ -31,7 +31,7 @@
 
 SERVICE_START_S = 1.0  # requests before this time do not count toward service
 CLOCK_TOLERANCE_S = 1e-3  # allowance for differences of clocks and for rounding
-CHANGES, ROSTER_UPDATES = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterNews)
+CHANGES, ROSTER_UPDATES = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterUpdate)
 NEVER = float("inf")
 
 
@@ -206,7 +206,7 @@
             if each.status == 200 and each.method == "POST"
         ]
         kills = [kill for by, kill in self.case.kills if by == owner]
-        rows: list[tuple[float, RosterNews | None]] = [*updates, *((kill, None) for kill in kills)]
+        rows: list[tuple[float, RosterUpdate | None]] = [*updates, *((kill, None) for kill in kills)]
         open_intervals: dict[str, Interval] = {}
 
         def set_state(at: float, server: str, state: object) -> None:
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -43,7 +43,7 @@
 
     def __init__(self, loop: Timers, agent: Agent, sink: tuple[str, int]) -> None:
         """`sink`: the address of the harness, to which orders are reported."""
-        self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, idle_most=1)
+        self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, max_idle=1)
         self.random, self.number = Random(agent.run), 0
         agent.judge = self._vote
         self._report_order()
@@ -78,7 +78,7 @@
 
     def __init__(self, loop: Timers, agent: Agent, sink: tuple[str, int]) -> None:
         """`sink`: the address of the harness."""
-        self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, idle_most=2)
+        self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, max_idle=2)
         self._report()
 
     def _report(self) -> None:
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -694,7 +694,7 @@
         document = policies.of_flags({**self.script.flags, **trouble.settings}, self.script.operations)
         despite = [self.names[number] for number in trouble.despite]
         proposal = {"what": "propose", "who": "the day", "text": policies.as_toml(document), "despite": despite}
-        client = HttpClient(self.loop, (f"127.{self.net}.0.{9 + trouble.who}", 7100), idle_most=1)
+        client = HttpClient(self.loop, (f"127.{self.net}.0.{9 + trouble.who}", 7100), max_idle=1)
 
         def on_answer(answer: Answer) -> None:
             self._record_event(
--- a/driftshed/day/tamper.py
+++ b/driftshed/day/tamper.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from driftshed import interface as face
-from driftshed.core.messages import Changes, Level, Line, encode
+from driftshed.core.messages import Changes, Level, Line, encode_json
 
 RULES = ("bare", "twice", "drains", "failback", "queue")
 CHANGES = msgspec.json.Decoder(Changes)
@@ -45,7 +45,7 @@
                 self.last_answer = answer
             return answer
         changes.changes = [each for change in changes.changes for each in self._modify(host, change)]
-        return http_answer(encode(changes))
+        return http_answer(encode_json(changes))
 
     def _modify(self, host: str, change) -> list:
         if self.rule == "bare" and host == self.target_host and isinstance(change, Line):
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from driftshed.core.messages import ListedServer, RosterNews, encode
+from driftshed.core.messages import ListedServer, RosterUpdate, encode_json
 from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
 from driftshed.day.fleet import OPERATION, POLL_INTERVAL_S, FleetProcess
 from driftshed.day.judge import Verdict
@@ -234,7 +234,7 @@
 
     def _create_supervisor(self, k: int, name: str) -> None:
         region, address = REGION_OF[name], self._at(SUPERVISORS, 1 + k, 7100)
-        self.addresses[name], self.clients[name] = address, HttpClient(self.loop, address, idle_most=1)
+        self.addresses[name], self.clients[name] = address, HttpClient(self.loop, address, max_idle=1)
         whole_store = self._connect_to_store(name, "whole", k, WHOLE_FAULTS, WHOLE_RECORDERS, "")
         region_store = self._connect_to_store(name, "region", k, REGION_FAULTS, REGION_RECORDERS, region)
         fault_relay = FaultRelay(self.loop, self._at(PROXY_FAULTS, 1 + k, 7000), address)
@@ -363,7 +363,7 @@
         self.list_version += 1
         present = [k for k in range(SERVERS) if k != self.list_version % SERVERS]
         servers = [ListedServer(self._server_address(k), "east", "standard") for k in present]
-        body = encode(RosterNews(self.list_version, True, servers))
+        body = encode_json(RosterUpdate(self.list_version, True, servers))
         for client in self.clients.values():
             client.call("POST", "/v1/roster", body, lambda answer: None, 1.0)
 
--- a/driftshed/evacuation/command.py
+++ b/driftshed/evacuation/command.py
@@ -9,11 +9,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from driftshed.common.asking import ask
+from driftshed.common.http_query import query_supervisor
 
 
 def _query(supervisor: str, body: dict | None = None) -> object:
-    return ask(supervisor, "zones", body, "this supervisor does not leave zones: start it with --leave-zones")
+    return query_supervisor(
+        supervisor, "zones", body, "this supervisor does not leave zones: start it with --leave-zones"
+    )
 
 
 @click.group()
--- a/driftshed/evacuation/part.py
+++ b/driftshed/evacuation/part.py
@@ -83,7 +83,7 @@
         self.started_at = loop.clock()
         instance = service.instance
         instance.overlay = lambda listing: self.overlay.apply_listing(listing, self.loop.clock())
-        instance.on_met = self._record_tries
+        instance.on_server_report = self._record_tries
         previous_judge, previous_on_record = agent.judge, agent.on_record
         agent.judge = lambda record: self._vote(record) if record.topic in self.by_topic else previous_judge(record)
         agent.on_record = lambda record: (previous_on_record(record), self._apply())
--- a/driftshed/lab/grounds.py
+++ b/driftshed/lab/grounds.py
@@ -174,13 +174,13 @@
                 self.facts.zones,
                 self.facts.kinds,
                 Membership(4.0, 60.0),
-                service.hear_roster,
+                service.apply_roster_update,
                 self._log,
                 seed,
                 fleet.session_timeout,
                 self.network.dial(host, lambda: self._store_tap(STORE, host)),
             )
-            service.followed, instance.on_answered = "the store", follower.answered
+            service.followed, instance.on_server_answered = "the store", follower.answered
         if fleet.supervisors > 1:
             names = [f"s{k}" for k in range(fleet.supervisors)]
             self.agents[number] = take_part(
--- a/driftshed/lab/load.py
+++ b/driftshed/lab/load.py
@@ -166,7 +166,7 @@
         self.loop, self.operations, self.arrivals, self.repeats = loop, operations, arrivals, repeats
         self.random = Random(f"clients {seed}")
         self.clients: list[HttpClient] = [
-            transport.client(loop, host, idle_most=256, tap=(lambda host=host: tap(host)) if tap else None)
+            transport.client(loop, host, max_idle=256, tap=(lambda host=host: tap(host)) if tap else None)
             for host in hosts
         ]
         self.lag = Lag(min(operation.latency_objective for operation in operations))
--- a/driftshed/lab/virtual.py
+++ b/driftshed/lab/virtual.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from driftshed.net.http import Answer, Bounds, Call, HttpClient, Request, Transport
-from driftshed.net.loop import DEAD_TIMERS, Timer, Timers
+from driftshed.net.loop import MAX_CANCELLED_TIMERS, Timer, Timers
 
 RETRANSMIT_DELAY_S, MAX_RETRANSMIT_DELAY_S = 0.2, 6.4  # doubles with each loss
 
@@ -39,10 +39,10 @@
             if timer is not None:
                 call = timer.call
                 if call is None:
-                    self.dead -= 1
+                    self.cancelled_count -= 1
                     continue
             if seat.paused_until > at:
-                heapq.heappush(timers, (seat.paused_until, next(self.order), *row[2:]))
+                heapq.heappush(timers, (seat.paused_until, next(self.sequence), *row[2:]))
                 continue
             if timer is not None:
                 timer.call = None
@@ -58,13 +58,13 @@
         self.events += events
         self.now = until
 
-    def _cancelled(self) -> None:
-        self.dead += 1
-        if self.dead > 64 * DEAD_TIMERS and self.dead > len(self.timers) / 2:
+    def _on_cancelled(self) -> None:
+        self.cancelled_count += 1
+        if self.cancelled_count > 64 * MAX_CANCELLED_TIMERS and self.cancelled_count > len(self.timers) / 2:
             live = [row for row in self.timers if row[3] is None or row[3].call is not None]
             self.timers[:] = live
             heapq.heapify(self.timers)
-            self.dead = 0
+            self.cancelled_count = 0
 
 
 class Seat:
@@ -89,7 +89,7 @@
         """Schedules `call` at time `when`, at the earliest now; the timer returned cancels it."""
         loop = self.loop
         timer = Timer(when, call, self)
-        heappush(loop.timers, (when if when > loop.now else loop.now, next(loop.order), self, timer, None))
+        heappush(loop.timers, (when if when > loop.now else loop.now, next(loop.sequence), self, timer, None))
         return timer
 
     def after(self, seconds: float, call: Callable[[], object]) -> Timer:
@@ -99,10 +99,10 @@
     def soon(self, call: Callable[[], object]) -> None:
         """Schedules `call` at the present time, after what is already scheduled; it cannot be cancelled."""
         loop = self.loop
-        heappush(loop.timers, (loop.now, next(loop.order), self, None, call))
+        heappush(loop.timers, (loop.now, next(loop.sequence), self, None, call))
 
-    def _cancelled(self) -> None:
-        self.loop._cancelled()
+    def _on_cancelled(self) -> None:
+        self.loop._on_cancelled()
 
     def hold_still(self, until: float) -> None:
         """Pauses the process until the time `until`, as SIGSTOP does: its timers and incoming messages wait."""
@@ -166,12 +166,12 @@
             loop: Seat,
             address: tuple[str, int],
             source: str | None = None,
-            most_body: int = 8 << 20,
+            max_body_bytes: int = 8 << 20,
             tap=None,
-            idle_most: int = 64,
+            max_idle: int = 64,
             idle_for: float = 0.0,
         ) -> VirtualClient:
-            return VirtualClient(self, loop, address, source or host, idle_most, idle_for)
+            return VirtualClient(self, loop, address, source or host, max_idle, idle_for)
 
         return Transport(server, client)
 
@@ -180,7 +180,7 @@
         bytes of one."""
         return lambda loop, address: VirtualStream.connect(self, loop, host, address, tap() if tap else None)
 
-    def listen(self, loop: Seat, address: tuple[str, int], on_stream, most_out: int = 0) -> VirtualListener:
+    def listen(self, loop: Seat, address: tuple[str, int], on_stream, max_unsent_bytes: int = 0) -> VirtualListener:
         """As `Listener`."""
         return VirtualListener(self, loop, address, on_stream)
 
@@ -229,7 +229,7 @@
         if arrival < self.last_arrival:
             arrival = self.last_arrival
         self.last_arrival = arrival
-        heappush(loop.timers, (arrival, next(loop.order), self.seat, None, deliver))
+        heappush(loop.timers, (arrival, next(loop.sequence), self.seat, None, deliver))
 
     def _retry_later(self, delay: float) -> None:
         """Retries queued messages until the route is open: a cut must not become a loss of data."""
@@ -260,7 +260,7 @@
         self.on_connection_end: Callable[[VirtualServerConnection, str], object] | None = None
         self.on_connection: Callable[[object], object] | None = None
         self.closing = False
-        self.turned_away = 0
+        self.rejected_connections = 0
         network.servers[address] = self
 
     def close(self, now: bool = True, hard: bool = False) -> None:
@@ -321,7 +321,7 @@
             self.exchange = self.observer.on_request(self.server.loop.now, request, sent_at)
         self.server.handle(request)
 
-    def _answer(self, request: Request, status: int, body: bytes, kind: str, extra: str) -> None:
+    def _send_answer(self, request: Request, status: int, body: bytes, kind: str, extra: str) -> None:
         if self.sock is None or self.request is not request:
             return
         self.request, self.used_at = None, self.server.loop.now
@@ -421,7 +421,7 @@
             return
         self.to_server.seat = server.loop
         if len(server.connections) >= server.bounds.connections:
-            server.turned_away += 1
+            server.rejected_connections += 1
             body = server.refusal("too many connections; come back later")
             self.to_client.send(lambda: self.receive_answer(503, {b"retry-after": b"1"}, body, False))
             return
@@ -470,7 +470,7 @@
             self.exchange = None
         answer = Answer(status, headers, body, "", True, self.calls > 1)
         if keep:
-            self.client._free(self)
+            self.client._release_connection(self)
         else:
             self._close()
         call.done(answer)
@@ -498,17 +498,17 @@
         self.sock = None
         if self.observer is not None and not self.observer.at_server:
             self.observer.on_close(self.client.loop.now)
-        self.client._lost(self)
+        self.client._remove_connection(self)
 
 
 class VirtualClient(HttpClient):
     """As `HttpClient`, on the in-memory network; calls, kept connections and time-outs are those of the base class."""
 
     def __init__(
-        self, network: Network, loop: Seat, address: tuple[str, int], source: str, idle_most: int, idle_for: float
+        self, network: Network, loop: Seat, address: tuple[str, int], source: str, max_idle: int, idle_for: float
     ) -> None:
         """As `HttpClient`, without a tap or a limit on bodies."""
-        super().__init__(loop, address, source, idle_most=idle_most, idle_for=idle_for)
+        super().__init__(loop, address, source, max_idle=max_idle, idle_for=idle_for)
         self.network = network
 
     def _connect(self) -> VirtualClientConnection:
@@ -540,7 +540,7 @@
         self.peer_stream: VirtualStream | None = None
         self.sock: object | None = self
         self.connecting = False
-        self.came = self.went = 0
+        self.bytes_received = self.bytes_sent = 0
         self.unsent: list[bytes] = []  # written before the stream was open
         self.on_data: Callable[[bytes], object] = lambda data: None
         self.on_end: Callable[[str], object] = lambda reason: None
@@ -587,7 +587,7 @@
         if self.connecting:
             self.unsent.append(data)
             return
-        self.went += len(data)
+        self.bytes_sent += len(data)
         if self.tap:
             self.tap(True, data)
         peer_stream = self.peer_stream
@@ -596,7 +596,7 @@
     def _receive(self, data: bytes) -> None:
         if self.sock is None:
             return
-        self.came += len(data)
+        self.bytes_received += len(data)
         if self.tap:
             self.tap(False, data)
         self.on_data(data)
--- a/driftshed/lab/world.py
+++ b/driftshed/lab/world.py
@@ -169,7 +169,7 @@
         )
         self.load.begin(self.started_at)
         transport, address = environment.supervisor_transport()
-        self.views = transport.client(self.loop, address, idle_most=2)
+        self.views = transport.client(self.loop, address, max_idle=2)
         self._sample()
         for fault in scenario.troubles:
             begin = getattr(self, f"_begin_{type(fault).__name__.lower()}")
--- a/driftshed/net/http.py
+++ b/driftshed/net/http.py
@@ -46,13 +46,24 @@
         if self.answered:
             return
         self.answered, self.on_gone = True, None
-        self.connection._answer(self, status, body, kind, extra)
+        self.connection._send_answer(self, status, body, kind, extra)
 
 
 class ServerConnection:
     """One connection of a server: requests are answered one at a time, in the order of arrival."""
 
-    __slots__ = ("server", "stream", "parser", "request", "waiting", "head_size", "timer", "broken", "target", "whole")
+    __slots__ = (
+        "server",
+        "stream",
+        "parser",
+        "request",
+        "waiting",
+        "head_size",
+        "timer",
+        "broken",
+        "target",
+        "headers_complete",
+    )
 
     def __init__(self, server: HttpServer, stream: Stream) -> None:
         """Takes over the callbacks of the stream."""
@@ -60,7 +71,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.request: Request | None = None  # being received
         self.waiting: deque[Request] = deque()  # received; the first is being answered
-        self.head_size, self.broken, self.target, self.whole = 0, 0, b"", False
+        self.head_size, self.broken, self.target, self.headers_complete = 0, 0, b"", False
         stream.on_data, stream.on_end = self._on_data, self._on_end
         self.timer: Timer | None = None
         self._set_timer(server.bounds.idle_for, self._on_idle)
@@ -98,7 +109,7 @@
             self._reject(self.broken, reasons.get(self.broken, "this is not HTTP/1.1 as we speak it"))
             return
         bounds = self.server.bounds
-        if self.request is not None and not self.whole and self.head_size > bounds.header_bytes:
+        if self.request is not None and not self.headers_complete and self.head_size > bounds.header_bytes:
             self._reject(431, "the headers are too large")
         elif len(self.waiting) > MAX_PIPELINED:
             self.stream.pause(True)
@@ -107,7 +118,7 @@
 
     def on_message_begin(self) -> None:
         """Starts a request."""
-        self.request, self.target, self.whole = Request(self), b"", False
+        self.request, self.target, self.headers_complete = Request(self), b"", False
 
     def on_url(self, url: bytes) -> None:
         """Collects the request target, which may come in pieces."""
@@ -119,7 +130,7 @@
 
     def on_headers_complete(self) -> None:
         """Rejects a declared body length above the bound; raises ValueError to stop the parser."""
-        self.whole = True
+        self.headers_complete = True
         length = self.request.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.server.bounds.body_bytes:
             self.broken = 413
@@ -149,7 +160,7 @@
         if self.waiting and not self.waiting[0].answered:
             self.server.handle(self.waiting[0])
 
-    def _answer(self, request: Request, status: int, body: bytes, kind: str, extra: str) -> None:
+    def _send_answer(self, request: Request, status: int, body: bytes, kind: str, extra: str) -> None:
         if self.stream.sock is None:
             return
         keep = request.keep and not self.server.closing
@@ -218,7 +229,7 @@
         self.on_connection_end: Callable[[ServerConnection, str], object] | None = None
         self.on_connection: Callable[[Stream], object] | None = None
         self.closing = False
-        self.turned_away = 0
+        self.rejected_connections = 0
         self.listener = Listener(loop, address, self._accept, bounds.out_bytes, shared)
         self.address = self.listener.address
 
@@ -226,7 +237,7 @@
         if self.on_connection:
             self.on_connection(stream)
         if len(self.connections) >= self.bounds.connections:
-            self.turned_away += 1
+            self.rejected_connections += 1
             body = self.refusal("too many connections; come back later")
             stream.write(
                 b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: "
@@ -258,7 +269,7 @@
     body: bytes
     error: str = ""
     sent: bool = False  # some bytes of the request may have reached the server
-    kept: bool = False  # sent on a connection that had been used before
+    reused_connection: bool = False  # sent on a connection that had been used before
 
 
 class ClientConnection:
@@ -298,7 +309,7 @@
     def on_body(self, body: bytes) -> None:
         """Collects the body; raises ValueError to stop the parser above the client's bound."""
         self.body += body
-        if len(self.body) > self.client.most_body:
+        if len(self.body) > self.client.max_body_bytes:
             raise ValueError("too large")
 
     def on_message_complete(self) -> None:
@@ -310,14 +321,14 @@
         answer = Answer(self.parser.get_status_code(), self.headers, self.body, "", True, self.calls > 1)
         self.parser = httptools.HttpResponseParser(self)
         if keep and self.stream.sock is not None:
-            self.client._free(self)
+            self.client._release_connection(self)
         else:
             self.stream.abort("ended")
         call.done(answer)
 
     def _on_end(self, reason: str) -> None:
         call, self.call = self.call, None
-        self.client._lost(self)
+        self.client._remove_connection(self)
         if call:
             error = {"ended": "closed", "malformed": "closed", "stuck": "closed"}.get(reason, reason)
             call.done(Answer(0, self.headers, self.body, error, self.sent, self.calls > 1))
@@ -371,18 +382,18 @@
         loop: Loop,
         address: tuple[str, int],
         source: str | None = None,
-        most_body: int = 8 << 20,
+        max_body_bytes: int = 8 << 20,
         tap: Callable[[], Tap] | None = None,
-        idle_most: int = 64,
+        max_idle: int = 64,
         idle_for: float = 0.0,
     ) -> None:
-        """`most_body`: bound of an answer's body, in bytes; `idle_most`: idle connections kept; `tap()` makes each
+        """`max_body_bytes`: bound of an answer's body, in bytes; `max_idle`: idle connections kept; `tap()` makes each
         stream's tap."""
         self.idle_for = idle_for  # seconds after which an idle connection is closed; 0: never
-        self.loop, self.address, self.source, self.most_body = loop, address, source, most_body
-        self.tap, self.idle_most = tap, idle_most
+        self.loop, self.address, self.source, self.max_body_bytes = loop, address, source, max_body_bytes
+        self.tap, self.max_idle = tap, max_idle
         self.idle: list[ClientConnection] = []
-        self.all: dict[ClientConnection, None] = {}  # in the order of creation
+        self.connections: dict[ClientConnection, None] = {}  # in the order of creation
         self.host = f"host: {address[0]}:{address[1]}\r\n"
 
     def call(
@@ -408,7 +419,7 @@
             except OSError:
                 self.loop.soon(lambda: call.done(Answer(0, {}, b"", "unreachable")))
                 return call
-            self.all[connection] = None
+            self.connections[connection] = None
         call.connection = connection
         call.timer = self.loop.after(within, call.cancel)
         connection.start(call)
@@ -418,16 +429,16 @@
         stream = dial(self.loop, self.address, self.source, tap=self.tap() if self.tap else None)
         return ClientConnection(self, stream)
 
-    def _free(self, connection: ClientConnection) -> None:
-        if len(self.idle) < self.idle_most:
+    def _release_connection(self, connection: ClientConnection) -> None:
+        if len(self.idle) < self.max_idle:
             self.idle.append(connection)
             if self.idle_for:
                 connection.timer = self.loop.after(self.idle_for, lambda: connection.stream.abort("idle"))
         else:
             connection.stream.abort("ended")
 
-    def _lost(self, connection: ClientConnection) -> None:
-        self.all.pop(connection, None)
+    def _remove_connection(self, connection: ClientConnection) -> None:
+        self.connections.pop(connection, None)
         if connection.timer:
             connection.timer.cancel()
         if connection in self.idle:
@@ -435,7 +446,7 @@
 
     def close(self) -> None:
         """Ends all connections; calls in progress get an answer without status."""
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.stream.abort("closed")
 
 
--- a/driftshed/net/loop.py
+++ b/driftshed/net/loop.py
@@ -13,7 +13,7 @@
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 MAX_WAIT_S = 3600.0  # upper bound of one wait of the selector
-DEAD_TIMERS = 64  # cancelled timers are removed once there are more than this and more than live ones
+MAX_CANCELLED_TIMERS = 64  # cancelled timers are removed once there are more than this and more than live ones
 
 
 class Timer:
@@ -29,7 +29,7 @@
         """Prevents the call; has no effect after the call or a second time."""
         if self.call is not None:
             self.call = None
-            self.loop._cancelled()
+            self.loop._on_cancelled()
 
 
 class Timers:
@@ -40,8 +40,8 @@
         """`clock` returns the current time in seconds."""
         self.clock, self.now = clock, clock()
         self.timers: list[tuple[float, int, Timer]] = []
-        self.order = itertools.count()
-        self.dead = 0
+        self.sequence = itertools.count()
+        self.cancelled_count = 0
         self.ready_calls: deque[Callable[[], object]] = deque()
         self.running = False
         self.on_error: Callable[[Exception], object] = _raise
@@ -49,7 +49,7 @@
     def at(self, when: float, call: Callable[[], object]) -> Timer:
         """Calls `call()` at the time `when`."""
         timer = Timer(when, call, self)
-        heapq.heappush(self.timers, (when, next(self.order), timer))
+        heapq.heappush(self.timers, (when, next(self.sequence), timer))
         return timer
 
     def after(self, seconds: float, call: Callable[[], object]) -> Timer:
@@ -60,13 +60,13 @@
         """Calls `call()` after the ready sockets and due timers of this round, before the next wait."""
         self.ready_calls.append(call)
 
-    def _cancelled(self) -> None:
+    def _on_cancelled(self) -> None:
         # Without it the heap would grow with each poll that is answered long before its time-out.
-        self.dead += 1
-        if self.dead > DEAD_TIMERS and self.dead > len(self.timers) / 2:
+        self.cancelled_count += 1
+        if self.cancelled_count > MAX_CANCELLED_TIMERS and self.cancelled_count > len(self.timers) / 2:
             self.timers = [entry for entry in self.timers if entry[2].call is not None]
             heapq.heapify(self.timers)
-            self.dead = 0
+            self.cancelled_count = 0
 
     def stop(self) -> None:
         """Makes `run` return after the current round."""
@@ -126,7 +126,7 @@
         """Runs one round: waits until something is ready or due, and calls it."""
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
-            self.dead = max(0, self.dead - 1)
+            self.cancelled_count = max(0, self.cancelled_count - 1)
         timeout = MAX_WAIT_S if not self.timers else max(0.0, self.timers[0][0] - self.clock())
         if until is not None:
             timeout = min(timeout, max(0.0, until - self.clock()))
@@ -142,7 +142,7 @@
             timer = heapq.heappop(self.timers)[2]
             call, timer.call = timer.call, None
             if call is None:
-                self.dead = max(0, self.dead - 1)
+                self.cancelled_count = max(0, self.cancelled_count - 1)
             else:
                 self._call(call)
         for _ in range(len(self.ready_calls)):
--- a/driftshed/net/stream.py
+++ b/driftshed/net/stream.py
@@ -26,7 +26,7 @@
         "sock",
         "peer",
         "out",
-        "most_out",
+        "max_unsent_bytes",
         "on_data",
         "on_end",
         "on_drained",
@@ -36,13 +36,14 @@
         "connecting",
         "on_open",
         "events",
-        "came",
-        "went",
+        "bytes_received",
+        "bytes_sent",
     )
 
-    def __init__(self, loop: Loop, sock: socket.socket, most_out: int, connecting: bool = False) -> None:
-        """`most_out`: bound of the unsent output, in bytes. `connecting`: the socket's connect is in progress."""
-        self.loop, self.sock, self.most_out = loop, sock, most_out
+    def __init__(self, loop: Loop, sock: socket.socket, max_unsent_bytes: int, connecting: bool = False) -> None:
+        """`max_unsent_bytes`: bound of the unsent output, in bytes. `connecting`: the socket's connect is in
+        progress."""
+        self.loop, self.sock, self.max_unsent_bytes = loop, sock, max_unsent_bytes
         self.out = bytearray()
         self.on_data: Callable[[bytes], object] = lambda data: None
         self.on_end: Callable[[str], object] = lambda reason: None
@@ -51,7 +52,7 @@
         self.tap: Tap | None = None
         self.paused = self.closing = False
         self.connecting = connecting
-        self.events = self.came = self.went = 0
+        self.events = self.bytes_received = self.bytes_sent = 0
         try:
             self.peer = sock.getpeername()
         except OSError:
@@ -101,7 +102,7 @@
         if not data:
             self.abort("ended")
             return
-        self.came += len(data)
+        self.bytes_received += len(data)
         if self.tap:
             self.tap(False, data)
         self.on_data(data)
@@ -114,7 +115,7 @@
         except OSError:
             self.abort("reset")
             return
-        self.went += sent
+        self.bytes_sent += sent
         if self.tap and sent:
             self.tap(True, bytes(self.out[:sent]))
         del self.out[:sent]
@@ -134,7 +135,7 @@
         self.out += data
         if empty and not self.connecting:
             self._flush()
-        if self.sock is not None and len(self.out) > self.most_out:
+        if self.sock is not None and len(self.out) > self.max_unsent_bytes:
             self.abort("stuck")
         elif self.sock is not None:
             self._update_events()
@@ -173,12 +174,12 @@
         loop: Loop,
         address: tuple[str, int],
         on_stream: Callable[[Stream], object],
-        most_out: int = 1 << 20,
+        max_unsent_bytes: int = 1 << 20,
         shared: bool = False,
     ) -> None:
-        """Raises OSError if the address is not available. `most_out`: bound of each stream's unsent output, in bytes;
-        `shared`: other processes may listen at the same address."""
-        self.loop, self.on_stream, self.most_out = loop, on_stream, most_out
+        """Raises OSError if the address is not available. `max_unsent_bytes`: bound of each stream's unsent output, in
+        bytes; `shared`: other processes may listen at the same address."""
+        self.loop, self.on_stream, self.max_unsent_bytes = loop, on_stream, max_unsent_bytes
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:  # several processes listen at one address; the kernel distributes connections
@@ -209,7 +210,7 @@
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.on_stream(Stream(self.loop, sock, self.most_out))
+            self.on_stream(Stream(self.loop, sock, self.max_unsent_bytes))
 
     def _resume_accepting(self) -> None:
         if self.sock is not None:
@@ -224,7 +225,11 @@
 
 
 def dial(
-    loop: Loop, address: tuple[str, int], source: str | None = None, most_out: int = 1 << 20, tap: Tap | None = None
+    loop: Loop,
+    address: tuple[str, int],
+    source: str | None = None,
+    max_unsent_bytes: int = 1 << 20,
+    tap: Tap | None = None,
 ) -> Stream:
     """Returns a stream that connects to an address, from a source address if one is given. `on_open()` is called once
     it is connected, `on_end` with "refused" or "unreachable" if it cannot be. Raises OSError if the source address is
@@ -239,7 +244,7 @@
     except OSError:
         sock.close()
         raise
-    stream = Stream(loop, sock, most_out, connecting=True)
+    stream = Stream(loop, sock, max_unsent_bytes, connecting=True)
     stream.peer, stream.tap = address, tap
     if error_code not in (0, errno.EINPROGRESS):
         loop.soon(lambda: stream.abort("refused" if error_code == errno.ECONNREFUSED else "unreachable"))
--- a/driftshed/node/collectors.py
+++ b/driftshed/node/collectors.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from driftshed.node.codec import InvalidMessage, PlatformCodec
-from driftshed.node.resp import MAX_MESSAGE_BYTES, MAX_UNJOINED_BYTES, FramingError, Reader, message
+from driftshed.node.resp import MAX_MESSAGE_BYTES, MAX_UNJOINED_BYTES, FramingError, Reader, encode_message
 
-PONG, NACK = message("PONG"), message("NACK")
+PONG, NACK = encode_message("PONG"), encode_message("NACK")
 
 
 class Peer:
--- a/driftshed/node/config.py
+++ b/driftshed/node/config.py
@@ -9,7 +9,7 @@
 
 from driftshed import interface as face
 from driftshed.adapter.facts import BadInput, facts_from_pairs, flatten, format_value, original_names, path_of_fact
-from driftshed.core.messages import BadName, server_id
+from driftshed.core.messages import InvalidServerName, server_id
 from driftshed.node.codec import Names
 
 MAX_FILE_BYTES = 16 << 20
@@ -54,7 +54,7 @@
 MAX_OPERATIONS = 16  # the bit mask of operations in an order has 16 bits
 
 
-class Told(NamedTuple):
+class SupervisorOptions(NamedTuple):
     """The validated configuration of one supervisor. Addresses are (host, port); `known` is a list of servers in
     discovery's JSON format, or empty."""
 
@@ -73,13 +73,13 @@
     """The (host, port) of an "address:port" text. Raises BadInput, which names the setting `what`."""
     try:
         server_id(str(text))
-    except BadName:
+    except InvalidServerName:
         raise BadInput(f"{what} is {str(text)[:80]!r}: specify an IPv4 address, a colon and a port") from None
     host, _, port = str(text).rpartition(":")
     return host, int(port)
 
 
-def load(environment: Mapping[str, str]) -> Told:
+def load(environment: Mapping[str, str]) -> SupervisorOptions:
     """The configuration in the file that LB_CONFIG names. Raises BadInput, which states what is missing or invalid
     and what to specify instead."""
     path = environment.get("LB_CONFIG")
@@ -99,7 +99,7 @@
     return parse(document, environment)
 
 
-def parse(document: object, environment: Mapping[str, str]) -> Told:
+def parse(document: object, environment: Mapping[str, str]) -> SupervisorOptions:
     """Validates a decoded configuration. The environment supplies the name and addresses that it lacks; LB_LISTEN
     takes precedence over `listen`. Raises BadInput as `load` does."""
     if not isinstance(document, dict):
@@ -133,7 +133,7 @@
     for path, row in (("zones", names.zones), ("hostTypes", names.kinds), ("lanes[].name", names.operations)):
         if not all(row) or len(set(row)) < len(row):
             raise BadInput(f"settings: {path} is {list(row)}: specify a unique name for each")
-    return Told(
+    return SupervisorOptions(
         str(document.get("name", environment.get("LB_NAME", "supervisor"))),
         parse_address(environment.get("LB_LISTEN", document.get("listen")), "LB_LISTEN"),
         parse_address(document.get("discovery", environment.get("LB_DISCOVERY")), "the configuration's discovery"),
--- a/driftshed/node/relay.py
+++ b/driftshed/node/relay.py
@@ -234,7 +234,7 @@
 
     def __init__(self) -> None:
         """No proxy is joined."""
-        self.held: dict[int, face.Joined] = {}
+        self.joined: dict[int, face.Joined] = {}
         self.transitions: dict[int, int] = {}  # of each proxy: joins and departures so far; odd while it is joined
         self.transition_at: dict[int, float] = {}  # when the last of them was received
         self.last_mark: dict[int, int] = {}  # the last mark that each proxy answered
@@ -247,14 +247,14 @@
         self.transitions[proxy], self.transition_at[proxy] = position, now
         self.last_mark.pop(proxy, None)
         if position % 2:
-            self.held[proxy] = event
+            self.joined[proxy] = event
         else:
-            self.held.pop(proxy, None)
+            self.joined.pop(proxy, None)
         return [event]
 
     def apply_answer(self, applied: face.Applied) -> list:
         """Returns the answer to a mark if the proxy is joined and no connection has reported it, else nothing."""
-        if applied.proxy not in self.held or self.last_mark.get(applied.proxy) == applied.mark:
+        if applied.proxy not in self.joined or self.last_mark.get(applied.proxy) == applied.mark:
             return []
         self.last_mark[applied.proxy] = applied.mark
         return [applied]
@@ -265,9 +265,9 @@
 
     The initial read is complete with a ping or with the first event that is not the join of a further proxy."""
 
-    def __init__(self, codec: PlatformCodec, joins: JoinState) -> None:
-        """`joins` is shared by all connections."""
-        self.codec, self.joins = codec, joins
+    def __init__(self, codec: PlatformCodec, join_state: JoinState) -> None:
+        """`join_state` is shared by all connections."""
+        self.codec, self.join_state = codec, join_state
         self.line_reader = LineReader(1 << 16)
         # Joined proxies reported so far by the initial read; None outside of it.
         self.initial_proxies: set[int] | None = None
@@ -314,7 +314,7 @@
             return self._handle_initial(event, now)
         events = self._finish_initial(now) if event is not None or line.method == "ping" else []
         if isinstance(event, face.Applied):
-            return events + self.joins.apply_answer(event)
+            return events + self.join_state.apply_answer(event)
         if event is None:
             return events
         if (event.proxy in self.joined) == isinstance(event, face.Joined):
@@ -324,18 +324,18 @@
         else:
             del self.joined[event.proxy]
         self.position[event.proxy] = self._position_of(event.proxy, now) + 1
-        return events + self.joins.apply(event, self.position[event.proxy], now)
+        return events + self.join_state.apply(event, self.position[event.proxy], now)
 
     def _handle_initial(self, event: face.Joined, now: float) -> list:
         """Handles a proxy that was joined before the connection was established."""
-        count, gone = self.joins.transitions.get(event.proxy, 0), []
-        if event.fresh and event.proxy in self.joins.last_mark:
+        count, gone = self.join_state.transitions.get(event.proxy, 0), []
+        if event.fresh and event.proxy in self.join_state.last_mark:
             # Guards against a proxy that left and rejoined while no connection was up: it reports that it holds no
             # ordered table, although a mark of its table was answered.
-            gone = self.joins.apply(face.Left(event.proxy), count + 1, now)
+            gone = self.join_state.apply(face.Left(event.proxy), count + 1, now)
             count += 1
         self.position[event.proxy] = count | 1
-        return gone + self.joins.apply(event, count | 1, now)
+        return gone + self.join_state.apply(event, count | 1, now)
 
     def _finish_initial(self, now: float) -> list:
         """Completes the initial read: proxies known as joined that were not in it have left meanwhile."""
@@ -343,10 +343,10 @@
             return []
         initial_proxies, self.initial_proxies, self.synced = self.initial_proxies, None, True
         events = []
-        for proxy, position in list(self.joins.transitions.items()):
+        for proxy, position in list(self.join_state.transitions.items()):
             if proxy not in initial_proxies:
                 self.position[proxy] = position + position % 2
-                events += self.joins.apply(face.Left(proxy), self.position[proxy], now)
+                events += self.join_state.apply(face.Left(proxy), self.position[proxy], now)
         return events
 
     def _position_of(self, proxy: int, now: float) -> int:
@@ -355,8 +355,8 @@
         Guards against a position that is too low, since the initial read can precede transitions that led to it and
         that another connection reports later. This connection never reports those; after the maximum lag its position
         is corrected to the latest transition that agrees with its own state of the proxy."""
-        position, count = self.position.get(proxy, 0), self.joins.transitions.get(proxy, 0)
-        if position < count and now - self.joins.transition_at[proxy] > MAX_LAG_S:
+        position, count = self.position.get(proxy, 0), self.join_state.transitions.get(proxy, 0)
+        if position < count and now - self.join_state.transition_at[proxy] > MAX_LAG_S:
             position = count - (count - position) % 2
         return position
 
@@ -364,9 +364,9 @@
         """Corrects proxies whose state on this connection still differs after the maximum lag: this connection's state
         is adopted, since it has received other lines since then. Returns the events."""
         events = []
-        for proxy, count in list(self.joins.transitions.items()) if self.synced else ():
+        for proxy, count in list(self.join_state.transitions.items()) if self.synced else ():
             position = self.position[proxy] = self._position_of(proxy, self.received_at)
-            if position < count and self.received_at - self.joins.transition_at[proxy] > MAX_LAG_S:
+            if position < count and self.received_at - self.join_state.transition_at[proxy] > MAX_LAG_S:
                 self.position[proxy] = count + 1
-                events += self.joins.apply(self.joined.get(proxy, face.Left(proxy)), count + 1, self.received_at)
+                events += self.join_state.apply(self.joined.get(proxy, face.Left(proxy)), count + 1, self.received_at)
         return events
--- a/driftshed/node/resp.py
+++ b/driftshed/node/resp.py
@@ -75,7 +75,7 @@
         return int(digits)
 
 
-def message(*strings: str) -> bytes:
+def encode_message(*strings: str) -> bytes:
     """One encoded message."""
     parts = [string.encode() for string in strings]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
--- a/driftshed/node/service.py
+++ b/driftshed/node/service.py
@@ -11,12 +11,12 @@
 from random import Random
 
 from driftshed import interface as face
-from driftshed.core.hosting import Hosted
+from driftshed.core.hosting import ModuleHost
 from driftshed.net.loop import Loop, Timer
 from driftshed.net.stream import Listener, Stream
 from driftshed.node.codec import GROUPS_PER_MODULE, InvalidMessage, PlatformCodec
 from driftshed.node.collectors import NACK, PONG, Peer
-from driftshed.node.config import Told
+from driftshed.node.config import SupervisorOptions
 from driftshed.node.discovery import SILENCE_TIMEOUT_S, Roster, Watch, WatchFailed
 from driftshed.node.link import Link
 from driftshed.node.relay import (
@@ -41,23 +41,23 @@
 MAX_OWED_BYTES = 1 << 16  # of answers to pings held back for one peer until the supervisor is ready
 
 
-class Host(Hosted):
+class SupervisorHost(ModuleHost):
     """The decisions module with the state kept outside of it: roster, joined proxies, queued orders, channel load."""
 
-    def __init__(self, config: Told, now: float, wall: float) -> None:
+    def __init__(self, config: SupervisorOptions, now: float, wall: float) -> None:
         """`now`: the loop's clock; `wall`: unix time. Both in seconds, at the same moment."""
         super().__init__(config.facts, config.seed, now)
         self.codec = PlatformCodec(config.facts, now - wall, config.names)
-        self.roster, self.joins, self.orders = Roster(self.codec), JoinState(), OrderQueue()
+        self.roster, self.join_state, self.orders = Roster(self.codec), JoinState(), OrderQueue()
         self.channel = Channel(config.facts)
         self.withdrawn: set[face.Server] = set()  # by the current module
         self.undo_ops: list[dict] = []  # operations that revert withdrawals of a replaced module
 
-    def what_stands(self) -> list:
+    def current_state_events(self) -> list:
         """The events from which a new module starts: the roster and the joined proxies."""
-        return self.roster.snapshot() + [each._replace(fresh=False) for each in self.joins.held.values()]
+        return self.roster.snapshot() + [each._replace(fresh=False) for each in self.join_state.joined.values()]
 
-    def forget_orders(self) -> None:
+    def discard_orders(self) -> None:
         """Reverts the withdrawals of a replaced module; the new one has its own tables."""
         self.undo_ops = [self.codec.encode_order(face.Withdraw(False, server), 0) for server in sorted(self.withdrawn)]
         self.withdrawn.clear()
@@ -67,17 +67,17 @@
         """Group number of table 0 of the current module."""
         return self.faults % GROUPS_PER_MODULE * GROUPS_PER_MODULE
 
-    def turn(self, now: float) -> None:
+    def run_turn(self, now: float) -> None:
         """Runs the module on the pending events and queues its orders, unless earlier orders are still queued: so it
         decides on the current state, and the queue stays bounded."""
         if self.orders.waiting:
             return
         # The module may not use the room that lines other than its own orders take in the channel.
-        self.brain.cap = self.channel.cap - self.channel.lines(now)
+        self.brain.queue_cap = self.channel.cap - self.channel.lines(now)
         if self.channel.message_cap:
             self.brain.message_cap = max(1, self.channel.message_cap - self.channel.messages(now))
         ops, self.undo_ops = self.undo_ops, []
-        for order in self.hear(now):
+        for order in self.run_module(now):
             op = self.codec.encode_order(order, self.first_group)
             if op is not None:
                 ops.append(op)
@@ -93,7 +93,7 @@
     def orders_connection_lost(self, now: float) -> None:
         """Handles the end of the connection for calls."""
         if self.orders.connection_lost():
-            before = self.brain._waiting() - self.lines_of_mark(self.orders.waiting[0].mark)
+            before = self.brain.waiting_lines() - self.lines_of_mark(self.orders.waiting[0].mark)
             self.channel.call_in_doubt(now, before)
 
     def next_call(self, now: float) -> bytes | None:
@@ -102,11 +102,11 @@
         orders = self.orders
         if orders.in_doubt and orders.sent_at is None and now >= orders.not_before:
             lines = self.lines_of_mark(orders.waiting[0].mark)
-            if not self.channel.may_repeat(now, lines, self.brain._waiting(), orders.mark_seen):
+            if not self.channel.may_repeat(now, lines, self.brain.waiting_lines(), orders.mark_seen):
                 orders.not_before = self.channel.disproved_at
         return orders.next_call(now)
 
-    def take(self, events: list) -> None:
+    def add_events(self, events: list) -> None:
         """Queues events for the module. Beyond MAX_PENDING_EVENTS it discards reports; other events are kept."""
         left = {event.proxy for event in events if isinstance(event, face.Left)}
         if left:
@@ -115,21 +115,21 @@
             if isinstance(event, face.Applied):
                 self.orders.mark_answered(event.mark)
                 self.channel.observe_latency(event.took)
-        self.news += events
-        if len(self.news) > MAX_PENDING_EVENTS:
-            self.news = [e for e in self.news if not isinstance(e, face.Heard | face.Demand)]
+        self.pending_events += events
+        if len(self.pending_events) > MAX_PENDING_EVENTS:
+            self.pending_events = [e for e in self.pending_events if not isinstance(e, face.Heard | face.Demand)]
 
 
 class Service:
     """Runs one supervisor on a loop until `loop.stop()`. `log(event, **fields)` writes one line."""
 
     def __init__(
-        self, loop: Loop, config: Told, log: Callable[..., None], wall: Callable[[], float] = time.time
+        self, loop: Loop, config: SupervisorOptions, log: Callable[..., None], wall: Callable[[], float] = time.time
     ) -> None:
         """Listens and starts connecting; raises OSError if the address is not available. `wall()`: unix time in s."""
         self.loop, self.config, self.log = loop, config, log
         self.started_at = loop.clock()
-        self.host = Host(config, self.started_at, wall())
+        self.host = SupervisorHost(config, self.started_at, wall())
         self.random = Random(config.seed)
         self.dropped: Counter[str] = Counter()
         self.timer: Timer | None = None
@@ -170,13 +170,13 @@
     def _handle_fault(self, fault) -> None:
         now, brain = self.loop.clock(), self.host.brain
         # Guards against a new module that assumes an empty channel: it still carries the old module's orders.
-        self.host.channel.add(now, brain._waiting(), 0.0, max(map(len, brain.sent_at.values()), default=0))
+        self.host.channel.add(now, brain.waiting_lines(), 0.0, max(map(len, brain.message_times.values()), default=0))
         self.log(
             "module_fault",
             level="error",
             error=fault.error,
             place=fault.place,
-            last=[repr(event)[:200] for event in fault.turns[-1][1][:20]],
+            last=[repr(event)[:200] for event in fault.event_batches[-1][1][:20]],
         )
         self._schedule_turn()
 
@@ -202,7 +202,7 @@
                     ],
                 )
         if events:
-            self.host.take(events)
+            self.host.add_events(events)
             self._schedule_turn()
 
     def _schedule_turn(self) -> None:
@@ -214,10 +214,10 @@
     def _run_turn(self) -> None:
         self.turn_scheduled = False
         began = self.loop.clock()
-        self.host.turn(began)
+        self.host.run_turn(began)
         self._send_next_call()
         self.max_turn_s = max(self.max_turn_s, self.loop.clock() - began)
-        at = self.host.module_at() if not self.host.orders.waiting else began + 1
+        at = self.host.module_due_at() if not self.host.orders.waiting else began + 1
         # Without a connection nothing is due: one that opens schedules a turn.
         deadline = self.host.orders.next_due_at() if self.orders.connected else None
         at = at if deadline is None else min(at, deadline)
@@ -353,16 +353,16 @@
         ready = [i for i, state in enumerate(brain.state) if state == face.READY]
         self.log(
             "second",
-            joined=len(host.joins.held),
+            joined=len(host.join_state.joined),
             listed=len(host.roster.entries),
             version=host.roster.version,
-            out=sum(brain.out_at[i] is not None for i in ready),
-            cold=sum(not brain._warm(i) for i in ready),
-            let_in=round(brain.let_in, 3),
+            out=sum(brain.withdrawn_at[i] is not None for i in ready),
+            cold=sum(not brain.is_warm(i) for i in ready),
+            let_in=round(brain.admitted_share, 3),
             tries=brain.tries,
             waiting=len(host.orders.waiting),
             unanswered=len(brain.unanswered),
-            channel=round(brain._waiting()),
+            channel=round(brain.waiting_lines()),
             calls=host.orders.calls,
             repeats=host.orders.repeats,
             proved=host.orders.proved,
@@ -385,7 +385,7 @@
 
     # ---- new configurations -----------------------------------------------------------------------------------
 
-    def reconfigure(self, config: Told) -> None:
+    def reconfigure(self, config: SupervisorOptions) -> None:
         """Applies a new configuration: connects to changed addresses at once and keeps the module's state. Other fields
         cannot change while the process runs; differences in them are logged as ignored."""
         ignored = [name for name in FIXED_SETTINGS if getattr(config, name) != getattr(self.config, name)]
@@ -479,7 +479,7 @@
 
     def make_reader(self) -> NotificationReader:
         """A reader that merges this connection into the shared state of joined proxies."""
-        return NotificationReader(self.service.host.codec, self.service.host.joins)
+        return NotificationReader(self.service.host.codec, self.service.host.join_state)
 
     def check(self, now: float) -> None:
         """Also corrects proxies whose state this connection has contradicted for longer than the maximum lag."""
--- a/driftshed/policy/command.py
+++ b/driftshed/policy/command.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from driftshed.common.asking import ask as query_view
+from driftshed.common.http_query import query_supervisor as query_view
 from driftshed.policy import document as policies
 from driftshed.policy.document import BadDocument, Document
 
@@ -24,7 +24,11 @@
 def ask(supervisor: str, body: dict | None = None) -> dict:
     """Returns the policy view of a supervisor, or its answer to the request `body`; ends the program on an error."""
     return query_view(
-        supervisor, "policy", body, "policies are off at this supervisor: start it with --policy-folder", bad=2
+        supervisor,
+        "policy",
+        body,
+        "policies are off at this supervisor: start it with --policy-folder",
+        invalid_exit_code=2,
     )
 
 
--- a/driftshed/policy/document.py
+++ b/driftshed/policy/document.py
@@ -15,7 +15,7 @@
 from msgspec import Meta, Struct
 
 from driftshed import interface as face
-from driftshed.core.carrying import FREE
+from driftshed.core.migration import CHANGEABLE_FACTS
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
 from driftshed.supervisor.flags import FLAGS, OperationFlag, facts_of
@@ -25,7 +25,7 @@
 MAX_OPERATIONS = 16
 PROCESS_FLAGS = {"own-number", "supervisors"}  # set for each process, or derived from the membership view
 # Settings that may change in a running fleet; the others determine the structure of an instance at its start.
-MUTABLE_SETTINGS = {flag.name for flag in FLAGS if flag.fact in FREE}
+MUTABLE_SETTINGS = {flag.name for flag in FLAGS if flag.fact in CHANGEABLE_FACTS}
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
--- a/driftshed/policy/part.py
+++ b/driftshed/policy/part.py
@@ -91,7 +91,7 @@
         agent.judge = lambda record: self._vote(record) if record.topic == TOPIC else previous_judge(record)
         agent.on_record = lambda record: (previous_on_record(record), self._handle_record(record))
         service.waits = lambda: previous_waits() or self._join_refusal()
-        self.instance.still = lambda: self._holds_still()
+        self.instance.tables_frozen = lambda: self._holds_still()
         service.views["policy"] = self.view
         service.actions["policy"] = (Asked, self.ask)
         self._tick()
--- a/driftshed/proxy/command.py
+++ b/driftshed/proxy/command.py
@@ -12,7 +12,7 @@
 
 from driftshed.common.logs import LEVELS, make_log
 from driftshed.common.options import option
-from driftshed.core.messages import BadName, server_id
+from driftshed.core.messages import InvalidServerName, server_id
 from driftshed.net.http import Bounds
 from driftshed.net.loop import Loop
 from driftshed.proxy.follow import HEARS_WITHIN
@@ -28,7 +28,7 @@
     for text in texts:
         try:  # port 0 selects a free one
             server_id(text.removesuffix(":0") + ":1" if text.endswith(":0") else text)
-        except BadName as error:
+        except InvalidServerName as error:
             raise click.BadParameter(f"{error}; such as 127.0.0.1:7000", param_hint=f"--{flag}") from None
         host, _, port = text.rpartition(":")
         if not host.startswith("127."):
--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from driftshed.core.messages import (
-    BadName,
     Changes,
+    InvalidServerName,
     Join,
     JoinAnswer,
     OperationReport,
     Report,
     ServerReport,
-    encode,
+    encode_json,
     server_id,
 )
 from driftshed.net.http import SOCKETS, Answer, Transport
@@ -126,14 +126,14 @@
         if self.stopped:
             return
         address = self.addresses[self.current]
-        self.control_client = self.transport.client(self.loop, address, self.source, idle_most=1)
-        self.report_client = self.transport.client(self.loop, address, self.source, idle_most=1)
+        self.control_client = self.transport.client(self.loop, address, self.source, max_idle=1)
+        self.report_client = self.transport.client(self.loop, address, self.source, max_idle=1)
         fresh = self.tables.run is None
         self.term += 1
         join = Join(self.zone, self.rate, fresh, self.tables.run, self.tables.version)
         # Not in the body: older supervisors would reject an unknown field.
         path = f"/v1/proxies/{self.number}/join?term={self.term}"
-        self.control_client.call("POST", path, encode(join), self._handle_join_answer, JOIN_TIMEOUT_S)
+        self.control_client.call("POST", path, encode_json(join), self._handle_join_answer, JOIN_TIMEOUT_S)
 
     def _reconnect(self, reason: str, use_next: bool = False, redirected: bool = False) -> None:
         """Joins again after a random delay that doubles with each failure: the same supervisor after the first failure,
@@ -201,7 +201,7 @@
         for text in announced[:MAX_SUPERVISORS]:
             try:
                 server_id(text)
-            except BadName:
+            except InvalidServerName:
                 continue
             host, _, port = text.rpartition(":")
             others.append((host, int(port)))
@@ -255,7 +255,7 @@
             if dropped:
                 self.log("reports_dropped", level="warning", tries=dropped, in_all=self.sums.dropped_tries)
             return
-        body = encode(self.sums.make_report(self.stream))
+        body = encode_json(self.sums.make_report(self.stream))
         self.report_client.call(
             "POST", f"/v1/proxies/{self.number}/report", body, lambda answer: None, REPORT_TIMEOUT_S
         )
--- a/driftshed/proxy/forward.py
+++ b/driftshed/proxy/forward.py
@@ -221,10 +221,10 @@
         client = self.clients.get(server)
         if client is None or client.idle:
             return True
-        if len(client.all) >= self.limits.connections:
+        if len(client.connections) >= self.limits.connections:
             return False
         # Guards against flooding a server that accepts no connections: only a few attempts at a time.
-        connecting = sum(connection.stream.connecting for connection in client.all)
+        connecting = sum(connection.stream.connecting for connection in client.connections)
         return connecting < self.limits.connecting
 
     def _client(self, server: str) -> HttpClient:
@@ -235,7 +235,7 @@
                 self.loop,
                 (host, int(port)),
                 self.source,
-                idle_most=self.limits.connections,
+                max_idle=self.limits.connections,
                 idle_for=self.limits.idle_for,
             )
             self.clients[server] = client
@@ -347,7 +347,7 @@
         for client in list(self.retired):
             for connection in list(client.idle):
                 connection.stream.abort("left the tables")
-            if not client.all:
+            if not client.connections:
                 del self.retired[client]
 
     def stop(self, on_done: Callable[[], object], timeout: float) -> None:
@@ -372,4 +372,4 @@
         return Outcome.LATE
     if answer.body or answer.headers:
         return Outcome.PARTIAL
-    return Outcome.CLOSED_IDLE if answer.kept else Outcome.CLOSED
+    return Outcome.CLOSED_IDLE if answer.reused_connection else Outcome.CLOSED
--- a/driftshed/proxy/tables.py
+++ b/driftshed/proxy/tables.py
@@ -8,8 +8,8 @@
 from random import Random
 
 from driftshed import interface as face
-from driftshed.core.holding import fold
-from driftshed.core.messages import BadName, Change, Changes, Level, Line, Use, server_id
+from driftshed.core.messages import Change, Changes, InvalidServerName, Level, Line, Use, server_id
+from driftshed.core.proxy_state import fold
 from driftshed.proxy.limits import Gate
 from driftshed.proxy.pick import PICKERS, Weighted, Weights
 
@@ -77,7 +77,7 @@
         if not isinstance(change, Use | Level):
             try:
                 server_id(change.server)
-            except BadName as error:
+            except InvalidServerName as error:
                 raise ChangesRejected(str(error)) from None
 
     def _update_after(self, old_state: dict[tuple, Change], changes: Changes, now: float) -> None:
--- a/driftshed/roster/command.py
+++ b/driftshed/roster/command.py
@@ -11,7 +11,7 @@
 
 from driftshed.common.logs import LEVELS, make_log
 from driftshed.common.options import option
-from driftshed.core.messages import BadName, server_id
+from driftshed.core.messages import InvalidServerName, server_id
 from driftshed.net.loop import Loop
 from driftshed.roster.announce import Announcer, Standing
 from driftshed.roster.log import CorruptLog, Log
@@ -113,7 +113,7 @@
     has acquired its address."""
     try:
         server_id(server)
-    except BadName as error:
+    except InvalidServerName as error:
         raise click.BadParameter(str(error), param_hint="--server") from None
     log, loop, code = make_log("json", log_level), Loop(), 0
     node = Announced(server, zone, kind, "ready", time.time(), cell, weight, 0)
--- a/driftshed/roster/follow.py
+++ b/driftshed/roster/follow.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from driftshed.core.messages import RosterNews
+from driftshed.core.messages import RosterUpdate
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.client import RosterClient
@@ -41,7 +41,7 @@
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         membership: Membership,
-        on_update: Callable[[RosterNews], object],
+        on_update: Callable[[RosterUpdate], object],
         log: Callable[..., object],
         seed: int,
         timeout: float = 6.0,
@@ -212,7 +212,7 @@
             self.version += 1
             if not self.full_list_sent:
                 listed = [each for each in listed if each.state != "gone"]
-            self.on_update(RosterNews(self.version, not self.full_list_sent, listed))
+            self.on_update(RosterUpdate(self.version, not self.full_list_sent, listed))
             self.full_list_sent = True
         if self.timer:
             self.timer.cancel()
--- a/driftshed/roster/nodes.py
+++ b/driftshed/roster/nodes.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from driftshed.core.messages import STATES, BadName, Name, Number, Share, server_id
+from driftshed.core.messages import STATES, InvalidServerName, Name, Number, Share, server_id
 from driftshed.roster.membership import Announced
 
 MAX_NODE_BYTES = 4096  # of a node's data
@@ -43,7 +43,7 @@
     try:
         server_id(server)
         fields = msgspec.json.decode(data[: MAX_NODE_BYTES + 1], type=Said)
-    except (BadName, msgspec.DecodeError) as error:
+    except (InvalidServerName, msgspec.DecodeError) as error:
         raise BadNode(f"{name}: {error}") from None
     for what, value, known in (
         ("zone", fields.zone, zones),
--- a/driftshed/standins/client.py
+++ b/driftshed/standins/client.py
@@ -33,7 +33,7 @@
         self.loop, self.operations, self.shares, self.work, self.rate = loop, operations, shares, work, rate
         self.random, self.repeats, self.surge, self.request_count, self.open = Random(seed), repeats, 1.0, 0, True
         self.name = f"{proxy[0]}"
-        self.client = HttpClient(loop, proxy, idle_most=256, tap=tap)
+        self.client = HttpClient(loop, proxy, max_idle=256, tap=tap)
         self._next()
 
     def _next(self) -> None:
--- a/driftshed/standins/roster.py
+++ b/driftshed/standins/roster.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from driftshed.core.messages import ListedServer, RosterNews, encode
+from driftshed.core.messages import ListedServer, RosterUpdate, encode_json
 from driftshed.net.http import Answer, HttpClient
 from driftshed.net.loop import Loop, Timers
 from driftshed.net.stream import Stream, dial
@@ -72,7 +72,7 @@
         latest = {each.server: each for each in self.due_changes}
         servers = list(self.servers.values()) if self.send_snapshot else list(latest.values())
         snapshot, self.due_changes = self.send_snapshot, []
-        update = RosterNews(self.version, snapshot, servers)
+        update = RosterUpdate(self.version, snapshot, servers)
 
         def on_answer(answer: Answer) -> None:
             self.send_snapshot = answer.status != 200
@@ -81,7 +81,7 @@
             else:
                 self.in_flight = False
 
-        self.client.call("POST", "/v1/roster", encode(update), on_answer, 1.0)
+        self.client.call("POST", "/v1/roster", encode_json(update), on_answer, 1.0)
 
     def _allow_push(self) -> None:
         self.in_flight = False
--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -128,7 +128,7 @@
     loop = Loop()
     loop.on_error = lambda error: log("fault", level="error", error=f"{type(error).__name__}: {error}")
     run = os.urandom(5).hex()
-    instance = Instance(facts, seed, run, loop.clock(), wall=time.monotonic() - time.time())
+    instance = Instance(facts, seed, run, loop.clock(), wall_offset=time.monotonic() - time.time())
     try:
         service = Service(
             loop,
@@ -155,12 +155,12 @@
             facts.zones,
             facts.kinds,
             Membership(lapse_hold, lapse_hold_most),
-            service.hear_roster,
+            service.apply_roster_update,
             log,
             seed,
             session_timeout,
         )
-        service.followed, instance.on_answered = connect, follower.answered
+        service.followed, instance.on_server_answered = connect, follower.answered
 
     agent = None
     if tiers is not None:  # Imported only here: a standalone supervisor does not need it.
--- a/driftshed/supervisor/service.py
+++ b/driftshed/supervisor/service.py
@@ -9,19 +9,19 @@
 import msgspec
 
 from driftshed import interface as face
-from driftshed.core.hub import Record, Refused
+from driftshed.core.hub import ProxyRecord, Refused
 from driftshed.core.instance import Instance
-from driftshed.core.messages import Join, JoinAnswer, Report, RosterNews, encode, server_name
+from driftshed.core.messages import Join, JoinAnswer, Report, RosterUpdate, encode_json, server_name
 from driftshed.net.http import SOCKETS, Bounds, Request, ServerConnection, Transport
 from driftshed.net.loop import Loop, Timer
 
-DECODERS = {kind: msgspec.json.Decoder(kind) for kind in (Join, Report, RosterNews)}
+DECODERS = {kind: msgspec.json.Decoder(kind) for kind in (Join, Report, RosterUpdate)}
 STATE_NAMES = {face.READY: "ready", face.DRAINING: "draining"}
 
 
 def error_body(reason: str) -> bytes:
     """JSON body of an error answer."""
-    return encode({"error": reason})
+    return encode_json({"error": reason})
 
 
 class ProxyStream:
@@ -29,7 +29,7 @@
 
     __slots__ = ("stream_id", "connection", "request", "timer", "record", "announced_supervisors")
 
-    def __init__(self, record: Record) -> None:
+    def __init__(self, record: ProxyRecord) -> None:
         """`record`: state of the proxy in the hub, which owns it. No poll is held yet."""
         self.record, self.stream_id = record, record.stream
         self.announced_supervisors: list[str] = []  # addresses last sent to the proxy
@@ -87,12 +87,12 @@
 
     def hear_overlaid(self, listing: face.Listing) -> None:
         """Applies a changed overlay of the roster."""
-        self.instance.news.append(listing)
+        self.instance.pending_events.append(listing)
         self.soon()
 
-    def hear_roster(self, news: RosterNews) -> None:
+    def apply_roster_update(self, news: RosterUpdate) -> None:
         """Applies an update of the roster, from any source. Raises Refused where the instance rejects it."""
-        self.instance.hear_roster(news)
+        self.instance.apply_roster_update(news)
         self.log("roster", version=news.version, whole=news.whole, servers=len(news.servers))
         self.soon()
 
@@ -123,7 +123,7 @@
     def _log_module_fault(self, fault) -> None:
         turns = [
             {"at": at, "events": [f"{type(e).__name__}{tuple(e)!r}"[:400] for e in events[:50]]}
-            for at, events in fault.turns
+            for at, events in fault.event_batches
         ]
         self.log("module_fault", level="error", error=fault.error, place=fault.place, turns=turns)
 
@@ -158,16 +158,16 @@
         if (method, parts) == ("POST", ["v1", "roster"]):
             if self.followed:
                 raise Refused(409, f"the list is followed at {self.followed}; push none, or leave --roster-connect out")
-            news = self._decode_body(request, RosterNews)
-            self.hear_roster(news)
-            return request.answer(200, encode({"version": news.version}))
+            news = self._decode_body(request, RosterUpdate)
+            self.apply_roster_update(news)
+            return request.answer(200, encode_json({"version": news.version}))
         if method == "POST" and len(parts) == 2 and parts[0] == "v1" and parts[1] in self.actions:
             body_type, action = self.actions[parts[1]]
-            return request.answer(200, encode(action(self._decode_body(request, body_type))))
+            return request.answer(200, encode_json(action(self._decode_body(request, body_type))))
         if len(parts) == 2 and parts[0] == "v1" and parts[1] in self.views:
             if method != "GET":
                 raise Refused(405, f"{method} is not a way to call {request.path}")
-            return request.answer(200, encode(self.views[parts[1]]()))
+            return request.answer(200, encode_json(self.views[parts[1]]()))
         raise Refused(404, f"there is nothing at {request.path[:200]}")
 
     @staticmethod
@@ -202,7 +202,7 @@
         if term < self.highest_terms.get(proxy, 0):
             self.refused_requests += 1
             reason = f"term {term} of proxy {proxy} is over: it has joined with {self.highest_terms[proxy]}"
-            return request.answer(409, encode({"error": reason, "term": self.highest_terms[proxy]}))
+            return request.answer(409, encode_json({"error": reason, "term": self.highest_terms[proxy]}))
         record, replaced = self.instance.join(proxy, join, self.loop.now)
         self.highest_terms[proxy] = term
         replaced_stream = self.polls.pop(proxy, None)
@@ -231,7 +231,7 @@
             stream.announced_supervisors,
             self.instance.policy,
         )
-        request.answer(200, encode(answer))
+        request.answer(200, encode_json(answer))
 
     def _attach_connection(self, stream: ProxyStream, connection: ServerConnection) -> None:
         """Binds the stream to the connection of its last request; the stream ends with that connection."""
@@ -264,16 +264,18 @@
             stream.timer.cancel()
         self._attach_connection(stream, request.connection)
         stream.request = request
-        if self.instance.news:
+        if self.instance.pending_events:
             self.soon()
-        body = self.instance.hub.news(record, self.loop.clock())
+        body = self.instance.hub.update_body(record, self.loop.clock())
         if body is not None:
             self._send_changes(stream, body)
         else:
             stream.timer = self.loop.after(min(wait, self.max_poll_wait), lambda: self._poll_timed_out(stream))
 
     def _poll_timed_out(self, stream: ProxyStream) -> None:
-        self._answer_held_poll(stream, 200, self._add_fleet_fields(stream, self.instance.hub.no_news(stream.record)))
+        self._answer_held_poll(
+            stream, 200, self._add_fleet_fields(stream, self.instance.hub.empty_update_body(stream.record))
+        )
 
     def _add_fleet_fields(self, stream: ProxyStream, body: bytes) -> bytes:
         """Adds the live supervisors, where they have changed since last sent, and the policy version to an answer.
@@ -283,12 +285,12 @@
         living = self.living()
         if living and living != stream.announced_supervisors:
             stream.announced_supervisors = living
-            body = body[:-1] + b',"supervisors":' + encode(living) + b"}"
+            body = body[:-1] + b',"supervisors":' + encode_json(living) + b"}"
         # Guards against orders of an older policy: a proxy that has applied a newer one rejects them by this version.
         return body[:-1] + b',"policy":%d}' % self.instance.policy if self.instance.policy else body
 
     def _send_pending_changes(self, stream: ProxyStream) -> None:
-        body = self.instance.hub.news(stream.record, self.loop.clock())
+        body = self.instance.hub.update_body(stream.record, self.loop.clock())
         if body is not None:
             self._send_changes(stream, body)
 
@@ -367,7 +369,7 @@
             lines = {
                 table: table_lines[name].weight for table, table_lines in hub.tables.items() if name in table_lines
             }
-            last_reason = self.instance.why.get(name)
+            last_reason = self.instance.server_reasons.get(name)
             why = ""
             if entry.state != face.READY:
                 why = f"listed as {STATE_NAMES[entry.state]}"
--- a/driftshed/trace/recording.py
+++ b/driftshed/trace/recording.py
@@ -30,13 +30,13 @@
         """Sets the callbacks of the instance and records its start; a previous `on_fault` is still called."""
         self.instance, self.writer, self.begin_number, self.turn_number = instance, writer, -1, 0
         self.core = core_version()
-        instance.on_turn, instance.on_begin, instance.on_switch = self._turn, self._start, self._switch
+        instance.on_turn, instance.on_module_start, instance.on_switch = self._turn, self._start, self._switch
         self.previous_on_fault, instance.on_fault = instance.on_fault, self._fault
-        self._start(instance.seed, instance.began)
+        self._start(instance.seed, instance.started_at)
 
     def unix_time(self, now: float) -> float:
         """The unix time of a moment on the instance's clock, in seconds."""
-        return now - self.instance.roster.wall
+        return now - self.instance.roster.wall_offset
 
     def _start(self, seed: int, now: float) -> None:
         self.begin_number, self.turn_number = self.begin_number + 1, 0
@@ -80,7 +80,7 @@
         self.turn_number += 1
 
     def _fault(self, fault: Fault) -> None:
-        now, events = fault.turns[-1]
+        now, events = fault.event_batches[-1]
         self._add_turn(now, Encoded(events), ERROR_PREFIX + fault.error.encode())
         self.previous_on_fault(fault)
 
--- a/driftshed/trace/replay.py
+++ b/driftshed/trace/replay.py
@@ -13,10 +13,10 @@
 import driftshed
 from driftshed import interface as face
 from driftshed.brain import Brain
-from driftshed.core.carrying import carried
+from driftshed.core.migration import migrate
 from driftshed.trace.columns import TraceError
 
-CORE_FILES = ("brain.py", "figures.py", "interface.py", "core/carrying.py")
+CORE_FILES = ("brain.py", "figures.py", "interface.py", "core/migration.py")
 AGREED_DECISIONS = -1  # instead of the number of an instance of a run: its decisions agreed with other supervisors
 ERROR_PREFIX = b"!"  # begins a record that holds, instead of orders, the exception that the module raised
 
@@ -114,7 +114,7 @@
         if key in self.conclusions or brain is None:
             return
         facts = decode_facts(row["facts"])
-        self.brains[key] = carried(brain, self.facts[key], facts, self.make_brain)
+        self.brains[key] = migrate(brain, self.facts[key], facts, self.make_brain)
         self.facts[key] = facts
 
     def turn(self, row: dict) -> None:
--- a/driftshed/trace/schema.py
+++ b/driftshed/trace/schema.py
@@ -29,7 +29,7 @@
     },
     # Start of an instance of the decisions module: its facts, and the digest of the code that decides (`core`).
     "start": COMMON_COLUMNS | {"run": "s", "begin": "i", "now": "f", "seed": "i", "core": "s", "facts": "b"},
-    # The instance was migrated to other facts before this turn (core/carrying.py).
+    # The instance was migrated to other facts before this turn (core/migration.py).
     "switch": COMMON_COLUMNS | {"run": "s", "begin": "i", "turn": "i", "now": "f", "facts": "b"},
     # One batch of events handled by the module, and its orders; `turn` is consecutive within (`run`, `begin`).
     "turn": COMMON_COLUMNS | {"run": "s", "begin": "i", "turn": "i", "now": "f", "events": "b", "orders": "b"},
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,7 +25,7 @@
     return bytes([10, 0, 0, number, 31, 64])
 
 
-class World:
+class SimulatedFleet:
     """One supervisor, proxies that apply all orders, and a channel of limited rate; slow, simple and deterministic."""
 
     def __init__(self, servers: int = 9, proxies: int = 4, extra: str = "", seed: int = 1) -> None:
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -10,7 +10,7 @@
 from driftshed.node.jsonlines import LineReader
 from driftshed.node.service import Service
 from tests.helpers import FACTS
-from tests.test_net import until
+from tests.test_net import run_until
 
 KINDS = "hostTypes=m1,m2\nreport.fields=busy_reqs,cpu_share\n"
 CODEC = PlatformCodec(read_facts(FACTS + KINDS), 100.0 - 5000.0)
@@ -55,7 +55,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def told(relay=("127.0.0.1", 1), discovery_address=("127.0.0.1", 1), servers=6, **more) -> dict:
+def make_configuration(relay=("127.0.0.1", 1), discovery_address=("127.0.0.1", 1), servers=6, **more) -> dict:
     return {
         "name": "n1",
         "listen": "127.0.0.1:1",
@@ -98,7 +98,7 @@
         self.discovery = Listener(self.loop, ("127.0.0.1", 0), self._discovery)
         if not serve:
             return
-        document = told(self.relay.address, self.discovery.address, **more)
+        document = make_configuration(self.relay.address, self.discovery.address, **more)
         self.config = config.parse(document, {})._replace(listen=("127.0.0.1", 0))
         self.service = Service(self.loop, self.config, lambda event, **fields: self.logged.append((event, fields)))
         self.address = self.service.listener.address
@@ -169,7 +169,7 @@
         return lines, groups, withdrawn
 
     def until(self, condition) -> None:
-        until(self.loop, condition)
+        run_until(self.loop, condition)
 
     def start(self, *proxies: int) -> None:
         self.until(lambda: self.service.ready)
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -10,7 +10,7 @@
 from driftshed.coordination.taking_part import take_part
 from driftshed.core.hub import Refused
 from driftshed.core.instance import Instance
-from driftshed.core.messages import ListedServer, RosterNews
+from driftshed.core.messages import ListedServer, RosterUpdate
 from driftshed.lab.virtual import Seat
 from driftshed.policy import document as policies
 from driftshed.policy.change import TOPIC, Change, everywhere_within, read_change
@@ -83,7 +83,7 @@
         agent.on_record = lambda record: (previous(record), self.saw[name, id(agent), record.topic].append(record))
         self.agents[name], self.seats[name] = agent, seat
         self.all.append(agent)
-        service.hear_roster(RosterNews(1, True, [self._server(k) for k in range(6)]))
+        service.apply_roster_update(RosterUpdate(1, True, [self._server(k) for k in range(6)]))
         apply = instance.hub.apply
 
         def record_orders(orders: list, now: float) -> None:
@@ -97,7 +97,7 @@
         def change_roster() -> None:  # so that there is always something to order
             version[0] += 1
             state = "ready" if version[0] % 2 else "gone"
-            service.hear_roster(RosterNews(version[0], False, [self._server(9, state, 1e5 + version[0])]))
+            service.apply_roster_update(RosterUpdate(version[0], False, [self._server(9, state, 1e5 + version[0])]))
             seat.after(0.4, change_roster)
 
         seat.after(0.4, change_roster)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -8,7 +8,7 @@
 from driftshed import interface as face
 from driftshed.adapter import loop
 from driftshed.adapter.codec import EVENTS, BadInput, decode_batch, encode_reply, read_facts
-from tests.helpers import FACTS, World
+from tests.helpers import FACTS, SimulatedFleet
 
 BATCH = bytes.fromhex(
     "5a5c800000000000 03000000 0501 20000000 03000000 01000000 0a124a07931f 0e000000 40420f00 00 7abc0000 01 0000e040"
@@ -117,21 +117,21 @@
 
 
 def test_a_restart_starts_from_nothing_and_a_fault_stays_with_its_instance(monkeypatch):
-    host, start = loop.Host(), face.Start(1, World().facts)
+    host, start = loop.InstanceHost(), face.Start(1, SimulatedFleet().facts)
     listing = face.Listing(1, face.CACHED, ())
-    first = host.play(1.0, [(1, start), (1, listing), (2, start), (2, listing)])
+    first = host.handle_batch(1.0, [(1, start), (1, listing), (2, start), (2, listing)])
     assert {instance for instance, _ in first} == {1, 2}
     old = host.brains[1]
-    host.play(2.0, [(1, face.Left(3)), (1, face.Killed()), (1, start), (1, listing)])
+    host.handle_batch(2.0, [(1, face.Left(3)), (1, face.Killed()), (1, start), (1, listing)])
     assert host.brains[1] is not old
     with pytest.raises(BadInput):
-        host.play(3.0, [(2, face.Killed())])
-        host.play(4.0, [(2, face.Left(3))])
+        host.handle_batch(3.0, [(2, face.Killed())])
+        host.handle_batch(4.0, [(2, face.Left(3))])
 
     def broken(now, events):
         raise ZeroDivisionError("worn out")
 
     monkeypatch.setattr(host.brains[1], "handle", broken)
-    ((instance, order),) = host.play(5.0, [(1, face.Left(3))])
+    ((instance, order),) = host.handle_batch(5.0, [(1, face.Left(3))])
     assert instance == 1 and isinstance(order, face.Fault) and "worn out" in order.text
-    assert host.play(6.0, [(1, face.Left(3))]) == []
+    assert host.handle_batch(6.0, [(1, face.Left(3))]) == []
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,10 +8,9 @@
 
 from driftshed import interface as face
 from driftshed.adapter.codec import encode_reply
-from driftshed.adapter.loop import Host
+from driftshed.adapter.loop import InstanceHost
 from driftshed.brain import Brain
 from driftshed.core.channel import Channel, Message
-from driftshed.core.holding import fold, lines_of
 from driftshed.core.hub import MAX_LOGGED_MESSAGES, Hub, Refused
 from driftshed.core.instance import Instance
 from driftshed.core.messages import (
@@ -21,17 +20,18 @@
     ListedServer,
     Out,
     Report,
-    RosterNews,
+    RosterUpdate,
     ServerReport,
     Use,
     server_id,
     server_name,
 )
+from driftshed.core.proxy_state import fold, lines_of
 from driftshed.core.sums import Sums
 from driftshed.proxy.tables import Tables
-from tests.helpers import World, server
+from tests.helpers import SimulatedFleet, server
 
-FACTS = World().facts._replace(kinds=("standard",))
+FACTS = SimulatedFleet().facts._replace(kinds=("standard",))
 CHANGES_DECODER = msgspec.json.Decoder(Changes)
 
 
@@ -54,7 +54,7 @@
 
     def poll(self, hub: Hub, now: float, lost: bool = False) -> list:
         applied = hub.ack(self.record, self.version, now)
-        body = hub.news(self.record)
+        body = hub.update_body(self.record)
         if body is not None and not lost:
             changes = CHANGES_DECODER.decode(body)
             assert changes.since == self.version < changes.version
@@ -158,13 +158,13 @@
 
 def test_one_changed_line_of_many_is_a_small_delta():
     hub, (model_proxy,) = hub_with()
-    full_length = len(hub.news(model_proxy.record))
-    assert model_proxy.poll(hub, 1e6) == [face.Applied(1, 0, 1e6)] and hub.news(model_proxy.record) is None
+    full_length = len(hub.update_body(model_proxy.record))
+    assert model_proxy.poll(hub, 1e6) == [face.Applied(1, 0, 1e6)] and hub.update_body(model_proxy.record) is None
     hub.apply([face.SetLine(bytes([10, 0, 0, 7, 31, 64]), 0.5, 0), face.Mark(False, 2)], 2e6)
     hub.release(3e6)
-    update = CHANGES_DECODER.decode(hub.news(model_proxy.record))
+    update = CHANGES_DECODER.decode(hub.update_body(model_proxy.record))
     assert not update.whole and len(update.changes) == 1 and update.changes[0].weight == 0.5
-    assert len(hub.news(model_proxy.record)) < full_length / 20
+    assert len(hub.update_body(model_proxy.record)) < full_length / 20
 
 
 def test_a_full_snapshot_is_sent_if_the_delta_is_longer_or_no_longer_kept():
@@ -172,7 +172,7 @@
     for k in range(MAX_LOGGED_MESSAGES + 5):
         hub.apply([face.SetLine(bytes([10, 0, 0, k % 4, 31, 64]), 1 + k / 100, 0)], 2e6 + k)
         hub.release(3e6 + k)
-    update = CHANGES_DECODER.decode(hub.news(model_proxy.record))
+    update = CHANGES_DECODER.decode(hub.update_body(model_proxy.record))
     assert update.whole and len(update.changes) == 4 + 3
     fold(model_proxy.held, update.changes, update.whole)
     assert len(lines_of(model_proxy.held, 0)) == 4
@@ -204,7 +204,7 @@
     for k in range(3):  # more changes than lines held in the end
         hub.apply([face.SetLine(bytes([10, 0, 0, n, 31, 64]), 0.0 if k == 2 else 1 + k / 8, 0) for n in range(3)], 2e6)
     hub.release(3e6)
-    update = CHANGES_DECODER.decode(hub.news(model_proxy.record))
+    update = CHANGES_DECODER.decode(hub.update_body(model_proxy.record))
     assert not update.whole
     tables.take(update, 0.0)
     assert tables.lines(0) == 0
@@ -218,7 +218,7 @@
     hub.leave(0)
     hub.apply([face.SetLine(server(9), 0.0, 0)], 4e6)  # it drains while no proxy is joined
     model_proxy.join(hub)
-    assert model_proxy.poll(hub, 5e6) == [] and hub.news(model_proxy.record) is None
+    assert model_proxy.poll(hub, 5e6) == [] and hub.update_body(model_proxy.record) is None
     hub.apply([face.UseTable(0, 0, 0)], 5e6)
     hub.release(6e6)
     model_proxy.poll(hub, 6e6)
@@ -302,9 +302,11 @@
     assert server_name(server_id("10.1.2.3:8000")) == "10.1.2.3:8000"
 
 
-def news(version: int, whole: bool, *numbers: int, state: str = "ready", started: float | None = None) -> RosterNews:
+def roster_update(
+    version: int, whole: bool, *numbers: int, state: str = "ready", started: float | None = None
+) -> RosterUpdate:
     zones = ("east", "west")
-    return RosterNews(
+    return RosterUpdate(
         version, whole, [ListedServer(f"10.0.0.{n}:80", zones[n % 2], FACTS.kinds[0], state, started) for n in numbers]
     )
 
@@ -316,18 +318,24 @@
 def test_a_roster_update_that_does_not_follow_or_names_unknown_values_changes_nothing():
     instance = make_instance()
     with pytest.raises(Refused, match="send the whole list"):
-        instance.hear_roster(news(5, False, 1))
-    instance.hear_roster(news(5, True, 1, 2))
-    odd = news(6, False, 3, state="odd")
-    for bad, why in ((news(7, False, 3), "does not follow"), (news(6, False, 3, 3), "twice"), (odd, "state")):
+        instance.apply_roster_update(roster_update(5, False, 1))
+    instance.apply_roster_update(roster_update(5, True, 1, 2))
+    odd = roster_update(6, False, 3, state="odd")
+    for bad, why in (
+        (roster_update(7, False, 3), "does not follow"),
+        (roster_update(6, False, 3, 3), "twice"),
+        (odd, "state"),
+    ):
         with pytest.raises(Refused, match=why):
-            instance.hear_roster(bad)
-    assert instance.roster.version == 5 and len(instance.roster.entries) == 2 and len(instance.news) == 1
-    instance.hear_roster(news(6, False, 2, state="gone"))
+            instance.apply_roster_update(bad)
+    assert instance.roster.version == 5 and len(instance.roster.entries) == 2 and len(instance.pending_events) == 1
+    instance.apply_roster_update(roster_update(6, False, 2, state="gone"))
     assert len(instance.roster.entries) == 1
 
 
-def play(instance: Instance, seconds: float, model_proxies: list[ModelProxy], broken: set = frozenset()) -> None:
+def run_instance(
+    instance: Instance, seconds: float, model_proxies: list[ModelProxy], broken: set = frozenset()
+) -> None:
     """Proxies poll and report every 0.1 s for so many seconds."""
     start = round(instance.recent_batches[-1][0] if instance.recent_batches else 0.0, 3)
     for k in range(1, int(seconds * 10) + 1):
@@ -345,7 +353,7 @@
 
 def joined_instance(proxies: int = 4, **more) -> tuple[Instance, list[ModelProxy]]:
     instance = make_instance(**more)
-    instance.hear_roster(news(1, True, *range(1, 10)))
+    instance.apply_roster_update(roster_update(1, True, *range(1, 10)))
     model_proxies = [ModelProxy(n) for n in range(proxies)]
     for n, model_proxy in enumerate(model_proxies):
         model_proxy.record, _ = instance.join(n, Join(("east", "west")[n % 2], 5.0), 0.0)
@@ -356,11 +364,11 @@
 
 def test_a_withdrawal_of_the_module_is_published_and_its_reason_kept():
     instance, model_proxies = joined_instance()
-    play(instance, 4.0, model_proxies)
-    play(instance, 5.0, model_proxies, broken={"10.0.0.3:80"})
+    run_instance(instance, 4.0, model_proxies)
+    run_instance(instance, 5.0, model_proxies, broken={"10.0.0.3:80"})
     assert "10.0.0.3:80" in instance.hub.out
     assert all("10.0.0.3:80" not in lines_of(model_proxy.held, 0) for model_proxy in model_proxies)
-    assert "erred" in instance.why["10.0.0.3:80"][1]
+    assert "erred" in instance.server_reasons["10.0.0.3:80"][1]
 
 
 def test_a_module_that_raises_is_reported_with_its_events_and_restarted_while_proxies_keep_their_tables():
@@ -376,12 +384,12 @@
     instance, model_proxies = joined_instance(brain=Faulty)
     faults = []
     instance.on_fault = faults.append
-    play(instance, 1.9, model_proxies)
+    run_instance(instance, 1.9, model_proxies)
     before = [dict(model_proxy.held) for model_proxy in model_proxies]
     instance.turn(2.1)
-    assert len(faults) == 1 and "KeyError" in faults[0].error and faults[0].turns[-1][0] == 2.1
+    assert len(faults) == 1 and "KeyError" in faults[0].error and faults[0].event_batches[-1][0] == 2.1
     assert [model_proxy.held for model_proxy in model_proxies] == before and not instance.hub.tables
-    play(instance, 3.0, model_proxies)
+    run_instance(instance, 3.0, model_proxies)
     assert all(len(lines_of(model_proxy.held, 0)) == 9 for model_proxy in model_proxies) and instance.faults == 1
 
 
@@ -390,13 +398,13 @@
     recorded = []
     instance.on_turn = lambda now, events, orders: recorded.append((now, list(events), list(orders)))
     instance.brain = Brain(instance.facts, 7, 0.1)
-    instance.news = [instance.roster.told(), *(face.Joined(n % 2, True, n, 5.0) for n in range(4))]
+    instance.pending_events = [instance.roster.snapshot(), *(face.Joined(n % 2, True, n, 5.0) for n in range(4))]
     instance.hub.restart()
-    play(instance, 12.0, model_proxies, broken={"10.0.0.5:80"})
-    host, kinds = Host(), set()
+    run_instance(instance, 12.0, model_proxies, broken={"10.0.0.5:80"})
+    host, kinds = InstanceHost(), set()
     recorded[0][1].insert(0, face.Start(7, instance.facts))
     for now, events, orders in recorded:
-        answered = host.play(now, [(0, event) for event in events])
+        answered = host.handle_batch(now, [(0, event) for event in events])
         assert encode_reply(answered) == encode_reply([(0, order) for order in orders])
         kinds |= {type(order) for order in orders}
     assert {face.SetLine, face.Withdraw, face.UseTable, face.SetLevel, face.Mark} <= kinds and len(recorded) > 50
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from driftshed.node.relay import Channel, OrderQueue
 from tests.helpers import FACTS
 from tests.platforms import HEAD, KINDS, Platform, chunk, nested, roster_update, server_entry
-from tests.test_net import until
+from tests.test_net import run_until
 
 
 def put(number: int) -> dict:
@@ -47,7 +47,7 @@
     platform.service.reconfigure(moved_to(platform, other))  # while the call is outstanding
     platform.service.reconfigure(platform.config)
     platform.until(lambda: not platform.service.host.orders.waiting)
-    until(platform.loop, lambda: len(platform.watches) >= 6)
+    run_until(platform.loop, lambda: len(platform.watches) >= 6)
     platform.join(1)
     platform.until(lambda: 1 in platform.applied_state()[1])
     assert platform.service.orders.address == platform.relay.address and not other.applied
@@ -96,7 +96,7 @@
     platform.notify(
         synced_watches[0], "SUBSCRIBE", id=5, site="east", rps=2.0, new=True
     )  # before the third relay has synced
-    platform.until(lambda: 5 in platform.service.host.joins.held)
+    platform.until(lambda: 5 in platform.service.host.join_state.joined)
     silent.close()
 
 
@@ -138,7 +138,7 @@
 
 def test_a_proxy_that_rejoined_unseen_without_a_table_is_bound_again(platform):
     platform.start(0, 1)
-    platform.until(lambda: set(platform.service.host.joins.last_mark) == {0, 1})
+    platform.until(lambda: set(platform.service.host.join_state.last_mark) == {0, 1})
     attached = sum(op["do"] == "attach" for ops in platform.applied for op in ops)
     platform.proxies[1] = True  # while both connections are down it left and rejoined without a table
     for stream in platform.watches:
@@ -230,7 +230,7 @@
     assert host.channel.lines(now) > 0 and host.channel.messages(now) == 1
     platform.join(3)
     platform.until(lambda: 3 in platform.applied_state()[1])
-    assert host.brain.cap < cap and host.brain.message_cap == messages - 1
+    assert host.brain.queue_cap < cap and host.brain.message_cap == messages - 1
     gone = now + platform.config.facts.message_span + 1
     assert host.channel.lines(gone) == 0 and host.channel.messages(gone) == 0
 
@@ -265,8 +265,8 @@
     platform.answers_marks = False
     platform.join(2)
     platform.until(lambda: 2 in platform.applied_state()[1] and not host.orders.waiting)
-    waiting = host.brain._waiting()
-    host.brain._hear_left = None  # raises when called
+    waiting = host.brain.waiting_lines()
+    host.brain._handle_left = None  # raises when called
     platform.notify_all("CLOSED", id=1)
     platform.until(lambda: host.faults == 1 and platform.applied_state()[1].get(0, 0) > 0)
     assert waiting > 0 and host.channel.rows[0][1] == waiting and host.channel.messages(platform.loop.clock()) >= 1
@@ -339,7 +339,7 @@
     platform.call_faults = ["silent", "before"]
     platform.join(2)
     platform.until(lambda: len(platform.call_faults) < 2)
-    host.brain._hear_left = None  # raises when called, once the call is complete
+    host.brain._handle_left = None  # raises when called, once the call is complete
     platform.notify_all("CLOSED", id=1)
     del platform.proxies[1]
     platform.until(lambda: host.faults == 1)
@@ -368,11 +368,11 @@
 
     link = links.Link(loop, Random(1), listener.address, lambda: None, lambda data: None, lambda reason: None)
     for closes in range(1, 9):
-        until(loop, lambda: len(accepted) >= closes and link.connected)  # noqa: B023
+        run_until(loop, lambda: len(accepted) >= closes and link.connected)  # noqa: B023
         end = time.monotonic() + 0.06
-        until(loop, lambda: time.monotonic() > end)  # noqa: B023
+        run_until(loop, lambda: time.monotonic() > end)  # noqa: B023
         accepted[-1].abort("idle")
-        until(loop, lambda: not link.connected)
+        run_until(loop, lambda: not link.connected)
         assert link.backoff <= links.MIN_BACKOFF_S
     link.close(), listener.close(), loop.close()
 
@@ -389,7 +389,7 @@
     platform.until(lambda: platform.service.host.roster.entries[b"s-1"].state == face.DRAINING)
     assert len(platform.lists) == before + 1  # the list was requested again once
     assert any(event == "list_entries_skipped" for event, _ in platform.logged)
-    platform.until(lambda: not platform.service.host.brain.line[platform.service.host.brain.place[b"s-1"]])
+    platform.until(lambda: not platform.service.host.brain.line_weight[platform.service.host.brain.slot_of[b"s-1"]])
 
 
 def _accept_watch(platform: Platform, stream: Stream, first_chunk: bytes) -> None:
@@ -484,7 +484,7 @@
     last = max([3, *(line["version"] for line in lines if line)])
     platform.until(lambda: roster.version == last)
     platform.join(1)
-    platform.until(lambda: 1 in platform.service.host.joins.held and not platform.service.host.news)
+    platform.until(lambda: 1 in platform.service.host.join_state.joined and not platform.service.host.pending_events)
     assert platform.service.host.faults == 0 and len(platform.lists) == 1
 
 
--- a/tests/test_crossings_loop.py
+++ b/tests/test_crossings_loop.py
@@ -11,7 +11,7 @@
 from driftshed.net.loop import READ, Loop
 from driftshed.net.stream import Stream, dial
 from tests.platforms import free_port
-from tests.test_net import until
+from tests.test_net import run_until
 
 
 @pytest.fixture
@@ -43,7 +43,7 @@
     busy.on_data, awaited.on_data = slow, lambda data: order.append("data")
     first.sendall(b"x")
     loop.after(0.03, lambda: order.append("timer"))
-    until(loop, lambda: len(order) == 2)
+    run_until(loop, lambda: len(order) == 2)
     assert order == ["data", "timer"]
 
 
@@ -61,7 +61,7 @@
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGUSR2)
     try:
-        until(loop, lambda: received)
+        run_until(loop, lambda: received)
     finally:
         signal.signal(signal.SIGUSR1, before[0]), signal.signal(signal.SIGUSR2, before[1])
     assert received == [signal.SIGUSR2] and len(errors) == 1
@@ -111,7 +111,7 @@
     stream.on_end = lambda reason: (ended.append(reason), stream.write(b"more"), stream.abort("again"))
     stream.on_data = lambda data: (end.close(), [stream.write(b"x" * 30_000) for _ in range(10)])
     end.sendall(b"go")
-    until(loop, lambda: ended)
+    run_until(loop, lambda: ended)
     assert len(ended) == 1 and stream.sock is None and not loop.selector.get_map()
 
 
@@ -121,7 +121,7 @@
         stream = dial(loop, ("127.0.0.1", free_port()))
         stream.on_end = ended.append
         stream.write(b"early")
-    until(loop, lambda: len(ended) == 3)
+    run_until(loop, lambda: len(ended) == 3)
     loop.watch(loop_end := socket.socketpair()[0], READ, lambda _: None)
     loop.watch(loop_end, 0, None)
     assert ended == ["refused"] * 3
--- a/tests/test_crossings_peers.py
+++ b/tests/test_crossings_peers.py
@@ -7,20 +7,20 @@
 
 from driftshed import interface as face
 from driftshed.node.collectors import NACK, PONG
-from driftshed.node.resp import message
+from driftshed.node.resp import encode_message
 from tests.helpers import FACTS
 from tests.platforms import HEAD, KINDS, Platform, chunk, nested, roster_update, server_entry
-from tests.test_net import Raw
+from tests.test_net import RawConnection
 
 # ---- incoming connections --------------------------------------------------------------------------------------------
 
 
 def test_a_flood_does_not_shut_out_a_collector_whose_join_is_unread(platform):
     platform.start(0)
-    collector = Raw(platform.loop, platform.address)
-    collector.sock.sendall(message("SOURCE", "site", "east") + message("PING"))
+    collector = RawConnection(platform.loop, platform.address)
+    collector.sock.sendall(encode_message("SOURCE", "site", "east") + encode_message("PING"))
     flood = [
-        Raw(platform.loop, platform.address) for _ in range(60)
+        RawConnection(platform.loop, platform.address) for _ in range(60)
     ]  # all queued in the kernel before the first is accepted
     platform.until(lambda: len(platform.service.unknown_peers) > 20)
     platform.until(lambda: collector.read() or collector.ended)
@@ -36,18 +36,18 @@
     settings = nested(FACTS + KINDS) | {"zones": ZONES}
     platform = Platform(settings=settings, limits={"sockets": 256}, known={})
     platform.until(lambda: platform.service.ready)
-    peers = [Raw(platform.loop, platform.address) for _ in ZONES]
+    peers = [RawConnection(platform.loop, platform.address) for _ in ZONES]
     for peer, zone in zip(peers, ZONES, strict=True):
-        peer.sock.sendall(message("SOURCE", "site", zone) + message("PING"))
+        peer.sock.sendall(encode_message("SOURCE", "site", zone) + encode_message("PING"))
     platform.until(lambda: all((peer.read() or peer.ended) for peer in peers))
     assert not any(peer.ended for peer in peers) and len(platform.service.collectors) == len(ZONES)
     # A collector that reconnects replaces the one that has been silent longest, not one that reports.
     silent, *others = peers[7], *peers[:7], *peers[8:]
     for peer in others:
-        peer.sock.sendall(message("PING"))
+        peer.sock.sendall(encode_message("PING"))
     platform.until(lambda: all(peer.read() == PONG * 2 for peer in others))
-    rejoined = Raw(platform.loop, platform.address)
-    rejoined.sock.sendall(message("SOURCE", "site", ZONES[7]) + message("PING"))
+    rejoined = RawConnection(platform.loop, platform.address)
+    rejoined.sock.sendall(encode_message("SOURCE", "site", ZONES[7]) + encode_message("PING"))
     platform.until(lambda: rejoined.read() == PONG and (silent.read(), silent.ended)[1])
     assert not any((peer.read(), peer.ended)[1] for peer in others)
     for peer in [*peers, rejoined]:
@@ -58,10 +58,10 @@
 def test_pongs_are_held_back_until_ready_and_then_all_sent():
     platform = Platform()
     platform.service.discovery.link.close()
-    valid, malformed = Raw(platform.loop, platform.address), Raw(platform.loop, platform.address)
-    pings = message("PING") * 3
+    valid, malformed = RawConnection(platform.loop, platform.address), RawConnection(platform.loop, platform.address)
+    pings = encode_message("PING") * 3
     valid.sock.sendall(pings[:20])
-    malformed.sock.sendall(message("PING") + b"?")
+    malformed.sock.sendall(encode_message("PING") + b"?")
     platform.until(lambda: (malformed.read(), malformed.ended)[1])
     assert malformed.got == NACK and not platform.service.ready
     valid.sock.sendall(pings[20:])
@@ -85,12 +85,12 @@
 def test_a_collector_that_ends_unusually_keeps_its_reports_and_is_forgotten(platform, how):
     platform.start(0)
     received = []
-    take = platform.service.host.take
-    platform.service.host.take = lambda events: (received.extend(events), take(events))
-    report = message("RATE", "id", "0", "lane", "look", "count", "5", "fail", "0", "over", "1000")
-    peers = [Raw(platform.loop, platform.address) for _ in range(2 if how == "comes twice" else 1)]
+    take = platform.service.host.add_events
+    platform.service.host.add_events = lambda events: (received.extend(events), take(events))
+    report = encode_message("RATE", "id", "0", "lane", "look", "count", "5", "fail", "0", "over", "1000")
+    peers = [RawConnection(platform.loop, platform.address) for _ in range(2 if how == "comes twice" else 1)]
     for peer in peers:
-        peer.sock.sendall(message("SOURCE", "site", "west") + report)
+        peer.sock.sendall(encode_message("SOURCE", "site", "west") + report)
     platform.until(lambda: len([e for e in received if isinstance(e, face.Demand)]) == len(peers))
     if how == "comes twice":
         assert len(platform.service.collectors) == 2  # both are accepted: it is unknown which is the old one
@@ -128,13 +128,13 @@
     platform.discovery.on_stream = lambda stream: setattr(
         stream, "on_data", lambda data: snapshot and stream.write(HEAD + snapshot)
     )
-    peer = Raw(platform.loop, platform.address)
-    peer.sock.sendall(message("PING"))
+    peer = RawConnection(platform.loop, platform.address)
+    peer.sock.sendall(encode_message("PING"))
     platform.until(lambda: peer.read() == PONG)
     assert platform.service.ready
     if servers:  # proxies that joined before are bound
         platform.until(lambda: set(platform.applied_state()[1]) == set(proxies))
-    platform.until(lambda: set(platform.service.host.joins.held) == set(proxies))
+    platform.until(lambda: set(platform.service.host.join_state.joined) == set(proxies))
     assert platform.service.host.faults == 0
     peer.sock.close()
     platform.close()
@@ -150,12 +150,12 @@
     platform = Platform(settings=settings, known={})
     platform.until(lambda: platform.service.ready)
     received = []
-    take = platform.service.host.take
-    platform.service.host.take = lambda events: (received.extend(events), take(events))
-    peer = Raw(platform.loop, platform.address)
-    peer.sock.sendall(message("SOURCE", "site", "Zürich West"))
+    take = platform.service.host.add_events
+    platform.service.host.add_events = lambda events: (received.extend(events), take(events))
+    peer = RawConnection(platform.loop, platform.address)
+    peer.sock.sendall(encode_message("SOURCE", "site", "Zürich West"))
     for lane in ("look up, now", "取引"):
-        peer.sock.sendall(message("RATE", "id", "0", "lane", lane, "count", "5", "fail", "0", "over", "1000"))
+        peer.sock.sendall(encode_message("RATE", "id", "0", "lane", lane, "count", "5", "fail", "0", "over", "1000"))
     platform.until(lambda: [e.operation for e in received if isinstance(e, face.Demand)] == [0, 1])
     op = platform.service.host.codec.encode_order(face.SetLevel(0, 0.5, 3, 1), 0)
     assert op["classes"] == ["look up, now", "取引"]
--- a/tests/test_crossings_process.py
+++ b/tests/test_crossings_process.py
@@ -10,9 +10,9 @@
 import msgspec
 import pytest
 
-from driftshed.node.resp import message
-from tests.platforms import Platform, format_address, free_port, told
-from tests.test_net import until
+from driftshed.node.resp import encode_message
+from tests.platforms import Platform, format_address, free_port, make_configuration
+from tests.test_net import run_until
 
 # ---- the process -----------------------------------------------------------------------------------------------------
 
@@ -22,7 +22,7 @@
 
     def __init__(self, folder, platform: Platform, **more) -> None:
         self.file = folder / "config.json"
-        self.document = told(platform.relay.address, platform.discovery.address) | more
+        self.document = make_configuration(platform.relay.address, platform.discovery.address) | more
         self.document["listen"] = f"127.0.0.1:{free_port()}"
         self.environment = {**os.environ, "LB_CONFIG": str(self.file)}
         self.environment.pop("LB_LISTEN", None)
@@ -57,7 +57,7 @@
     time.sleep(0.3)
     assert process.poll() is None
     program.file.write_bytes(document)  # without a further signal
-    until(other.loop, lambda: len(other.watches) >= 2)
+    run_until(other.loop, lambda: len(other.watches) >= 2)
     assert b"configuration_unusable" in program.terminate()
     first.close()
 
@@ -85,7 +85,7 @@
     os.write(pipe, program.text())
     os.close(pipe)
     if signal.SIGTERM not in numbers:
-        until(other.loop, lambda: len(other.watches) >= 2)
+        run_until(other.loop, lambda: len(other.watches) >= 2)
         program.terminate()
     stderr = process.communicate(timeout=20)[1] or b""
     assert process.returncode == 0 and b"Traceback" not in stderr
@@ -108,7 +108,7 @@
         address = program.document["listen"].split(":")
         for _ in range(20):
             peers.append(socket.create_connection((address[0], int(address[1]))))
-            peers[-1].sendall(message("SOURCE", "site", "east") + b"*3\r\n$4\r\nLO")
+            peers[-1].sendall(encode_message("SOURCE", "site", "east") + b"*3\r\n$4\r\nLO")
     process.send_signal(signal.SIGHUP)
     program.terminate()
     began = time.monotonic()
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from driftshed.cli import main
-from driftshed.core.messages import Changes, Level, Line, ListedServer, Out, RosterNews, Use, encode
+from driftshed.core.messages import Changes, Level, Line, ListedServer, Out, RosterUpdate, Use, encode_json
 from driftshed.day.judge import judge
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, WORK, Opened, Passed, read_record
 from driftshed.day.script import known_scripts, load_script
@@ -96,14 +96,16 @@
 
     def told(self, at: float, *changes, waited: float = 0.0, lines: int = 0) -> None:
         self.version += 1
-        body = encode(Changes("run", self.version - 1, self.version, False, list(changes), waited, lines))
+        body = encode_json(Changes("run", self.version - 1, self.version, False, list(changes), waited, lines))
         self.exchange(self.poll_on, at, "GET", "/v1/proxies/0/changes?stream=s", b"", at, answer=body)
 
     def roster(self, at: float, whole: bool, *rows) -> None:
         connection = self.open(ROSTER, f"127.{NET}.0.1", f"127.{NET}.0.3:7001")
         self.roster_version += 1
         listed = [ListedServer(name, "east", "standard", state, started) for name, state, started in rows]
-        self.exchange(connection, at, "POST", "/v1/roster", encode(RosterNews(self.roster_version, whole, listed)), at)
+        self.exchange(
+            connection, at, "POST", "/v1/roster", encode_json(RosterUpdate(self.roster_version, whole, listed)), at
+        )
 
     def work(self, server, at: float, operation: str, inv: int, work=0.05, status=200, answered=0.05, by=PROXY, **more):
         connection = self.open(WORK, by, server)
--- a/tests/test_day_fleet.py
+++ b/tests/test_day_fleet.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from driftshed.cli import main
-from driftshed.core.messages import Changes, JoinAnswer, Line, ListedServer, RosterNews, encode
+from driftshed.core.messages import Changes, JoinAnswer, Line, ListedServer, RosterUpdate, encode_json
 from driftshed.day.accord import RULES
 from driftshed.day.command import day
 from driftshed.day.drawn import draw, shrunk, with_drawn, without
@@ -84,12 +84,12 @@
     def list_to_second(self, at: float, *rows) -> None:
         connection = self.open(ROSTER, f"127.{NET}.0.1", f"127.{NET}.0.41:7001")
         listed = [ListedServer(name, "east", "standard", state, started) for name, state, started in rows]
-        body = encode(RosterNews(1, False, listed))
+        body = encode_json(RosterUpdate(1, False, listed))
         Record.exchange(self, connection, at, "POST", "/v1/roster", body, at)
 
 
 def joined(stream: str) -> bytes:
-    return encode(JoinAnswer("run", stream, 0, [], 5.0, 0.5))
+    return encode_json(JoinAnswer("run", stream, 0, [], 5.0, 0.5))
 
 
 @pytest.mark.parametrize(("second", "names"), [(False, {}), (True, {"drains": 1})])
@@ -114,7 +114,7 @@
     connection = record.open(CONTROL, other, there)
     path = "/v1/proxies/1/join?term=1"
     Record.exchange(record, connection, 0.5, "POST", path, b"{}", 0.5, answer=joined("t"))
-    body = encode(Changes("run", 0, 1, True, [Line(0, A, 0.1)], 0.0, 0))
+    body = encode_json(Changes("run", 0, 1, True, [Line(0, A, 0.1)], 0.0, 0))
     Record.exchange(record, connection, 3.1, "GET", "/v1/proxies/1/changes?stream=t", b"", 3.1, answer=body)
     for k in range(20):  # each proxy sends half: one alone does not exceed the bound
         record.work(A, 3.2 + k * 0.05, "look", k, work=0.13)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -10,20 +10,20 @@
     WITHDRAWAL_DURATION_S,
     Brain,
 )
-from tests.helpers import FACTS, World, server
+from tests.helpers import FACTS, SimulatedFleet, server
 
 
-def report_all(world: World, sick=(), **symptom) -> None:
+def report_all(world: SimulatedFleet, sick=(), **symptom) -> None:
     for name in [name for name, (state, _) in world.states.items() if state == face.READY]:
         world.report(name, **(symptom if name in sick else {}))
 
 
-def withdrawals(world: World) -> list:
+def withdrawals(world: SimulatedFleet) -> list:
     return [(at, order.server) for at, order in world.order_log if isinstance(order, face.Withdraw) and order.on]
 
 
 def test_lasting_complaints_of_two_zones_withdraw_and_the_server_returns_in_steps():
-    world, sick = World(), {server(3)}
+    world, sick = SimulatedFleet(), {server(3)}
     world.run(4, report_all)
     world.run(COMPLAINT_MIN_AGE_S - 1, lambda w: report_all(w, sick, errored=5))
     assert world.is_usable(server(3))
@@ -38,14 +38,14 @@
 
 
 def test_a_server_that_answers_nothing_is_withdrawn_in_half_the_time():
-    world = World()
+    world = SimulatedFleet()
     world.run(4, report_all)
     world.run(COMPLAINT_MIN_AGE_S / 2 + 2, lambda w: report_all(w, {server(3)}, errored=10, latency=None))
     assert not world.is_usable(server(3))
 
 
 def test_one_zone_alone_never_withdraws_and_latency_counts_against_the_baseline():
-    world = World()
+    world = SimulatedFleet()
     world.run(4, report_all)
     world.run(20, lambda w: (report_all(w), w.report(server(1), errored=10, zones=(1,)))[0])
     assert not withdrawals(world)
@@ -55,7 +55,7 @@
 
 def test_caps_hold_when_many_fail_and_a_fleet_wide_fault_withdraws_no_server():
     for servers, most in ((9, 2), (5, 1)):
-        world, outs = World(servers=servers), []
+        world, outs = SimulatedFleet(servers=servers), []
         sick = {server(n) for n in range((servers - 1) // 2)}
         world.run(
             60,
@@ -68,14 +68,14 @@
             sum(at <= other < at + WITHDRAWAL_BUDGET_WINDOW_S for other in times) <= WITHDRAWAL_BUDGET for at in times
         )
     for symptom in ({"errored": 10, "latency": None}, {"latency": 1.2}):
-        world = World()
+        world = SimulatedFleet()
         world.run(4, report_all)
         world.run(30, lambda w, symptom=symptom: report_all(w, set(w.states), **symptom))
         assert not withdrawals(world)
 
 
 def test_weights_follow_latency_within_half_to_double_and_only_changes_are_sent():
-    world = World(extra="weightSource=off\n")
+    world = SimulatedFleet(extra="weightSource=off\n")
     world.run(60, lambda w: report_all(w, {server(0)}, latency=0.15))
     assert 0.5 <= world.lines[server(0)] / world.lines[server(1)] <= 0.6
     lines = [order.server for _, order in world.order_log if isinstance(order, face.SetLine)]
@@ -83,7 +83,7 @@
 
 
 def test_where_weights_are_listed_a_factor_rests_at_the_latency_ratio():
-    world = World()
+    world = SimulatedFleet()
     world.run(60, lambda w: report_all(w, {server(0)}, latency=0.15))
     assert 0.6 <= world.lines[server(0)] / world.lines[server(1)] <= 0.75
     world.run(60, report_all)
@@ -92,7 +92,7 @@
 
 def test_a_server_that_fails_fast_or_never_answers_loses_weight_in_the_solve():
     for symptom in ({"errored": 5, "latency": 0.01}, {"errored": 10, "latency": None}):
-        world = World()
+        world = SimulatedFleet()
         world.run(8, lambda w, symptom=symptom: report_all(w, {server(0)}, **symptom))
         assert world.lines[server(0)] < 0.9 * world.lines[server(1)]
 
@@ -111,5 +111,5 @@
         # A proxy does not receive all 60 servers: its table is one part.
         orders = brain.handle(105.0, [face.Joined(0, True, 0, 5.0)])
         part = next(order.table for order in orders if isinstance(order, face.UseTable))
-        assert sum(brain.part[i] == part and brain.line[i] > 0 for i in range(len(brain.ids))) < 20
+        assert sum(brain.part[i] == part and brain.line_weight[i] > 0 for i in range(len(brain.server_ids))) < 20
     assert len(parts[0]) > 2 and parts[0] == parts[1] == parts[2]
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -12,7 +12,7 @@
 from driftshed import interface as face
 from driftshed.brain import VIEW_WINDOW_S, Brain
 from driftshed.figures import median
-from tests.helpers import World, server
+from tests.helpers import SimulatedFleet, server
 from tests.test_rules import Judge
 
 FLEET, REPLACED_PER_BATCH, EVER_LISTED = 40, 10, 20_000  # servers
@@ -86,7 +86,7 @@
     late, large = fleet.run(EVER_LISTED), size_of(fleet.brain)
     assert (large - small) / (EVER_LISTED - EVER_LISTED // 20) < BYTES_PER_SERVER / 100, (small, large)
     assert late <= early * 1.1, (early, late)
-    assert len(fleet.brain.ids) <= 2 * FLEET + REPLACED_PER_BATCH
+    assert len(fleet.brain.server_ids) <= 2 * FLEET + REPLACED_PER_BATCH
 
 
 def test_a_reused_slot_holds_no_state_and_gets_no_reports_of_the_former_server():
@@ -94,25 +94,25 @@
     brain = fleet.brain
     fleet.run(4 * FLEET)
     former = name(0)
-    assert former not in brain.place and len(brain.ids) < fleet.listed_count
+    assert former not in brain.slot_of and len(brain.server_ids) < fleet.listed_count
     before = [
         [list(row) for row in brain.solve_sample],
         [list(row) for row in brain.strain_sample],
         list(brain.utilisation),
     ]
     counts = [[len(reports) for reports in zone] for zone in brain.reports]
-    brain._hear_heard(face.Heard(12, former, 12, 0.5, 0, None, None))
+    brain._handle_heard(face.Heard(12, former, 12, 0.5, 0, None, None))
     assert before == [brain.solve_sample, brain.strain_sample, brain.utilisation]
     assert counts == [[len(reports) for reports in zone] for zone in brain.reports]
-    for server_id, i in brain.place.items():
-        assert brain.ids[i] == server_id  # each slot has one server
-    assert len(set(brain.place.values())) == len(brain.place)
+    for server_id, i in brain.slot_of.items():
+        assert brain.server_ids[i] == server_id  # each slot has one server
+    assert len(set(brain.slot_of.values())) == len(brain.slot_of)
 
 
 def test_a_server_that_returns_soon_keeps_its_factor_and_one_long_gone_is_forgotten():
-    world = World()
+    world = SimulatedFleet()
     world.run(10, lambda w: [w.report(each, 0.3 if each == server(3) else 0.1) for each in w.states])
-    learnt = world.brain.factor[world.brain.place[server(3)]]
+    learnt = world.brain.factor[world.brain.slot_of[server(3)]]
     assert learnt < 0.95
     world.list_server(server(3), face.GONE)
     world.run(1)
@@ -120,28 +120,28 @@
     world.run(1)
     world.list_server(server(3), face.READY)
     world.run(1)
-    assert world.brain.factor[world.brain.place[server(3)]] == pytest.approx(learnt, rel=0.2)
-    place = world.brain.place[server(3)]
+    assert world.brain.factor[world.brain.slot_of[server(3)]] == pytest.approx(learnt, rel=0.2)
+    place = world.brain.slot_of[server(3)]
     world.list_server(server(3), face.GONE)
     for n in range(20, 60):
         world.list_server(server(n), face.READY, world.now)
         world.list_server(server(n), face.GONE)
         world.run(1)
-    assert server(3) not in world.brain.place
-    assert world.brain.ids[place] != server(3)
+    assert server(3) not in world.brain.slot_of
+    assert world.brain.server_ids[place] != server(3)
 
 
 def test_an_entry_for_an_unknown_server_that_is_gone_allocates_no_slot():
-    world = World()
-    known = len(world.brain.ids)
+    world = SimulatedFleet()
+    known = len(world.brain.server_ids)
     world.list_server(server(77), face.GONE)
     world.run(1)
-    assert len(world.brain.ids) == known
+    assert len(world.brain.server_ids) == known
 
 
 def test_a_slot_with_a_present_line_is_not_reused():
     """Otherwise the line would pass to the new server, and the line of the former one would never be removed."""
-    world = World()
+    world = SimulatedFleet()
     for n in range(8):
         world.states[server(n)] = face.GONE, None
         world.states[server(n + 20)] = face.READY, None
@@ -155,10 +155,10 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_the_rules_hold_while_slots_are_reused(seed):
     """A reused slot with a present line would leave a line to the former server for ever."""
-    world, chance = World(seed=seed), Random(seed)
+    world, chance = SimulatedFleet(seed=seed), Random(seed)
     judge, newest = Judge(world), iter(range(20, 256))
 
-    def replace(w: World) -> None:
+    def replace(w: SimulatedFleet) -> None:
         ready = [each for each, (state, _) in w.states.items() if state == face.READY]
         for each in ready:
             w.report(each, 0.1, chance.choice([0, 0, 0, 10]))
@@ -169,7 +169,7 @@
                 w.list_server(server(n), face.READY, w.now - 30)
 
     world.run(120, replace, judge.check)
-    assert len(world.brain.ids) < 40
+    assert len(world.brain.server_ids) < 40
     left = {each for table in world.tables.values() for each in table}
     assert left == {each for each, (state, _) in world.states.items() if state == face.READY}
 
