--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -82,10 +82,10 @@
     net.loop.run(1.0)
     ((at, answer),) = net.answers
     assert (at, answer.status, answer.body, answer.headers[b"x-seen"]) == (0.04, 200, b"hello", b"yes")
-    assert net.received == [(pytest.approx(0.03), "/a", "b=1")] and not answer.kept
+    assert net.received == [(pytest.approx(0.03), "/a", "b=1")] and not answer.reused_connection
     net.call()
     net.loop.run(2.0)
-    assert net.answers[1][0] == pytest.approx(1.02) and net.answers[1][1].kept
+    assert net.answers[1][0] == pytest.approx(1.02) and net.answers[1][1].reused_connection
 
 
 def test_nobody_listening_refuses_and_a_dead_server_resets():
@@ -172,7 +172,7 @@
     machine = Machine(cores, 1.0, room=10**6, connections=10**6)
     server = ServerStandin(seat, ("s", 1), machine, seed, transport=network.transport("s"))
     server.start(cold=False)
-    client = network.transport("c").client(seat, ("s", 1), idle_most=10**6)
+    client = network.transport("c").client(seat, ("s", 1), max_idle=10**6)
     mean, latencies, sent = 0.1, [], [0]
 
     def arrive():
@@ -242,7 +242,7 @@
         self.seat = Seat(self.loop, "all")
         self.server = ServerStandin(self.seat, ("s", 1), machine, 1, transport=self.network.transport("s"))
         self.server.start(cold)
-        self.client = self.network.transport("c").client(self.seat, ("s", 1), idle_most=1000)
+        self.client = self.network.transport("c").client(self.seat, ("s", 1), max_idle=1000)
         self.results = []
 
     def call(self, query="work=0.1", within=10.0, extra="", operation="x"):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,12 +7,12 @@
 import pytest
 
 from driftshed.net.http import Bounds, HttpClient, HttpServer
-from driftshed.net.loop import DEAD_TIMERS, Loop
+from driftshed.net.loop import MAX_CANCELLED_TIMERS, Loop
 
 CONDITION_TIMEOUT_S = 10.0  # a condition that is not met by then fails the test
 
 
-def until(loop: Loop, condition, bound: float = CONDITION_TIMEOUT_S) -> None:
+def run_until(loop: Loop, condition, bound: float = CONDITION_TIMEOUT_S) -> None:
     end = time.monotonic() + bound
     while not condition():
         assert time.monotonic() < end, "the condition was not met in time"
@@ -20,7 +20,7 @@
         loop.turn(end)
 
 
-class Raw:
+class RawConnection:
     """A peer that sends and receives raw bytes."""
 
     def __init__(self, loop: Loop, address) -> None:
@@ -55,14 +55,14 @@
     for k in (3, 1, 2):
         loop.after(k / 100, lambda k=k: called.append(k))
     loop.after(0.015, lambda: called.append("cancelled")).cancel()
-    until(loop, lambda: len(called) >= 3)
+    run_until(loop, lambda: len(called) >= 3)
     assert called == [1, 2, 3]
 
 
 def test_cancelled_timers_do_not_accumulate(loop):
-    for _ in range(50 * DEAD_TIMERS):
+    for _ in range(50 * MAX_CANCELLED_TIMERS):
         loop.after(1000, lambda: None).cancel()
-    assert len(loop.timers) <= 2 * DEAD_TIMERS + 1
+    assert len(loop.timers) <= 2 * MAX_CANCELLED_TIMERS + 1
 
 
 def test_an_exception_of_a_callback_is_reported_and_the_loop_continues(loop):
@@ -70,23 +70,23 @@
     loop.on_error = errors.append
     loop.after(0, lambda: 1 / 0)
     loop.after(0.01, lambda: called.append(1))
-    until(loop, lambda: called)
+    run_until(loop, lambda: called)
     assert isinstance(errors[0], ZeroDivisionError)
 
 
 def test_pipelined_requests_are_answered_in_order_though_the_first_takes_longest(loop):
     waiting = []
     server = serve(loop, waiting.append)
-    raw = Raw(loop, server.address)
+    raw = RawConnection(loop, server.address)
     raw.sock.sendall(b"".join(b"GET /p%d HTTP/1.1\r\n\r\n" % k for k in range(3)))
-    until(loop, lambda: waiting)
+    run_until(loop, lambda: waiting)
     loop.after(0.05, lambda: None)
     loop.turn()
     assert [request.path for request in waiting] == ["/p0"]  # one at a time
     for k in range(3):
-        until(loop, lambda k=k: len(waiting) > k)
+        run_until(loop, lambda k=k: len(waiting) > k)
         waiting[k].answer(200, waiting[k].path.encode())
-    until(loop, lambda: b"/p2" in raw.read())
+    run_until(loop, lambda: b"/p2" in raw.read())
     assert raw.got.index(b"/p0") < raw.got.index(b"/p1") < raw.got.index(b"/p2")
 
 
@@ -103,17 +103,17 @@
 )
 def test_a_malformed_request_is_rejected_without_effect_on_other_connections(loop, sent, status):
     server = serve(loop, header_bytes=1000, body_bytes=1000, request_timeout=0.2)
-    raw, other = Raw(loop, server.address), Raw(loop, server.address)
+    raw, other = RawConnection(loop, server.address), RawConnection(loop, server.address)
     raw.sock.sendall(sent)
-    until(loop, lambda: raw.read() and raw.ended)
+    run_until(loop, lambda: raw.read() and raw.ended)
     assert raw.got.startswith(b"HTTP/1.1 " + status)
     other.sock.sendall(b"GET /well HTTP/1.1\r\n\r\n")
-    until(loop, lambda: b"/well" in other.read())
+    run_until(loop, lambda: b"/well" in other.read())
 
 
 def test_a_peer_that_does_not_read_is_dropped_not_buffered(loop):
     server = serve(loop, lambda request: request.answer(200, b"x" * 200_000), out_bytes=300_000)
-    raw = Raw(loop, server.address)
+    raw = RawConnection(loop, server.address)
     ended = []
     server.on_connection_end = lambda connection, reason: ended.append(reason)
     raw.sock.setblocking(True)
@@ -124,22 +124,22 @@
             loop.after(0.005, ask)
 
     ask()
-    until(loop, lambda: ended)
+    run_until(loop, lambda: ended)
     assert ended == ["stuck"]
 
 
 def test_connections_over_the_limit_are_answered_with_503(loop):
     server = serve(loop, connections=2)
-    held = [Raw(loop, server.address) for _ in range(2)]
-    until(loop, lambda: len(server.connections) == 2)
-    third = Raw(loop, server.address)
-    until(loop, lambda: third.read() and third.ended)
+    held = [RawConnection(loop, server.address) for _ in range(2)]
+    run_until(loop, lambda: len(server.connections) == 2)
+    third = RawConnection(loop, server.address)
+    run_until(loop, lambda: third.read() and third.ended)
     assert third.got.startswith(b"HTTP/1.1 503") and b"retry-after" in third.got
     held[0].sock.close()
-    until(loop, lambda: len(server.connections) == 1)
-    fourth = Raw(loop, server.address)
+    run_until(loop, lambda: len(server.connections) == 1)
+    fourth = RawConnection(loop, server.address)
     fourth.sock.sendall(b"GET /in HTTP/1.1\r\n\r\n")
-    until(loop, lambda: b"/in" in fourth.read())
+    run_until(loop, lambda: b"/in" in fourth.read())
 
 
 def test_idle_connections_end_and_a_request_is_notified_when_its_peer_is_gone(loop):
@@ -150,13 +150,13 @@
         request.on_gone = lambda: gone.append(request)
 
     server = serve(loop, handle, idle_for=0.2)
-    idle, leaver = Raw(loop, server.address), Raw(loop, server.address)
+    idle, leaver = RawConnection(loop, server.address), RawConnection(loop, server.address)
     leaver.sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    until(loop, lambda: asked)
+    run_until(loop, lambda: asked)
     leaver.sock.close()
-    until(loop, lambda: gone)
+    run_until(loop, lambda: gone)
     asked[0].answer(200, b"too late")  # has no effect
-    until(loop, lambda: idle.read() == b"" and idle.ended)
+    run_until(loop, lambda: idle.read() == b"" and idle.ended)
 
 
 def test_a_client_distinguishes_never_sent_from_perhaps_sent(loop):
@@ -168,7 +168,7 @@
     for name, address in (("refused", free.getsockname()), ("reset", server.address), ("late", unresponsive.address)):
         client = HttpClient(loop, address)
         client.call("POST", "/", b"{}", lambda answer, name=name: answers.update({name: answer}), 0.3)
-    until(loop, lambda: len(answers) == 3)
+    run_until(loop, lambda: len(answers) == 3)
     free.close()
     assert {name: (answer.error, answer.sent) for name, answer in answers.items()} == {
         "refused": ("refused", False),
@@ -182,5 +182,5 @@
     client = HttpClient(loop, server.address)
     for k in range(5):
         client.call("GET", f"/{k}", b"", answers.append, 5.0)
-        until(loop, lambda k=k: len(answers) > k)
+        run_until(loop, lambda k=k: len(answers) > k)
     assert [answer.body for answer in answers] == [b"/%d" % k for k in range(5)] and len(server.connections) == 1
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -125,7 +125,7 @@
         for event in events:
             if isinstance(event, face.Joined):
                 joined_at[event.proxy] = now
-    assert sorted(joins.held) == sorted(relay.since)
+    assert sorted(joins.joined) == sorted(relay.since)
     for proxy, since in relay.since.items():
         if announced_since.get(proxy) == since:  # reported by a connection, so it must have reached the module
             assert joined_at[proxy] >= since, (proxy, since, joined_at[proxy])
@@ -165,11 +165,11 @@
     first, _ = synced_reader(joins, 0.0, line("ping"))
     second, _ = synced_reader(joins, 0.0, line("ping"))
     assert len(first.feed(line("SUBSCRIBE", 1), 1.0)) == 1
-    assert second.reconcile() == [] and 1 in joins.held  # it has sent nothing since and may itself be cut off
+    assert second.reconcile() == [] and 1 in joins.joined  # it has sent nothing since and may itself be cut off
     second.feed(line("ping"), 1.5)
     assert second.reconcile() == []
     second.feed(line("ping"), 1.1 + MAX_LAG_S)
-    assert second.reconcile() == [face.Left(1)] and not joins.held
+    assert second.reconcile() == [face.Left(1)] and not joins.joined
 
 
 def test_events_before_a_malformed_line_are_delivered():
@@ -177,4 +177,4 @@
     reader, _ = synced_reader(joins, 0.0, line("ping"))
     with pytest.raises(ProtocolError) as raised:
         reader.feed(line("SUBSCRIBE", 2) + b"?\n" + line("SUBSCRIBE", 3), 1.0)
-    assert [event.proxy for event in raised.value.args[1]] == [2] and sorted(joins.held) == [2]
+    assert [event.proxy for event in raised.value.args[1]] == [2] and sorted(joins.joined) == [2]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,18 +29,29 @@
     OrderQueue,
     ProtocolError,
 )
-from driftshed.node.resp import MAX_MESSAGE_BYTES, FramingError, Reader, message
+from driftshed.node.resp import MAX_MESSAGE_BYTES, FramingError, Reader, encode_message
 from driftshed.node.service import JOIN_TIMEOUT_S
 from tests.helpers import FACTS
-from tests.platforms import CODEC, HEAD, KINDS, Platform, chunk, free_port, nested, roster_update, server_entry, told
-from tests.test_net import Raw
+from tests.platforms import (
+    CODEC,
+    HEAD,
+    KINDS,
+    Platform,
+    chunk,
+    free_port,
+    make_configuration,
+    nested,
+    roster_update,
+    server_entry,
+)
+from tests.test_net import RawConnection
 
 # ---- configuration --------------------------------------------------------------------------------------------
 
 
 def test_settings_of_both_forms_give_the_same_facts():
     text = FACTS + KINDS + "lanes.count=3\n"
-    assert config.parse(told(), {}).facts == read_facts(text)
+    assert config.parse(make_configuration(), {}).facts == read_facts(text)
     assert read_facts(text).zones == ("east", "west") and len(read_facts(text).operations) == 3
 
 
@@ -58,7 +69,7 @@
 )
 def test_an_invalid_configuration_is_refused_with_the_reason(overrides, expected):
     with pytest.raises(BadInput, match=expected):
-        config.parse(told(**overrides), {})
+        config.parse(make_configuration(**overrides), {})
 
 
 # ---- framing --------------------------------------------------------------------------------------------------
@@ -97,7 +108,7 @@
 )
 def test_malformed_framing_is_detected_at_once(data):
     reader = Reader()
-    good = message("PING")
+    good = encode_message("PING")
     with pytest.raises(FramingError) as raised:
         reader.feed(good + data)
     assert raised.value.args[1] == [[b"PING"]]
@@ -170,16 +181,16 @@
             for parts in (good, report_parts("LOAD", fields), report_parts("RATE", {"id": "99", "lane": "pay"}), good)
         ),
     ]
-    events, answer, over = peer.feed(b"".join(message(*text) for text in texts))
+    events, answer, over = peer.feed(b"".join(encode_message(*text) for text in texts))
     assert len(events) == 2 and not answer and not over and sum(dropped.values()) == 2
 
 
 def test_an_unjoined_peer_gets_a_nack_and_a_ping_gets_a_pong():
     for text in (("LOAD", "site", "east"), ("SOURCE", "site", "north"), ("SUBSCRIBE", "id", "1"), ("put",)):
-        _, answer, over = Peer(CODEC, lambda name: True, Counter()).feed(message("PING") + message(*text))
+        _, answer, over = Peer(CODEC, lambda name: True, Counter()).feed(encode_message("PING") + encode_message(*text))
         assert answer == PONG + NACK and over
     peer = Peer(CODEC, lambda name: True, Counter())
-    assert peer.feed(message("SOURCE", "site", "east") + message("PING"))[1:] == (PONG, False)
+    assert peer.feed(encode_message("SOURCE", "site", "east") + encode_message("PING"))[1:] == (PONG, False)
     assert peer.feed(b"garbage")[1:] == (b"", True)  # a collector is sent nothing but PONG
 
 
@@ -188,7 +199,7 @@
     peer = Peer(CODEC, lambda name: True, Counter())
     assert peer.feed(long)[1:] == (NACK, True) and len(peer.reader.buffer) < 100_000
     peer = Peer(CODEC, lambda name: True, Counter())
-    peer.feed(message("SOURCE", "site", "east"))
+    peer.feed(encode_message("SOURCE", "site", "east"))
     assert peer.feed(long)[1:] == (b"", False)
 
 
@@ -319,7 +330,7 @@
     ]
     again = new_reader(joins)
     assert feed_notifications(again, ("SUBSCRIBE", 2), ("SUBSCRIBE", 3)) == [("Joined", 3)]
-    assert feed_notifications(again, ("ping",)) == [("Left", 1)] and sorted(joins.held) == [2, 3]
+    assert feed_notifications(again, ("ping",)) == [("Left", 1)] and sorted(joins.joined) == [2, 3]
 
 
 def test_two_connections_yield_each_event_once_whatever_their_lag():
@@ -340,7 +351,7 @@
             k = random.choice([k for k in (0, 1) if pending[k]])
             received += feed_notifications(watchers[k], pending[k].pop(0))
         expected = [("Joined" if kind == "SUBSCRIBE" else "Left", proxy) for kind, proxy in events]
-        assert received == expected and sorted(joins.held) == [p for p in joined if joined[p]]
+        assert received == expected and sorted(joins.joined) == [p for p in joined if joined[p]]
 
 
 def test_answers_count_once_and_only_from_joined_proxies():
@@ -416,7 +427,10 @@
     lines, groups, _ = platform.applied_state()
     brain = platform.service.host.brain
     assert {groups[proxy] for proxy in groups} == {0}
-    assert lines[0] == {brain.ids[i].decode(): w for i, w in enumerate(brain.line) if w} and len(lines[0]) == 6
+    assert (
+        lines[0] == {brain.server_ids[i].decode(): w for i, w in enumerate(brain.line_weight) if w}
+        and len(lines[0]) == 6
+    )
     orders = platform.service.host.orders
     # Each call with an unknown result was repeated, unless an answer to its mark proved it meanwhile.
     assert orders.repeats + orders.proved == (0 if fault == "few" else 2 - len(platform.call_faults))
@@ -427,11 +441,11 @@
     platform.start(0, 1)
     platform.watches[0].abort("broken")
     platform.notify_all("CLOSED", id=1)
-    platform.until(lambda: 1 not in platform.service.host.joins.held)
+    platform.until(lambda: 1 not in platform.service.host.join_state.joined)
     for stream in platform.watches:
         stream.abort("broken")
     platform.proxies = {0: True, 2: True}  # changed without a notification
-    platform.until(lambda: sorted(platform.service.host.joins.held) == [0, 2])
+    platform.until(lambda: sorted(platform.service.host.join_state.joined) == [0, 2])
     platform.until(lambda: 2 in platform.applied_state()[1])
 
 
@@ -444,7 +458,7 @@
     platform.until(lambda: not platform.call_faults)
     orders.enqueue([{"do": "attach", "id": 1, "group": 0}, {"do": "put", "group": 0, "target": "s-2", "rps": 1.0}])
     platform.join(1)
-    platform.until(lambda: 1 in platform.service.host.joins.held)
+    platform.until(lambda: 1 in platform.service.host.join_state.joined)
     del platform.proxies[1]
     platform.notify_all("CLOSED", id=1)
     platform.until(lambda: not orders.waiting)
@@ -472,7 +486,7 @@
         return len(other.watches) == 2 and len(other.lists) == 1 and not any(stream.sock for stream in old)
 
     platform.until(moved)
-    assert sorted(platform.service.host.joins.held) == [0, 1]
+    assert sorted(platform.service.host.join_state.joined) == [0, 1]
     assert sum(op["do"] == "attach" for ops in platform.applied + other.applied for op in ops) == attached
     other.close()
 
@@ -481,7 +495,7 @@
     platform.start(0, 1)
     host = platform.service.host
     host.withdrawn.add(b"s-5")
-    host.brain._hear_left = None  # raises when called
+    host.brain._handle_left = None  # raises when called
     platform.notify_all("CLOSED", id=1)
     platform.until(lambda: host.faults == 1 and platform.applied_state()[1].get(0, 0) > 0)
     lines, groups, withdrawn = platform.applied_state()
@@ -492,11 +506,11 @@
 def test_unknown_peers_are_refused_and_never_keep_a_collector_out(platform):
     platform.start(0)
     loop, address = platform.loop, platform.address
-    unknown_peers = [Raw(loop, address) for _ in range(60)]
+    unknown_peers = [RawConnection(loop, address) for _ in range(60)]
     unknown_peers[0].sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
     unknown_peers[1].sock.sendall(b"*3\r\n$5\r\nhal")
-    collector = Raw(loop, address)
-    collector.sock.sendall(message("SOURCE", "site", "east") + message("PING"))
+    collector = RawConnection(loop, address)
+    collector.sock.sendall(encode_message("SOURCE", "site", "east") + encode_message("PING"))
     platform.until(lambda: collector.read() == PONG)
     platform.until(lambda: (unknown_peers[0].read(), unknown_peers[0].ended)[1])
     assert unknown_peers[0].got == NACK
@@ -509,9 +523,9 @@
 
 def test_an_unready_supervisor_sends_no_pong():
     platform = Platform()
-    peer = Raw(platform.loop, platform.address)
+    peer = RawConnection(platform.loop, platform.address)
     platform.service.discovery.link.close()
-    peer.sock.sendall(message("PING"))
+    peer.sock.sendall(encode_message("PING"))
     platform.until(lambda: any(each.pinged for each in platform.service.unknown_peers.values()))
     assert peer.read() == b"" and not platform.service.ready
     platform.until(lambda: peer.read() == PONG)  # without discovery it becomes ready after a timeout
@@ -522,7 +536,7 @@
 def test_the_program_starts_and_ends_as_the_platform_does_it(tmp_path):
     platform = Platform(serve=False)
     file = tmp_path / "config.json"
-    document = told(platform.relay.address, platform.discovery.address)
+    document = make_configuration(platform.relay.address, platform.discovery.address)
     environment = {**os.environ, "LB_CONFIG": str(file), "LB_NAME": "n1"}
 
     def start(**more):
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -16,7 +16,7 @@
 from driftshed.node import config
 from driftshed.node.codec import InvalidMessage, PlatformCodec
 from driftshed.node.discovery import Roster
-from tests.platforms import server_entry, told
+from tests.platforms import make_configuration, server_entry
 
 NAMES = st.text(min_size=1, max_size=12)
 AMOUNTS = st.one_of(
@@ -32,7 +32,7 @@
 PATHS = [path for path, *_ in START_FACTS]
 
 
-def try_configuration(document: object) -> config.Told | str:
+def try_configuration(document: object) -> config.SupervisorOptions | str:
     """The parsed configuration, or the message with which the supervisor exits. With any configuration that is accepted
     the module must handle a list, joins, reports and timers."""
     try:
@@ -73,7 +73,7 @@
 @example([("invariants.askWithinUs", "\n")])
 @example([("invariants.tipMultiple", 1.7e-205)])
 def test_any_value_is_a_usable_fact_or_a_plain_message(changes):
-    document = deepcopy(told())
+    document = deepcopy(make_configuration())
     for path, value in changes:
         set_path(document["settings"], path, value)
     try_configuration(document)
@@ -97,7 +97,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(LANE, max_size=20), st.lists(NAMES, max_size=5), st.lists(NAMES, max_size=3))
 def test_any_operations_zones_and_kinds_are_usable_or_refused_plainly(lanes, zones, kinds):
-    document = deepcopy(told())
+    document = deepcopy(make_configuration())
     document["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
     document["known"] = {}
     try_configuration(document)
@@ -124,12 +124,12 @@
     st.lists(NAMES, min_size=1, max_size=4, unique=True),
 )
 def test_odd_but_legal_names_and_classes_are_served_under_the_names_they_have(lanes, names, zones, kinds):
-    document = deepcopy(told())
+    document = deepcopy(make_configuration())
     lanes = [lane | {"name": name} for lane, name in zip(lanes, names, strict=False)]
     document["settings"] |= {"lanes": lanes, "zones": zones, "hostTypes": kinds}
     document["known"] = {}
     parsed = try_configuration(document)
-    assert isinstance(parsed, config.Told), parsed
+    assert isinstance(parsed, config.SupervisorOptions), parsed
     codec = PlatformCodec(parsed.facts, 0.0, parsed.names)
     for place, zone in enumerate(zones):
         assert codec.zones[zone] == place
@@ -141,7 +141,7 @@
 
 
 def test_a_load_field_of_the_deployments_own_costs_no_report():
-    document = deepcopy(told())
+    document = deepcopy(make_configuration())
     document["settings"]["report"]["fields"] = ["cpu_share", "x0"]
     parsed = try_configuration(document)
     codec = PlatformCodec(parsed.facts, 0.0, parsed.names)
@@ -167,7 +167,7 @@
     ],
 )
 def test_a_refusal_names_the_field(overrides, expected):
-    document = deepcopy(told())
+    document = deepcopy(make_configuration())
     document["settings"] |= overrides
     refusal = try_configuration(document)
     assert isinstance(refusal, str) and expected in refusal
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,9 +12,9 @@
 from driftshed import interface as face
 from driftshed.brain import Brain
 from driftshed.coordination.agent import Agent
-from driftshed.core.carrying import CannotCarry, carried
 from driftshed.core.instance import Instance
 from driftshed.core.messages import JoinAnswer
+from driftshed.core.migration import CannotMigrate, migrate
 from driftshed.day.rigged import take_out
 from driftshed.policy import document as policies
 from driftshed.policy import part
@@ -237,7 +237,7 @@
         now = step * 0.1
         events = random_events(random, now, step > 0)
         if step % 37 == 5:
-            other = carried(other, FACTS, FACTS)
+            other = migrate(other, FACTS, FACTS)
         assert one.handle(now, events) == other.handle(now, events), step
 
 
@@ -247,17 +247,29 @@
         brain.handle(step * 0.1, random_events(random, step * 0.1, step > 0))
     slower = FACTS.operations[0]._replace(latency_objective=0.7)
     new = FACTS._replace(queue_cap=3000.0, drain_grace=4.0, operations=(slower,))
-    switched, fresh = carried(brain, FACTS, new), Brain(new, 1, 0.0)
-    assert (switched.cap, switched.round_lines, switched.objectives) == (fresh.cap, fresh.round_lines, fresh.objectives)
-    assert switched.factor is brain.factor and switched.line is brain.line and switched.line is switched.array[12]
-    assert switched.random is brain.random and switched.floor == brain.floor and switched.patience == fresh.patience
+    switched, fresh = migrate(brain, FACTS, new), Brain(new, 1, 0.0)
+    assert (switched.queue_cap, switched.round_lines, switched.objectives) == (
+        fresh.queue_cap,
+        fresh.round_lines,
+        fresh.objectives,
+    )
+    assert (
+        switched.factor is brain.factor
+        and switched.line_weight is brain.line_weight
+        and switched.line_weight is switched.server_arrays[12]
+    )
+    assert (
+        switched.random is brain.random
+        and switched.lowest_latency == brain.lowest_latency
+        and switched.answer_timeout == fresh.answer_timeout
+    )
     for bad in (
         FACTS._replace(zones=("east",)),
         FACTS._replace(report_period=0.7),
         FACTS._replace(operations=FACTS.operations * 2),
     ):
-        with pytest.raises(CannotCarry, match="holds from a start"):
-            carried(brain, FACTS, bad)
+        with pytest.raises(CannotMigrate, match="holds from a start"):
+            migrate(brain, FACTS, bad)
 
 
 class Rows:
@@ -276,11 +288,11 @@
     writer, random, instance = Rows(), Random(3), Instance(FACTS, 3, "run", 0.0)
     Recording(instance, writer)
     for step in range(120):
-        instance.news += random_events(random, step * 0.1, step > 0)
+        instance.pending_events += random_events(random, step * 0.1, step > 0)
         instance.turn(step * 0.1)
         if step == 50:
             instance.switch(FACTS._replace(queue_cap=400.0, drain_grace=4.0), 1, step * 0.1)
-    assert instance.facts.queue_cap == 400 == instance.brain.cap
+    assert instance.facts.queue_cap == 400 == instance.brain.queue_cap
     replay = Replay()
     for kind, row in writer.rows:
         if not (lost and kind == "switch"):
@@ -290,14 +302,14 @@
 
 def test_frozen_orders_are_sent_later_in_order_except_for_lines_that_ended():
     instance, frozen = Instance(FACTS, 1, "run", 0.0), [True]
-    instance.still = lambda: frozen[0]
+    instance.tables_frozen = lambda: frozen[0]
     one, two = (bytes([127, 0, 0, k, 31, 64]) for k in (1, 2))
     orders = [face.SetLine(one, 1.0, 0), face.SetLine(two, 1.0, 0), face.UseTable(0, 0, 5)]
-    assert instance._let_through(orders) == []
-    assert instance._let_through([face.SetLine(one, 0.0, 0)]) == [face.SetLine(one, 0.0, 0)]
+    assert instance._publishable_orders(orders) == []
+    assert instance._publishable_orders([face.SetLine(one, 0.0, 0)]) == [face.SetLine(one, 0.0, 0)]
     frozen[0] = False
     more = [face.SetLine(two, 0.5, 0)]
-    assert instance._let_through(more) == [*orders[1:], *more] and instance._let_through([]) == []
+    assert instance._publishable_orders(more) == [*orders[1:], *more] and instance._publishable_orders([]) == []
 
 
 # ---- fleets in virtual time --------------------------------------------------------------------------------------
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -38,7 +38,7 @@
 )
 from driftshed.proxy.tables import ChangesRejected, Tables
 from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
-from tests.test_net import Raw, until
+from tests.test_net import RawConnection, run_until
 from tests.test_service import ServiceRig
 
 # ---- picks ----------------------------------------------------------------------------------------------------------
@@ -345,7 +345,7 @@
 
     def get(self, *args, **more):
         answers = self.send(*args, **more)
-        until(self.loop, lambda: answers)
+        run_until(self.loop, lambda: answers)
         return answers[0]
 
     def close(self) -> None:
@@ -412,7 +412,7 @@
     rig.behaviours = ["leaves look", "leaves look"]
     waiting = rig.send("look")
     assert [rig.get("post").status for _ in range(20)] == [200] * 20
-    until(rig.loop, lambda: waiting)
+    run_until(rig.loop, lambda: waiting)
     assert waiting[0].status == 504
 
 
@@ -458,16 +458,16 @@
 def test_a_drain_completes_what_is_under_way_and_starts_nothing_more(rig):
     rig.behaviours = ["hold", "hold"]
     answers = [rig.send("look") for _ in range(6)]
-    until(rig.loop, lambda: len(rig.requests) == 6)
+    run_until(rig.loop, lambda: len(rig.requests) == 6)
     gone = rig.requests[0][0]
     rig.tables.run = "r"
     rig.tables.take(make_changes(0, 1, Use(0, 0), Line(0, rig.names[1 - gone], 1.0), whole=True), 0.0)
     rig.forwarder.close_removed_servers()
     for _, request in list(rig.requests):
         request.answer(200)
-    until(rig.loop, lambda: all(answers))
+    run_until(rig.loop, lambda: all(answers))
     assert all(answer[0].status == 200 for answer in answers)
-    until(rig.loop, lambda: not rig.servers[gone].connections)
+    run_until(rig.loop, lambda: not rig.servers[gone].connections)
     rig.behaviours = ["well", "well"]
     assert {rig.get("look").body for _ in range(10)} == {b"from %d " % (1 - gone)}
 
@@ -476,7 +476,7 @@
     rig = ProxyRig(servers=1, limits=Limits(connections=3, connecting=2))
     rig.behaviours = ["hold"]
     answers = [rig.send("look") for _ in range(10)]
-    until(rig.loop, lambda: sum(map(bool, answers)) >= 7)
+    run_until(rig.loop, lambda: sum(map(bool, answers)) >= 7)
     assert len(rig.servers[0].connections) <= 3
     assert all(answer[0].status == 503 and answer[0].headers[b"x-never-ran"] == b"1" for answer in answers if answer)
     rig.close()
@@ -485,9 +485,9 @@
 def test_a_client_that_disconnects_cancels_its_try(rig):
     rig.behaviours = ["hold", "hold"]
     rig.send("look", within=0.1)
-    until(rig.loop, lambda: rig.requests)
-    until(rig.loop, lambda: not rig.forwarder.under_way)
-    until(rig.loop, lambda: not rig.requests[0][1].connection.server.connections)
+    run_until(rig.loop, lambda: rig.requests)
+    run_until(rig.loop, lambda: not rig.forwarder.under_way)
+    run_until(rig.loop, lambda: not rig.requests[0][1].connection.server.connections)
     assert not rig.forwarder.in_flight
 
 
@@ -504,20 +504,20 @@
     ],
 )
 def test_requests_that_may_be_read_in_two_ways_are_refused_and_the_connection_ends(rig, sent):
-    raw = Raw(rig.loop, rig.forwarder.address)
+    raw = RawConnection(rig.loop, rig.forwarder.address)
     raw.sock.sendall(sent)
-    until(rig.loop, lambda: raw.read() and raw.ended)
+    run_until(rig.loop, lambda: raw.read() and raw.ended)
     assert raw.got.startswith(b"HTTP/1.1 400") and not rig.requests
 
 
 def test_one_byte_at_a_time_and_a_body_cut_short(rig):
-    raw = Raw(rig.loop, rig.forwarder.address)
+    raw = RawConnection(rig.loop, rig.forwarder.address)
     raw.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for byte in b"POST /do/look HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc":
         raw.sock.send(bytes([byte]))
         rig.loop.turn(time.monotonic() + 0.001)
-    until(rig.loop, lambda: b"abc" in raw.read())
-    cut = Raw(rig.loop, rig.forwarder.address)
+    run_until(rig.loop, lambda: b"abc" in raw.read())
+    cut = RawConnection(rig.loop, rig.forwarder.address)
     cut.sock.sendall(b"POST /do/look HTTP/1.1\r\ncontent-length: 30\r\n\r\nabc")
     cut.sock.close()
     rig.loop.turn(time.monotonic() + 0.05)
@@ -577,7 +577,7 @@
     answers: list = []
     for _ in range(5000):
         HttpClient(rig.loop, rig.forwarder.address).call("POST", "/do/look", b"", answers.append, 20.0)
-    until(rig.loop, lambda: len(answers) == 5000, 60.0)
+    run_until(rig.loop, lambda: len(answers) == 5000, 60.0)
     kinds = Counter(answer.status for answer in answers)
     assert kinds[200] > 100 and kinds[200] + kinds[503] == 5000
     rig.close()
@@ -586,14 +586,14 @@
 def test_stopping_answers_what_is_under_way_and_accepts_nothing_new(rig):
     rig.behaviours = ["hold", "hold"]
     answers, done = rig.send("look"), []
-    until(rig.loop, lambda: rig.requests)
+    run_until(rig.loop, lambda: rig.requests)
     rig.forwarder.stop(lambda: done.append(1), 5.0)
     late = []
     HttpClient(rig.loop, rig.forwarder.address).call("POST", "/do/look", b"", late.append, 2.0)
-    until(rig.loop, lambda: late)
+    run_until(rig.loop, lambda: late)
     assert late[0].error == "refused" and not done
     rig.requests[0][1].answer(200)
-    until(rig.loop, lambda: answers and done)
+    run_until(rig.loop, lambda: answers and done)
     assert answers[0].status == 200
 
 
@@ -627,12 +627,12 @@
         port = process.stdout.readline().strip().rpartition(":")[2]
         client = HttpClient(loop, ("127.0.0.1", int(port)))
         client.call("POST", "/do/look", b"", answers.append, 20.0)
-        until(loop, lambda: held)
+        run_until(loop, lambda: held)
         process.send_signal(signal.SIGTERM)
         loop.run(time.monotonic() + 0.3)
         assert not answers and process.poll() is None
         held[0].answer(200, b"in the end", "text/plain")
-        until(loop, lambda: answers)
+        run_until(loop, lambda: answers)
         assert answers[0].body == b"in the end" and process.wait(10) == 0
         assert '"event": "stopped"' in process.stderr.read()
     finally:
@@ -699,28 +699,28 @@
 def test_a_follower_joins_is_put_on_a_table_and_acknowledges(followed):
     followed.push_roster(1, True, 1, 2, 3)
     followed.follow()
-    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 3)
     followed.push_roster(2, False, 2, state="draining")
-    until(followed.loop, lambda: len(followed.tables.servers()) == 2)
-    until(followed.loop, lambda: not followed.instance.hub.records[3].marks)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 2)
+    run_until(followed.loop, lambda: not followed.instance.hub.records[3].marks)
 
 
 def test_a_follower_keeps_its_tables_while_every_supervisor_is_away_and_counts_what_it_drops(followed):
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 3)
     followed.service.http.close()
-    until(followed.loop, lambda: not follower.stream)
+    run_until(followed.loop, lambda: not follower.stream)
     for _ in range(MAX_UNSENT_PERIODS):
         follower.sums.add_try("10.0.0.1:80", 0.1, None)
-    until(followed.loop, lambda: follower.sums.dropped_tries)
+    run_until(followed.loop, lambda: follower.sums.dropped_tries)
     assert len(followed.tables.servers()) == 3 and any(event == "reports_dropped" for event, _ in followed.log_events)
 
 
 def test_a_follower_takes_no_tables_of_other_operations(followed):
     followed.push_roster(1, True, 1, 2, 3)
     followed.follow().sums.operations = ["look"]
-    until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.log_events))
+    run_until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.log_events))
     assert "--operation" in dict(followed.log_events)["turned_down"]["why"] and not followed.tables.held
 
 
@@ -731,21 +731,21 @@
         free.bind(("127.0.0.1", 0))
         closed = free.getsockname()
     followed.follow(closed, silent.address)
-    until(followed.loop, lambda: len(followed.tables.servers()) == 2, 20.0)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 2, 20.0)
     silent.close()
 
 
 def test_a_follower_rejects_invalid_changes_and_requests_a_full_snapshot(followed):
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.tables.servers()) == 3)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 3)
     whole = dict(followed.tables.held)
     answer = type("Answer", (), {"status": 200, "error": ""})()
     answer.body = msgspec.json.encode(Changes("run", 77, 78, False, [Line(0, A, 1.0)]))
     follower.control_client.close()
     follower._handle_poll_answer(answer)
     assert followed.tables.held == whole and follower.rejected_changes == 1
-    until(followed.loop, lambda: follower.stream and followed.tables.version)
+    run_until(followed.loop, lambda: follower.stream and followed.tables.version)
     assert followed.tables.held == whole
 
 
@@ -753,7 +753,7 @@
     followed.push_roster(1, True, 1, 2)
     followed.service.highest_terms[3] = 41
     follower = followed.follow()
-    until(followed.loop, lambda: len(followed.tables.servers()) == 2)
+    run_until(followed.loop, lambda: len(followed.tables.servers()) == 2)
     assert follower.term == 42 and followed.service.highest_terms[3] == 42
 
 
@@ -766,10 +766,10 @@
     follower.poll_wait, follower.poll_grace = 0.3, 0.1
     handle_poll = followed.service._handle_poll
     followed.service._handle_poll = lambda request, proxy: hung.append(request)
-    until(followed.loop, lambda: hung)
+    run_until(followed.loop, lambda: hung)
     assert follower.addresses == [followed.service.address, silent.address] and follower.current == 0
     followed.service._handle_poll = handle_poll
-    until(followed.loop, lambda: follower.current == 1)  # the next one, which does not answer a join either
-    until(followed.loop, lambda: follower.stream, 20.0)
+    run_until(followed.loop, lambda: follower.current == 1)  # the next one, which does not answer a join either
+    run_until(followed.loop, lambda: follower.stream, 20.0)
     assert follower.addresses[follower.current] == followed.service.address
     silent.close()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 from driftshed import interface as face
 from driftshed.brain import Brain
-from tests.helpers import World, server
+from tests.helpers import SimulatedFleet, server
 
 PROVES_SAFE = {"idempotent": 3, "fingerprinted": 2, "side-effecting": 1}
 
@@ -14,7 +14,7 @@
 class Judge:
     """Checks the rules by the simulated servers and proxies and the orders alone, without the state of the module."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedFleet) -> None:
         self.world, self.since = world, {}
 
     def duration(self, rule: str, subject, bad: bool) -> float:
@@ -23,7 +23,7 @@
             self.since.pop((rule, subject), None)
         return self.world.now - self.since.setdefault((rule, subject), self.world.now) if bad else 0.0
 
-    def check(self, world: World) -> None:
+    def check(self, world: SimulatedFleet) -> None:
         facts, slowdown = world.facts, world.facts.lines_per_second / world.channel_rate
         ready = {name: started for name, (state, started) in world.states.items() if state == face.READY}
         age = {name: world.now - started if started else facts.warm_within for name, started in ready.items()}
@@ -53,10 +53,10 @@
 
 @pytest.mark.parametrize(("seed", "servers", "proxies"), SEQUENCES)
 def test_the_module_agrees_with_the_plain_model(seed, servers, proxies):
-    world, chance = World(servers, proxies, f"domain.proxies={proxies}\n", seed=seed), Random(seed)
+    world, chance = SimulatedFleet(servers, proxies, f"domain.proxies={proxies}\n", seed=seed), Random(seed)
     judge, spare = Judge(world), iter(range(50, 256))
 
-    def random_faults(w: World) -> None:
+    def random_faults(w: SimulatedFleet) -> None:
         ready = [name for name, (state, _) in w.states.items() if state == face.READY]
         draw = chance.random()
         if draw < 0.02 and len(ready) > 5:
@@ -82,7 +82,7 @@
 
 
 def test_a_drained_server_loses_its_line_at_once_even_while_answers_are_awaited():
-    world = World()
+    world = SimulatedFleet()
     world.proxies_answer = False
     world.run(1)
     for number, state in enumerate((face.DRAINING, face.GONE)):
@@ -94,7 +94,7 @@
 def test_a_round_ends_once_all_proxies_that_should_answer_it_have_left():
     """When a zone is lost, its proxies leave without an answer. The round must not stay open, or the other proxies are
     left without a line."""
-    world = World(40, 30)
+    world = SimulatedFleet(40, 30)
     world.run(5)
     world.proxies_answer = False
     world.list_server(server(0), face.GONE)
@@ -103,7 +103,7 @@
     leaving = list(world.brain.unanswered)
     world.events += [face.Left(proxy) for proxy in leaving]
     world.run(0.2)
-    assert not world.brain.unanswered and world.brain._waiting() == 0
+    assert not world.brain.unanswered and world.brain.waiting_lines() == 0
     world.proxies_answer = True
     world.events += [face.Joined(0, True, proxy, 3.0) for proxy in leaving]
     world.run(0.5)
@@ -115,7 +115,7 @@
 def test_a_flood_of_joins_leaves_capacity_for_drains():
     """When four of five supervisors are killed in a release, the fifth sends full tables to all their proxies. These
     must not fill the channel up to its cap, or drains in the meantime are sent too late."""
-    world = World(40, 30)
+    world = SimulatedFleet(40, 30)
     world.run(5)
     everyone = list(world.assigned_at)
     world.events += [face.Left(proxy) for proxy in everyone]
@@ -133,7 +133,7 @@
 
 
 def test_a_table_above_the_share_for_joins_is_sent_when_nothing_waits():
-    world = World(200, 2, "domain.queueCap=300\n")
+    world = SimulatedFleet(200, 2, "domain.queueCap=300\n")
     world.run(3)
     assert set(world.brain.held_part) == {0, 1}
 
@@ -141,7 +141,7 @@
 def test_a_withdrawal_counts_where_tables_of_others_may_hold_the_server():
     """Withdrawals also reach joined proxies that wait for their table and must be counted there: 4,409 lines waited
     where the cap was 4,400."""
-    world = World(9, 4)
+    world = SimulatedFleet(9, 4)
     world.run(3)
     brain = world.brain
     world.events += [face.Joined(0, False, proxy, 3.0) for proxy in (4, 5, 6)]
@@ -151,16 +151,16 @@
     del brain._may_message
     users = {0: [0, 1, 2, 3], None: [4, 5, 6]}
     messages: dict = {}
-    brain._select_orders([(-1.0, 0, face.Withdraw(True, server(3)))], users, messages, brain.cap, 1.0, [])
+    brain._select_orders([(-1.0, 0, face.Withdraw(True, server(3)))], users, messages, brain.queue_cap, 1.0, [])
     assert messages == {proxy: brain.message_overhead + 1 for proxy in range(7)}
 
 
 def test_no_answer_is_awaited_where_a_withdrawal_reaches_no_proxy():
     """A withdrawn server drains while a round is under way, so its withdrawal is lifted later, alone, when no table
     holds the server any more. Awaiting an answer to it would block all ordinary orders until the answer times out."""
-    world = World(9, 4)
+    world = SimulatedFleet(9, 4)
 
-    def report_all(world: World, sick=(), errored=0) -> None:
+    def report_all(world: SimulatedFleet, sick=(), errored=0) -> None:
         for name in [name for name, (state, _) in world.states.items() if state == face.READY]:
             world.report(name, errored=errored if name in sick else 0)
 
@@ -178,7 +178,7 @@
 
 
 def test_a_server_missing_from_a_full_list_is_gone():
-    world = World()
+    world = SimulatedFleet()
     del world.states[server(4)]
     world.events.append(face.Listing(2, face.FULL, tuple(map(world.entry, world.states))))
     world.run(0.5)
@@ -186,7 +186,7 @@
 
 
 def test_a_restart_between_two_lists_is_a_cold_server():
-    world = World()
+    world = SimulatedFleet()
     world.run(1)
     world.list_server(server(2), face.READY, world.now - 0.5)
     world.run(1)
@@ -196,7 +196,7 @@
 
 
 def test_a_cold_server_does_not_inherit_the_load_of_a_lost_half_of_the_fleet():
-    world = World()
+    world = SimulatedFleet()
     world.list_server(server(2), face.READY, world.now)
     world.run(8, lambda w: [w.report(name) for name in w.states])
     before, lost = world.lines[server(2)], {server(n) for n in range(3, 9)}
@@ -205,7 +205,7 @@
 
 
 def test_additions_go_out_with_the_removal_of_most_of_a_part_so_that_cold_servers_do_not_get_all_of_it():
-    world = World(servers=6)
+    world = SimulatedFleet(servers=6)
     world.run(2, lambda w: [w.report(name) for name in w.states])
     warming, cold = [server(n) for n in (20, 21)], [server(n) for n in (22, 23, 24, 25)]
     for name in warming + cold:
@@ -223,7 +223,7 @@
 
 def test_a_supervisor_without_reports_keeps_cold_servers_below_their_tip_multiple():
     # With the repeats of clients and proxies, several times the rate that a proxy reports arrives.
-    world = World(servers=3)
+    world = SimulatedFleet(servers=3)
     world.states |= {server(n): (face.READY, world.now - 2) for n in (1, 2)}
     world.brain = Brain(world.facts, 1, world.now)
     world.tables, world.held_table, world.queue = {}, {}, []
@@ -236,7 +236,7 @@
 
 def test_where_proxies_pick_of_two_a_cold_server_is_limited_for_both_draws():
     def cold_server_share(pick: str) -> float:
-        world = World(extra=f"domain.pick={pick}\n")
+        world = SimulatedFleet(extra=f"domain.pick={pick}\n")
         world.run(4, lambda w: [w.report(name) for name in w.states])
         for n in range(3):
             world.list_server(server(n), face.READY, world.now - 10)
@@ -250,7 +250,7 @@
 
 
 def test_a_new_server_begins_with_the_factor_of_its_kind():
-    world = World()
+    world = SimulatedFleet()
     world.run(40, lambda w: [w.report(server(n), 0.4 if n % 2 else 0.1) for n in range(9)])
     world.list_server(server(21), face.READY, world.now - 60)
     world.run(20)
@@ -259,7 +259,7 @@
 
 
 def test_a_withdrawn_server_comes_back_when_it_is_the_last_warm_one():
-    world = World(servers=3)
+    world = SimulatedFleet(servers=3)
     world.run(4, lambda w: [w.report(name) for name in w.states])
     world.run(6, lambda w: [w.report(server(n), errored=0 if n else 10) for n in range(3)])
     assert not world.is_usable(server(0))
@@ -270,7 +270,7 @@
 
 
 def test_a_mass_return_does_not_leave_all_work_with_the_few_that_stayed():
-    world = World()
+    world = SimulatedFleet()
     for n in range(2, 9):
         world.list_server(server(n), face.GONE)
     world.run(1)
@@ -281,7 +281,7 @@
 
 
 def test_ordinary_changes_wait_for_answers_and_a_lost_answer_does_not_block_them_for_ever():
-    world = World()
+    world = SimulatedFleet()
     world.proxies_answer = False
     world.run(30, lambda w: [w.report(server(n), 0.1 + n / 50) for n in range(9)])
     assert not [at for at, order in world.order_log if at > 101 and isinstance(order, face.SetLine) and at < 112]
@@ -289,13 +289,13 @@
 
 
 def test_a_proxy_that_joins_again_is_assigned_a_table_at_once():
-    world = World()
+    world = SimulatedFleet()
     world.events += [face.Left(1), face.Joined(1, False, 1, 4.0)]
     assert face.UseTable(0, 0, 1) in world.handle_events()
 
 
 def test_asking_for_the_list_again_after_a_failure():
-    world = World(extra="registryMode=on_request\n")
+    world = SimulatedFleet(extra="registryMode=on_request\n")
     assert face.Subscribe(True) in [order for _, order in world.order_log]
     world.events.append(face.Listing(1, face.FAILED, ()))
     asked = world.now
@@ -306,26 +306,26 @@
 
 def test_the_same_events_bring_the_same_orders():
     def orders_of_a_run() -> list:
-        world = World(extra="registryMode=on_request\n", seed=5)
+        world = SimulatedFleet(extra="registryMode=on_request\n", seed=5)
         world.run(20, lambda w: w.report(server(1), 0.3, 4))
         return world.order_log
 
     assert orders_of_a_run() == orders_of_a_run()
 
 
-def report_demand(world: World, each: float = 20.0) -> None:
+def report_demand(world: SimulatedFleet, each: float = 20.0) -> None:
     world.events += [face.Demand(round(each * 0.25), p, 0.25, 0, op) for p in world.assigned_at for op in range(3)]
 
 
-def latest_levels(world: World) -> dict:
+def latest_levels(world: SimulatedFleet) -> dict:
     return {order.operations: order for _, order in world.order_log if isinstance(order, face.SetLevel)}
 
 
 @pytest.mark.parametrize("form", ["share", "rate"])
 def test_strain_cuts_tries_first_then_what_is_worth_least_and_eases_back(form):
-    world = World(extra=f"domain.admit={form}\n")
+    world = SimulatedFleet(extra=f"domain.admit={form}\n")
 
-    def strained(w: World, each: float) -> None:
+    def strained(w: SimulatedFleet, each: float) -> None:
         report_demand(w, each)
         for name in w.states:
             w.report(name, 0.6, 2)
@@ -345,13 +345,13 @@
 
 
 def test_silence_is_neither_strain_nor_health():
-    world = World()
+    world = SimulatedFleet()
     world.run(30)
     assert {order.tries for order in latest_levels(world).values()} == {face.ONE_AFTER_PROOF} and not world.withdrawn
 
 
 def test_levels_do_not_change_between_two_evaluations_of_strain():
-    world = World(extra="domain.admit=rate\n")
+    world = SimulatedFleet(extra="domain.admit=rate\n")
     world.run(10, lambda w: (report_demand(w, 100.0), [w.report(name, 0.6, 2) for name in w.states])[0])
     before, looked = list(world.brain.target_levels), world.brain.next_control
     world.run(1, lambda w: report_demand(w, 50.0 + 50.0 * (w.now % 1)))
@@ -361,7 +361,7 @@
 
 
 def test_a_supervisor_that_starts_among_cold_servers_limits_them_until_reports_come():
-    world = World()
+    world = SimulatedFleet()
     world.states = {server(n): (face.READY, world.now - 6 if n > 2 else None) for n in range(9)}
     world.events = [face.Listing(1, face.CACHED, tuple(map(world.entry, world.states)))]
     world.events += [face.Joined(p % 2, False, p, 5.0) for p in range(4)]
@@ -372,11 +372,11 @@
     assert 0 < initial_share < 0.05 and world.traffic_share(server(5)) > 1.5 * initial_share
 
 
-def large_fleet() -> World:
-    return World(servers=40, proxies=30, extra="domain.proxies=30\ndomain.minConnCap=200\n")
+def large_fleet() -> SimulatedFleet:
+    return SimulatedFleet(servers=40, proxies=30, extra="domain.proxies=30\ndomain.minConnCap=200\n")
 
 
-def report_all(world: World) -> None:
+def report_all(world: SimulatedFleet) -> None:
     for name in [name for name, (state, _) in world.states.items() if state == face.READY]:
         world.report(name, zones=[zone for zone in (0, 1) if zone == world.entry(name).zone])
     world.events += [face.Demand(1, proxy, 0.25, 0, op) for proxy in world.assigned_at for op in range(3)]
@@ -421,7 +421,7 @@
     part = world.held_table[0]
     busy = [proxy for proxy in world.held_table if world.held_table[proxy] == part][:3]
 
-    def demand_of_few(w: World) -> None:
+    def demand_of_few(w: SimulatedFleet) -> None:
         report_all(w)
         w.events += [face.Demand(8 if p in busy else 1, p, 0.25, 0, op) for p in w.assigned_at for op in range(3)]
 
@@ -433,9 +433,9 @@
 
 
 def test_levels_are_not_cut_for_proxies_that_no_report_includes_yet():
-    world = World(proxies=4, extra="domain.proxies=64\n")
+    world = SimulatedFleet(proxies=4, extra="domain.proxies=64\n")
 
-    def strained(w: World) -> None:
+    def strained(w: SimulatedFleet) -> None:
         w.events += [face.Demand(5, proxy, 0.25, 0, op) for proxy in range(4) for op in range(3)]
         for name in w.states:
             w.report(name, 0.3, tries=7)
@@ -443,23 +443,23 @@
     world.run(6, lambda w: (report_demand(w), [w.report(name) for name in w.states])[0])
     world.events += [face.Joined(p % 2, False, p, 60.0) for p in range(4, 12)]
     let_in = []
-    world.run(4, lambda w: (strained(w), let_in.append(w.brain.let_in))[0])
+    world.run(4, lambda w: (strained(w), let_in.append(w.brain.admitted_share))[0])
     assert world.brain.tries == face.NO_TRY and min(let_in) > 0.8
 
 
 def test_a_slight_strain_cuts_less_than_the_reported_arrivals_suggest():
     for latency, min_admitted in ((0.22, 0.7), (0.9, 0.0)):
-        world = World()
+        world = SimulatedFleet()
         world.run(6, lambda w: (report_demand(w), [w.report(name) for name in w.states])[0])
 
-        def strained(w: World, latency=latency) -> None:
+        def strained(w: SimulatedFleet, latency=latency) -> None:
             report_demand(w, 60.0)  # far more than the reports of the same moments show
             for name in w.states:
                 w.report(name, latency, tries=5)
 
         world.run(3, strained)
         world.brain._reset_strain_sample()
-        assert min_admitted <= world.brain.let_in < 1 and (world.brain.let_in <= 0.61 or latency < 0.5)
+        assert min_admitted <= world.brain.admitted_share < 1 and (world.brain.admitted_share <= 0.61 or latency < 0.5)
 
 
 def test_a_part_that_can_bear_little_gives_away_its_other_proxies_at_once():
@@ -474,10 +474,10 @@
 
 def test_tries_that_fail_at_once_are_no_strain_nor_are_late_answers_from_idle_servers():
     for extra, symptom in (("", {"errored": 7}), ("report.fields=cpu_share\n", {"latency": 0.6})):
-        world = World(extra=extra)
+        world = SimulatedFleet(extra=extra)
         world.run(3, lambda w: (report_demand(w), [w.report(name) for name in w.states])[0])
 
-        def report_symptom(w: World, symptom=symptom) -> None:
+        def report_symptom(w: SimulatedFleet, symptom=symptom) -> None:
             report_demand(w, 100.0)
             for name in w.states:
                 w.report(name, **symptom)
@@ -492,13 +492,13 @@
     servers that drain, while further sets of thirty start and drain in turn, a second apart. Each proxy must get its
     new table within the grace."""
     settings = "domain.proxies=240\nbalancers=5\ndomain.linesPerS=1100\ndomain.queueCap=4400\n"
-    world = World(200, 54, settings + "invariants.drainGraceUs=5400000\n")
+    world = SimulatedFleet(200, 54, settings + "invariants.drainGraceUs=5400000\n")
     random, joined, served = Random(1), {}, {}
     world.run(4, step=0.1)
     coming = sorted((round(random.uniform(1.3, 2.9), 1), proxy) for proxy in range(54, 240))
     began, steps = world.now, list(range(6))
 
-    def flood(world: World) -> None:
+    def flood(world: SimulatedFleet) -> None:
         if steps and steps[0] <= world.now - began:
             step = steps.pop(0)
             for number in range(15 * (step - step % 2), 15 * (step - step % 2) + 30):
@@ -510,7 +510,7 @@
             joined[coming[0][1]] = world.now
             world.events.append(face.Joined(len(joined) % 2, False, coming.pop(0)[1], 5.0))
 
-    def record_served(world: World) -> None:
+    def record_served(world: SimulatedFleet) -> None:
         waiting = {message[1] for message in world.queue}
         for proxy in joined.keys() - served.keys():
             if proxy in world.held_table and proxy not in waiting:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,8 +18,8 @@
 from driftshed.net.loop import Loop
 from driftshed.supervisor.flags import read_operation
 from driftshed.supervisor.service import Service
-from tests.test_core import FACTS, news
-from tests.test_net import Raw, until
+from tests.test_core import FACTS, roster_update
+from tests.test_net import RawConnection, run_until
 
 CHANGES_DECODER = msgspec.json.Decoder(Changes)
 OPERATION = "look:objective=0.5,timeout=1.5,value=1,effect=idempotent"
@@ -46,11 +46,11 @@
 
     def call(self, *args, **options):
         answers = self.send(*args, **options)
-        until(self.loop, lambda: answers)
+        run_until(self.loop, lambda: answers)
         return answers[0].status, msgspec.json.decode(answers[0].body)
 
     def push_roster(self, version: int, whole: bool, *numbers: int, **options) -> None:
-        assert self.call("POST", "/v1/roster", news(version, whole, *numbers, **options))[0] == 200
+        assert self.call("POST", "/v1/roster", roster_update(version, whole, *numbers, **options))[0] == 200
 
     def join(self, number: int = 3, zone: str = "east", **fields):
         """Joins a proxy on a connection of its own; returns the client and the answer."""
@@ -81,12 +81,12 @@
     rig.push_roster(1, True, 1, 2, 3, 4)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], joined["version"])
-    until(rig.loop, lambda: first)
+    run_until(rig.loop, lambda: first)
     snapshot = CHANGES_DECODER.decode(first[0].body)
     assert snapshot.whole and sum(isinstance(change, Line) for change in snapshot.changes) == 4
     second = rig.poll(client, joined["stream"], snapshot.version)
     rig.push_roster(2, False, 2, state="draining")
-    until(rig.loop, lambda: second)
+    run_until(rig.loop, lambda: second)
     delta = CHANGES_DECODER.decode(second[0].body)
     assert (delta.since, delta.whole) == (snapshot.version, False)
     assert delta.changes == [Line(0, "10.0.0.2:80", 0.0)]
@@ -99,7 +99,7 @@
     client, joined = rig.join()
     started_at = time.monotonic()
     answers = rig.poll(client, joined["stream"], 0, wait=0.2)
-    until(rig.loop, lambda: answers)
+    run_until(rig.loop, lambda: answers)
     assert CHANGES_DECODER.decode(answers[0].body).changes == [] and time.monotonic() - started_at >= 0.2
 
 
@@ -146,7 +146,7 @@
     rig.push_roster(1, True, 1, 2, 3)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
-    until(rig.loop, lambda: first)
+    run_until(rig.loop, lambda: first)
     version = CHANGES_DECODER.decode(first[0].body).version
     held = rig.poll(client, joined["stream"], version)
     path = path.replace("STREAM", joined["stream"])
@@ -155,13 +155,13 @@
     assert actual_status == status and len(answer["error"]) > 10
     assert not held and rig.instance.hub.records[3].joined and list(rig.service.polls) == [3]
     rig.push_roster(2, False, 3, state="draining")
-    until(rig.loop, lambda: held)
+    run_until(rig.loop, lambda: held)
     assert CHANGES_DECODER.decode(held[0].body).changes == [Line(0, "10.0.0.3:80", 0.0)]
     rig.close()
 
 
 def test_a_body_cut_short_disturbs_nothing(rig):
-    raw = Raw(rig.loop, rig.service.address)
+    raw = RawConnection(rig.loop, rig.service.address)
     head = b"POST /v1/roster HTTP/1.1\r\ncontent-type: application/json\r\ncontent-length: 90\r\n\r\n"
     raw.sock.sendall(head + b'{"ver')
     rig.loop.turn(time.monotonic() + 0.05)
@@ -180,20 +180,20 @@
     rig.push_roster(1, True, 1, 2, 3)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
-    until(rig.loop, lambda: first)
+    run_until(rig.loop, lambda: first)
     version = CHANGES_DECODER.decode(first[0].body).version
     if ending in ("ended", "reset"):
         rig.poll(client, joined["stream"], version)
         rig.loop.turn(time.monotonic() + 0.05)
-        next(iter(client.all)).stream.abort("x", hard=ending == "reset")
+        next(iter(client.connections)).stream.abort("x", hard=ending == "reset")
     elif ending == "leave":
         assert rig.call("POST", f"/v1/proxies/3/leave?stream={joined['stream']}", b"")[0] == 200
-    until(rig.loop, lambda: has_left(rig))
+    run_until(rig.loop, lambda: has_left(rig))
     rig.push_roster(2, False, 1, state="draining")
     client, rejoined = rig.join(run="run", version=version, fresh=False)
     assert rejoined["version"] == version and rejoined["stream"] != joined["stream"]
     answers = rig.poll(client, rejoined["stream"], version)
-    until(rig.loop, lambda: answers)
+    run_until(rig.loop, lambda: answers)
     delta = CHANGES_DECODER.decode(answers[0].body)
     assert not delta.whole and delta.changes == [Line(0, "10.0.0.1:80", 0.0)]  # only the changes that it missed
     rig.close()
@@ -203,14 +203,14 @@
     rig.push_roster(1, True, 1, 2)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
-    until(rig.loop, lambda: first)
+    run_until(rig.loop, lambda: first)
     held = rig.poll(client, joined["stream"], CHANGES_DECODER.decode(first[0].body).version)
     rig.loop.turn(time.monotonic() + 0.05)
     _, newer = rig.join()
-    until(rig.loop, lambda: held)
+    run_until(rig.loop, lambda: held)
     assert held[0].status == 409 and b"replaced" in held[0].body
     late_poll = rig.poll(client, joined["stream"], 0)
-    until(rig.loop, lambda: late_poll)
+    run_until(rig.loop, lambda: late_poll)
     assert late_poll[0].status == 409 and rig.instance.hub.records[3].stream == newer["stream"]
     assert [fields["replaced"] for event, fields in rig.logged if event == "joined"] == [False, True]
     client.close()  # the end of the older stream's connection does not end the newer stream
@@ -223,15 +223,15 @@
     client, joined = rig.join()
     other = HttpClient(rig.loop, rig.service.address)
     first = rig.poll(other, joined["stream"], 0)
-    until(rig.loop, lambda: first)
+    run_until(rig.loop, lambda: first)
     held = rig.poll(other, joined["stream"], CHANGES_DECODER.decode(first[0].body).version)
     client.close()  # the connection that the proxy joined on
     rig.loop.turn(time.monotonic() + 0.05)
     rig.push_roster(2, False, 1, state="draining")
-    until(rig.loop, lambda: held)
+    run_until(rig.loop, lambda: held)
     assert held[0].status == 200 and not has_left(rig)
     other.close()
-    until(rig.loop, lambda: has_left(rig))
+    run_until(rig.loop, lambda: has_left(rig))
 
 
 def test_reports_reach_the_module_summed_by_zone(rig):
@@ -247,7 +247,7 @@
             "operations": [{"operation": rig.instance.facts.operations[0].name, "arrived": 5}],
         }
         assert rig.call("POST", f"/v1/proxies/{number}/report", report)[0] == 200
-    until(rig.loop, lambda: sum(type(event).__name__ == "Heard" for event in module_events) == 2)
+    run_until(rig.loop, lambda: sum(type(event).__name__ == "Heard" for event in module_events) == 2)
     sums = sorted(
         (event.zone, event.tries, event.errored, round(event.latency, 6))
         for event in module_events
@@ -310,13 +310,13 @@
         loop, answers = Loop(), []
         client = HttpClient(loop, (host, int(port)))
         client.call("POST", "/v1/proxies/1/join", b'{"zone":"east","rate":1}', answers.append, 5.0)
-        until(loop, lambda: answers)
+        run_until(loop, lambda: answers)
         stream = msgspec.json.decode(answers[0].body)["stream"]
         client.call("GET", f"/v1/proxies/1/changes?stream={stream}&after=0", b"", answers.append, 9.0)
         loop.turn(time.monotonic() + 0.2)
         started_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        until(loop, lambda: len(answers) == 2)
+        run_until(loop, lambda: len(answers) == 2)
         assert answers[1].status == 503  # the held poll
         assert process.wait(10) == 0 and time.monotonic() - started_at < 5.0
         events = [json.loads(line)["event"] for line in process.stderr.read().splitlines()]
@@ -351,12 +351,12 @@
 def test_a_proxy_that_joined_before_the_others_were_known_learns_of_them_with_its_next_answer(rig):
     client, joined = rig.join()
     polled = rig.poll(client, joined["stream"], 0, wait=0.05)
-    until(rig.loop, lambda: polled)
+    run_until(rig.loop, lambda: polled)
     assert "supervisors" not in msgspec.json.decode(polled[0].body)
     rig.service.living = lambda: ["127.0.0.1:7001"]
     for expected in (["127.0.0.1:7001"], None):  # sent only once
         polled = rig.poll(client, joined["stream"], 0, wait=0.05)
-        until(rig.loop, lambda polled=polled: polled)
+        run_until(rig.loop, lambda polled=polled: polled)
         assert msgspec.json.decode(polled[0].body).get("supervisors") == expected
 
 
@@ -366,7 +366,7 @@
         client, joined = rig.join(number)
         answers = rig.poll(client, joined["stream"], 0, number)
         clients.append((client, answers))
-    until(rig.loop, lambda: all(poll.request for poll in rig.service.polls.values()))
+    run_until(rig.loop, lambda: all(poll.request for poll in rig.service.polls.values()))
     pauses = []
     rig.service.hand_over(lambda lines: pauses.append(lines) or 0.05, lambda: done.append(1))
     assert rig.call("POST", "/v1/proxies/9/join", {"zone": "east", "rate": 5.0})[0] == 503
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -42,7 +42,9 @@
 def assert_converges(fleet: TieredFleet, version: int, most: float = 40.0) -> None:
     """Asserts that all living supervisors converge to a version and that no invariant has been violated."""
     fleet.until(
-        lambda: fleet.everywhere(version) and not any(fleet.parts[name].instance.still() for name in fleet.living()),
+        lambda: (
+            fleet.everywhere(version) and not any(fleet.parts[name].instance.tables_frozen() for name in fleet.living())
+        ),
         most,
     )
     fleet.run(fleet.bound() + 1)
@@ -195,7 +197,7 @@
     fleet.open_change("r1c1s2", 2.5, 60.0)  # the earlier document again
     fleet.until(lambda: {fleet.versions()[name] for name in others} == {3}, 59)
     assert fleet.loop.now < cut_at + 100
-    assert all(fleet.parts[name].instance.still() for name in fleet.names if name not in others)
+    assert all(fleet.parts[name].instance.tables_frozen() for name in fleet.names if name not in others)
     fleet.run(cut_at + 125 - fleet.loop.now)
     assert_converges(fleet, 3)
 
@@ -220,7 +222,7 @@
     for name in fleet.names:
         fleet.network.loop_seat.after(fleet.random.uniform(0, 30), lambda name=name: fleet.start(name))
     fleet.run(31)
-    fleet.until(lambda: all(not fleet.parts[name].instance.still() for name in fleet.living()), 30)
+    fleet.until(lambda: all(not fleet.parts[name].instance.tables_frozen() for name in fleet.living()), 30)
     fleet.run(10)
     region_members = {}
     for store, place in fleet.stores.items():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -31,7 +31,7 @@
 from driftshed.trace.schema import STORED_KINDS, to_batches, to_rows
 from driftshed.trace.tools import CutFilter
 from driftshed.trace.writer import MAX_QUEUED_BATCHES, TraceWriter, recover_file
-from tests.test_core import joined_instance, play
+from tests.test_core import joined_instance, run_instance
 
 GOLDEN = Path(__file__).parent / "golden"
 INTS = st.integers(-(2**63), 2**63 - 1)
@@ -540,9 +540,9 @@
     instance, holders = joined_instance(brain=brain)
     writer = TraceWriter(folder, "supervisor-0")
     Recording(instance, writer)
-    instance.brain, instance.news = brain(instance.facts, 7, 0.0), [instance.roster.told()]
-    instance.news += [face.Joined(record.zone, True, record.proxy, 5.0) for record in instance.hub.restart()]
-    play(instance, seconds, holders, broken={"10.0.0.5:80"})
+    instance.brain, instance.pending_events = brain(instance.facts, 7, 0.0), [instance.roster.snapshot()]
+    instance.pending_events += [face.Joined(record.zone, True, record.proxy, 5.0) for record in instance.hub.restart()]
+    run_instance(instance, seconds, holders, broken={"10.0.0.5:80"})
     assert writer.close()
     return folder / "supervisor-0-000001.dst"
 
--- a/tests/tiers.py
+++ b/tests/tiers.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.facts, self.faults, self.policy, self.refusal = FACTS, 0, 0, ""
-        self.still = lambda: False
+        self.tables_frozen = lambda: False
         self.switched: list[int] = []
 
     def check_switch(self, facts) -> str:
@@ -229,7 +229,7 @@
     def _check_supervisor(self, name: str, agent, part: PolicyPart) -> None:
         """Records what the supervisor would do now. Runs as part of its process: not while it is paused or dead."""
         now = self.loop.now
-        if not part.instance.still():
+        if not part.instance.tables_frozen():
             self.acts.append((now, name, part.instance.policy))
         if agent.holds() and agent.client.session.session not in self.store_of(name).tree.sessions:
             self.invalid_claims.append((now, name, "its own session has expired"))
@@ -300,7 +300,7 @@
         return self.loop.now - start
 
     def up(self) -> None:
-        self.until(lambda: all(not self.parts[name].instance.still() for name in self.living()))
+        self.until(lambda: all(not self.parts[name].instance.tables_frozen() for name in self.living()))
 
     def living(self) -> list[str]:
         return [name for name in self.names if name not in self.dead]
@@ -509,7 +509,7 @@
         assert part.instance.policy == in_force, (
             f"{name} runs version {part.instance.policy}, but {in_force} is in force"
         )
-        assert not part.instance.still(), f"{name} has its updates paused at the end"
+        assert not part.instance.tables_frozen(), f"{name} has its updates paused at the end"
     records = [("the top-level fleet", fleet.above())]
     records += [(region, fleet.region_record(region)) for region in fleet.regions]
     records += [(cell, fleet.cell_record(cell)) for cell in fleet.cells if set(fleet.cells[cell]) - fleet.dead]
