--- a/benchmarks/capacity_flat.py
+++ b/benchmarks/capacity_flat.py
@@ -19,7 +19,7 @@
 from driftshed.roster.client import RosterClient
 from driftshed.roster.follow import RosterFollower
 from driftshed.roster.jute import EPHEMERAL, Create, Delete, Frames, SetData
-from driftshed.roster.membership import Announced, Membership
+from driftshed.roster.membership import Membership, ServerAnnouncement
 from driftshed.roster.nodes import write_node
 from tests.fleets import ROOT, STORE, TIMEOUT, Fleet
 
@@ -118,7 +118,7 @@
 
     def watches(self) -> list[int]:
         """The number of watches of each session."""
-        return [len(held.data) + len(held.children) for held in self.store.store.tree.sessions.values()]
+        return [len(held.data_watches) + len(held.child_watches) for held in self.store.store.tree.sessions.values()]
 
     def increase(self, action, seconds: float, pings: bool = False) -> dict[str, dict[str, int]]:
         """Calls `action` and returns the increase of bytes and of messages over `seconds`, by name."""
@@ -241,7 +241,7 @@
         for agent in fleet.all:
             agent.say(proxies=10 + k)
         if k < seconds + 1:
-            fleet.network.loop_seat.after(1.0, lambda: publish(k + 1))
+            fleet.network.own_seat.after(1.0, lambda: publish(k + 1))
 
     publish(0)
     fleet.run(2.0)
@@ -368,7 +368,7 @@
         """Sends requests from the client that owns the other members' nodes, 1000 per half second."""
         for first in range(0, len(requests), 1000):
             for request in requests[first : first + 1000]:
-                self.client.ask(request, lambda error, result: None)
+                self.client.send_request(request, lambda error, result: None)
             self.fleet.run(0.5)
 
     def join(self) -> dict[str, float]:
@@ -433,7 +433,9 @@
 
     def node(k: int, state: str = "ready", epoch: int = 1) -> tuple[str, bytes]:
         name = f"10.{k >> 16}.{k >> 8 & 255}.{k & 255}:8000"
-        return f"{root}/{name}~{epoch}", write_node(Announced(name, "east", "standard", state, None, 0, 1.0, epoch))
+        return f"{root}/{name}~{epoch}", write_node(
+            ServerAnnouncement(name, "east", "standard", state, None, 0, 1.0, epoch)
+        )
 
     crowd.send([Create(root, b"")])
     crowd.send([Create(*node(k), EPHEMERAL) for k in range(servers)])
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -33,7 +33,7 @@
 from driftshed.policy import document as policies
 from driftshed.proxy.tables import Tables
 from driftshed.roster import jute
-from driftshed.roster.store import Line as StoreLine
+from driftshed.roster.store import Connection as StoreLine
 from driftshed.roster.store import Store
 from driftshed.roster.tree import Tree
 
@@ -204,7 +204,7 @@
     with MemoryUse() as memory:
         tables = Tables(operations, "two", "share", 1, [], Random(1))
         tables.run = "0123456789ab"
-        tables.take(CHANGES_DECODER.decode(body), 0.0)
+        tables.apply(CHANGES_DECODER.decode(body), 0.0)
     started_at, rounds = time.process_time(), 0
     while time.process_time() - started_at < 0.3 or rounds < 3:
         fresh = Tables(operations, "two", "share", 1, [], Random(1))
@@ -236,15 +236,15 @@
     store, lines = Store(NullLog(), 1, 0.0), []
     for _ in range(sessions):
         line = StoreLine()
-        store.take(line, jute.write_connect(jute.Connect(0, 10_000, 0, bytes(16))), 0.0)
-        line.out = bytearray()
+        store.receive(line, jute.write_connect_request(jute.ConnectRequest(0, 10_000, 0, bytes(16))), 0.0)
+        line.output = bytearray()
         lines.append(line)
     return store, lines
 
 
 def _execute(store: Store, line: StoreLine, request: object) -> None:
-    store.take(line, jute.write_request(1, request), 0.0)
-    line.out = bytearray()
+    store.receive(line, jute.write_request(1, request), 0.0)
+    line.output = bytearray()
 
 
 def store_sessions(count: int) -> dict:
@@ -277,13 +277,13 @@
         for line in lines:
             for k in range(count):
                 _execute(store, line, jute.GetData(f"/m/s{k:04}~1", True))
-    assert sum(len(each.data) for each in store.tree.sessions.values()) == count * count
+    assert sum(len(each.data_watches) for each in store.tree.sessions.values()) == count * count
     return {"store_watch_memory": memory.bytes / count**2}
 
 
 def store_rest(count: int, seconds: float = 5.0) -> dict:
     """The store's share of a core and resident memory (bytes) for this many sessions that only ping, over sockets."""
-    from benchmarks.roster import RosterClient, State, Testbed
+    from benchmarks.roster import RosterClient, SessionState, Testbed
 
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -294,7 +294,7 @@
             RosterClient(testbed.loop, [testbed.address], 10.0, Random(k), lambda state: None, lambda event: None)
             for k in range(count)
         ]
-        testbed.until(lambda: all(each.session.state is State.ON for each in clients), 60.0)
+        testbed.until(lambda: all(each.session.state is SessionState.CONNECTED for each in clients), 60.0)
         cpu_before, started_at = testbed.cpu(testbed.store), time.monotonic()
         testbed.loop.run(testbed.loop.clock() + seconds)
         return {
--- a/benchmarks/capacity_tiers.py
+++ b/benchmarks/capacity_tiers.py
@@ -11,7 +11,7 @@
 from driftshed.coordination.members import Member
 from driftshed.coordination.tiered import Tiered
 from driftshed.coordination.tiers import read_tiers
-from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
+from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
 from driftshed.roster.serve import StoreServer
 from tests.fleets import TIMEOUT, DriftingSeat, MemoryLog
 
@@ -36,7 +36,7 @@
     def __init__(self, regions: int, cells: int, members: int, seed: int = 1, delay: float = DELAY_S) -> None:
         """Starts all stores and agents. `delay`: seconds, one way between any two hosts."""
         self.loop, random = VirtualLoop(), Random(f"tiered {seed}")
-        self.network = Network(self.loop, seed, lambda here, there: Way(delay, delay / 2))
+        self.network = Network(self.loop, seed, lambda here, there: Route(delay, delay / 2))
         self.tiers = read_tiers(make_tiers_file(regions, cells, members))
         self.stores = [
             StoreServer(
@@ -114,7 +114,7 @@
     seconds = 10.0
     rest = fleet.increase(seconds)
     watches = [
-        len(session.data) + len(session.children)
+        len(session.data_watches) + len(session.child_watches)
         for store in fleet.stores
         for session in store.store.tree.sessions.values()
     ]
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -13,7 +13,7 @@
 from multiprocessing import Pool
 from statistics import median
 
-from driftshed.lab.model import explore
+from driftshed.lab.state_search import explore
 from tests.fleets import TIMEOUT, Fleet, check
 from tests.test_coordination import all_ended, history
 from tests.test_coordination_model import Leases, Start, lease_moves, lease_wrong, record_moves, record_wrong, records
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -22,7 +22,7 @@
 
 def make_facts(proxies: int) -> face.StartFacts:
     """Start facts for this many proxies, with three operations."""
-    facts = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    facts = {flag.fact: flag.param_type.convert(flag.default, None, None) for flag in FLAGS}
     facts |= {
         "proxies": proxies,
         "lines_per_second": 20.0 * proxies,
--- a/benchmarks/hollow_worker.py
+++ b/benchmarks/hollow_worker.py
@@ -26,7 +26,7 @@
 from driftshed.policy import part
 from driftshed.policy.keep import Keep
 from driftshed.policy.part import Asked, PolicyPart
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 
 POLICY_TEXT = """
 ahead = {ahead}
@@ -218,13 +218,13 @@
     def __init__(self, instance: HollowInstance, address: tuple[str, int]) -> None:
         """`address` is published, but nothing listens there."""
         self.instance, self.address = instance, address
-        self.living: Callable[[], list[str]] = lambda: []
-        self.waits: Callable[[], str] = lambda: ""
+        self.live_supervisors: Callable[[], list[str]] = lambda: []
+        self.not_ready_reason: Callable[[], str] = lambda: ""
         self.views: dict = {}
         self.actions: dict = {}
-        self.polls: dict = {}
+        self.streams: dict = {}
 
-    def soon(self) -> None:
+    def schedule_turn(self) -> None:
         """Does nothing: there is no listener to wake."""
 
 
@@ -326,7 +326,7 @@
     def make_row(self) -> Row:
         """Its row of a report."""
         traffic_by_store, agents = self.seat.traffic_by_store.values(), self.seat.agents()
-        watches = sum(len(paths) for agent in agents for paths in agent.client.session.watched.values())
+        watches = sum(len(paths) for agent in agents for paths in agent.client.session.watches.values())
         ready_after = None if self.ready_at is None else round(self.ready_at - self.started_at, 3)
         role = 1 + sum(getattr(self.agent, attribute, None) is not None for attribute in ("for_cell", "for_region"))
         return Row(
@@ -467,7 +467,7 @@
         frozen = sum(
             bool(supervisor.policy_part and supervisor.policy_part.was_still) for supervisor in self.living.values()
         )
-        fenced = sum(supervisor.agent.chair.standing is Standing.FENCED for supervisor in self.living.values())
+        fenced = sum(supervisor.agent.chair.state is RegistrationState.FENCED for supervisor in self.living.values())
         ready = sum(supervisor.ready_at is not None for supervisor in self.living.values())
         answer = {
             "living": len(self.living),
--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -24,7 +24,7 @@
 from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
 from driftshed.supervisor.service import Service
 from driftshed.trace.recording import Recording
-from driftshed.trace.writer import TraceWriter, tend_trace
+from driftshed.trace.writer import TraceWriter, schedule_trace_flush
 
 
 class PlainModule:
@@ -49,7 +49,7 @@
 def main() -> None:
     """Runs the supervisor until SIGTERM."""
     port, servers, proxies, lines_per_second = (int(each) for each in sys.argv[1:5])
-    facts = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    facts = {flag.fact: flag.param_type.convert(flag.default, None, None) for flag in FLAGS}
     facts |= {
         "proxies": proxies,
         "lines_per_second": float(lines_per_second),
@@ -77,8 +77,8 @@
     for argument in sys.argv[5:]:
         if argument.startswith("trace="):
             writer = TraceWriter(Path(argument.partition("=")[2]), "supervisor-0")
-            service.on_message = Recording(instance, writer).message
-            tend_trace(loop, writer)
+            service.on_message = Recording(instance, writer).record_message
+            schedule_trace_flush(loop, writer)
     loop.on_signals((signal.SIGTERM,), lambda number: service.stop())
     print("listening", flush=True)
     loop.run()
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -10,8 +10,8 @@
 
 import click
 
-from driftshed.lab.grounds import VirtualGround
-from driftshed.lab.run import rare_collections, run
+from driftshed.lab.environments import VirtualEnvironment
+from driftshed.lab.run import infrequent_garbage_collection, run
 from driftshed.lab.scenario import (
     Crash,
     Deploy,
@@ -20,10 +20,10 @@
     Sick,
     Surge,
     Whom,
-    bare_day,
-    check,
+    check_scenario,
+    fault_free_day,
 )
-from driftshed.lab.world import World
+from driftshed.lab.simulation import SimulatedDeployment
 
 
 @click.group()
@@ -37,16 +37,16 @@
 def speed(seconds: float, sizes: str) -> None:
     """Simulated seconds and events per real second on one core, after the first 4 s, in which proxies join."""
     for size in sizes.split(","):
-        day = bare_day(size, seconds)
-        environment = VirtualGround(day, 1)
-        World(day, 1, environment).open()
+        day = fault_free_day(size, seconds)
+        environment = VirtualEnvironment(day, 1)
+        SimulatedDeployment(day, 1, environment).open()
         started_at = time.process_time()
-        with rare_collections():
-            environment.whole.run(4.0)
-            joined, events = time.process_time(), environment.whole.events
-            environment.whole.run(seconds)
+        with infrequent_garbage_collection():
+            environment.virtual_loop.run(4.0)
+            joined, events = time.process_time(), environment.virtual_loop.events
+            environment.virtual_loop.run(seconds)
         elapsed = time.process_time() - joined
-        event_count = environment.whole.events - events
+        event_count = environment.virtual_loop.events - events
         click.echo(
             f"{size:6} {day.fleet.servers:4} servers {day.facts.proxies:5} proxies {day.traffic.rate:6.0f} a second: "
             f"{(seconds - 4) / elapsed:6.2f} simulated seconds a second, {event_count / elapsed:8.0f} events a second, "
@@ -62,7 +62,7 @@
     similar_days = 0
     max_difference = 0.0
     for seed in range(1, days + 1):
-        day = bare_day("tiny", 8.0)
+        day = fault_free_day("tiny", 8.0)
         day.flags |= {"warm-within": 3.0}
         day.troubles = [
             [Deploy(1.0, Whom(count=3), 1.0, 1, 3.0)],
@@ -74,7 +74,7 @@
             [Surge(2.0, 3.0, 1.6)],
             [Sick(1.5, 5.0, "slow", 4.0, Whom(count=2))],
         ][seed % 8]
-        virtual, real = (run(check(day), seed, clock) for clock in ("virtual", "real"))
+        virtual, real = (run(check_scenario(day), seed, clock) for clock in ("virtual", "real"))
         difference = real.service - virtual.service
         max_difference = max(max_difference, abs(difference))
         rules = [{rule: row["broken"] for rule, row in outcome.rules.items()} for outcome in (virtual, real)]
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -21,14 +21,14 @@
 import numpy as np
 
 from driftshed.net.loop import Loop
-from driftshed.proxy.follow import Follower, Sums
+from driftshed.proxy.follow import Follower, ReportCounts
 from driftshed.proxy.tables import Tables
-from driftshed.roster.announce import Announcer, Standing
+from driftshed.roster.announce import Announcer, RegistrationState
 from driftshed.roster.client import RosterClient
 from driftshed.roster.follow import RosterFollower
 from driftshed.roster.jute import Close, GetData
-from driftshed.roster.membership import Announced, Membership
-from driftshed.roster.session import State
+from driftshed.roster.membership import Membership, ServerAnnouncement
+from driftshed.roster.session import SessionState
 
 ROOT = "/driftshed/servers"
 OPERATION = "look:objective=0.5,timeout=1,value=1"
@@ -95,11 +95,11 @@
     def announce(self, count: int, timeout: float = 4.0) -> list[Announcer]:
         """Announces `count` servers and waits until all are listed; `timeout`: of their sessions."""
         nodes = [
-            Announced(f"127.1.{k // 250}.{1 + k % 250}:8000", "east", "standard", "ready", None, 0, 1.0, 0)
+            ServerAnnouncement(f"127.1.{k // 250}.{1 + k % 250}:8000", "east", "standard", "ready", None, 0, 1.0, 0)
             for k in range(count)
         ]
         announcers = [Announcer(self.loop, [self.address], ROOT, node, timeout, k) for k, node in enumerate(nodes)]
-        self.until(lambda: all(each.standing is Standing.LISTED for each in announcers))
+        self.until(lambda: all(each.state is RegistrationState.LISTED for each in announcers))
         return announcers
 
     def cpu(self, process: subprocess.Popen) -> float:
@@ -149,16 +149,16 @@
                 5.0,
                 [testbed.supervisor_address],
                 tables,
-                Sums(["look"]),
+                ReportCounts(["look"]),
                 Random(number),
                 lambda event, **fields: None,
             )
         )
 
     def followers_with(name: str) -> list[Follower]:
-        return [f for f in followers if any(key[0] == "line" and key[2] == name for key in f.tables.held)]
+        return [f for f in followers if any(key[0] == "line" and key[2] == name for key in f.tables.state)]
 
-    testbed.until(lambda: sum(bool(f.tables.held) for f in followers) == proxies)
+    testbed.until(lambda: sum(bool(f.tables.state) for f in followers) == proxies)
     testbed.until(lambda: all(followers_with(a.node.server) for a in announcers))
     rows = []
     for announcer in announcers[:times]:
@@ -173,12 +173,14 @@
             lambda state: None,
             lambda event, seen_at=seen_at: seen_at.setdefault("store", testbed.loop.clock()),
         )
-        watcher.ask(GetData(announcer.path, True), lambda error, result, seen_at=seen_at: seen_at.setdefault("set", 1))
+        watcher.send_request(
+            GetData(announcer.path, True), lambda error, result, seen_at=seen_at: seen_at.setdefault("set", 1)
+        )
         testbed.until(lambda seen_at=seen_at: "set" in seen_at)
         name, initial_count = announcer.node.server, len(followers_with(announcer.node.server))
-        announcer.standing = Standing.LEFT  # keeps it from registering again
+        announcer.state = RegistrationState.LEFT  # keeps it from registering again
         closed_at = testbed.loop.clock()
-        announcer.client.ask(Close(), lambda error, result: None)
+        announcer.client.send_request(Close(), lambda error, result: None)
         first_at = None
         while (remaining := len(followers_with(name))) or "store" not in seen_at:
             if first_at is None and remaining < initial_count:
@@ -223,10 +225,10 @@
     testbed.restart_store()
     restarted_at = time.monotonic()
     clients = [each.client for each in announcers] + [follower.client]
-    testbed.until(lambda: any(each.session.state is State.AWAY for each in clients))
-    testbed.until(lambda: all(each.session.state is State.ON for each in clients))
+    testbed.until(lambda: any(each.session.state is SessionState.DISCONNECTED for each in clients))
+    testbed.until(lambda: all(each.session.state is SessionState.CONNECTED for each in clients))
     recovered_after = time.monotonic() - restarted_at
-    testbed.until(lambda: follower.membership.away_since is None)
+    testbed.until(lambda: follower.membership.unreachable_since is None)
     click.echo(
         f"{servers} servers and the follower back {recovered_after:.2f} s after the store listens again; the store "
         f"took {testbed.cpu(testbed.store):.2f} s of a core, its start included; lists received since: {len(lists) - 1}"
@@ -267,7 +269,7 @@
         done = []
         announcer = announcers[k % servers]
         announcer.node = announcer.node._replace(weight=2.0 + k)
-        announcer.say("ready", lambda done=done: done.append(1))
+        announcer.set_server_state("ready", lambda done=done: done.append(1))
         lists_expected = len(lists) + 1
         testbed.until(lambda done=done, lists_expected=lists_expected: done and len(lists) >= lists_expected)
     click.echo(
@@ -295,7 +297,7 @@
         RosterClient(testbed.loop, [testbed.address], 10.0, Random(k), lambda state: None, lambda event: None)
         for k in range(count)
     ]
-    testbed.until(lambda: all(each.session.state is State.ON for each in clients), 120.0)
+    testbed.until(lambda: all(each.session.state is SessionState.CONNECTED for each in clients), 120.0)
     opened_after = time.monotonic() - started_at
     cpu_before, measured_from = testbed.cpu(testbed.store), time.monotonic()
     testbed.loop.run(testbed.loop.clock() + seconds)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -295,7 +295,7 @@
     from driftshed.core.hub import Hub  # only the core: what it would send
     from driftshed.supervisor.flags import FLAGS, read_operation, start_facts
 
-    facts = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    facts = {flag.fact: flag.param_type.convert(flag.default, None, None) for flag in FLAGS}
     facts["operations"] = tuple(read_operation(f"{n}:objective=1,timeout=2,value=1") for n in ("a", "b", "c"))
     hub = Hub(start_facts(facts), "0123456789")
     record, _ = hub.join(0, 0, None, 0)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -17,9 +17,9 @@
 from driftshed.coordination.taking_part import leave
 from driftshed.core.messages import Changes
 from driftshed.day.judge import CHANGES
-from driftshed.lab.grounds import VirtualGround
-from driftshed.lab.scenario import bare_day, check
-from driftshed.lab.world import World
+from driftshed.lab.environments import VirtualEnvironment
+from driftshed.lab.scenario import check_scenario, fault_free_day
+from driftshed.lab.simulation import SimulatedDeployment
 
 LOST_AT_S, END_S = 12.6, 32.0
 CHANGES_PATH = "changes"
@@ -27,22 +27,22 @@
 
 def measure_takeover(how: str, proxies: int, lines_per_second: float, seed: int) -> dict:
     """Loses one of three supervisors at LOST_AT_S; `how`: "killed", "still" (paused) or "in peace" (shut down)."""
-    day = bare_day("full", 40.0)
+    day = fault_free_day("full", 40.0)
     day.fleet = replace(day.fleet, store=True, supervisors=3)
     day.flags |= {"proxies": proxies, "lines-per-second": lines_per_second, "queue-cap": max(2000.0, 12.0 * proxies)}
-    environment = VirtualGround(check(day), seed)
-    world = World(day, seed, environment)
-    world.open()
-    environment.whole.run(LOST_AT_S)
-    lost_proxies = set(environment.services[0].polls)
+    environment = VirtualEnvironment(check_scenario(day), seed)
+    deployment = SimulatedDeployment(day, seed, environment)
+    deployment.open()
+    environment.virtual_loop.run(LOST_AT_S)
+    lost_proxies = set(environment.services[0].streams)
     if how == "killed":
         environment.kill_supervisor(0)
     elif how == "still":
         environment.pause_supervisor(END_S, 0)
     else:
         service = environment.services[0]
-        leave(environment.agents[0], service, lambda: environment.network.end(environment.supervisors[0]))
-    environment.whole.run(END_S)
+        leave(environment.agents[0], service, lambda: environment.network.end_process(environment.supervisors[0]))
+    environment.virtual_loop.run(END_S)
     last_answers: dict[int, float] = {}  # by proxy: time of the last answer of the lost supervisor
     # By proxy: time, owner and number of lines of the first tables of another supervisor.
     first_tables: dict[int, tuple[float, int, float]] = {}
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -52,7 +52,7 @@
     with more load than two zones can handle."""
     random = Random(f"zones {seed}")
     load, size = random.uniform(0.35, 0.55) + 0.2 * (size == "heavy"), "small" if size == "heavy" else size
-    day = lab_scenario.bare_day(size, DAY_S, load)
+    day = lab_scenario.fault_free_day(size, DAY_S, load)
     kind = KINDS[seed % len(KINDS)]
     limits = os.environ.get("ZONE_LIMITS", "")
     day.fleet = replace(day.fleet, store=True, supervisors=random.choice([3, 5]), leave_zones=leave, zone_limits=limits)
@@ -65,12 +65,12 @@
                 lab_scenario.Kill(at, 3.0, number),
                 lab_scenario.Pause(at, 4.0, "supervisor", 1.0, number),
                 lab_scenario.StoreDown(at, 2.0),
-                lab_scenario.Link(at, 5.0, lab_scenario.control_zone(number), "roster", cut=True),
-                lab_scenario.Link(at, 8.0, lab_scenario.control_zone(number), "roster", delay=0.1, loss=0.05),
+                lab_scenario.Link(at, 5.0, lab_scenario.supervisor_zone(number), "roster", cut=True),
+                lab_scenario.Link(at, 8.0, lab_scenario.supervisor_zone(number), "roster", delay=0.1, loss=0.05),
             ]
         )
     )
-    return lab_scenario.check(day), kind
+    return lab_scenario.check_scenario(day), kind
 
 
 def shares_by_supervisor(outcome: Outcome) -> dict[int, list[tuple[float, float]]]:
@@ -106,7 +106,7 @@
 
 def run_without_failure(seed: int) -> dict:
     """A random day with other faults, none of which affects half of a zone: no zone should be evacuated."""
-    day = lab_scenario.drawn(seed, "small", 40.0)
+    day = lab_scenario.random_day(seed, "small", 40.0)
     day.fleet = replace(day.fleet, store=True, supervisors=3, leave_zones=True)
     remaining = []
     for trouble in day.troubles:
@@ -115,7 +115,7 @@
         if not isinstance(trouble, EXCLUDED_FAULTS) and not hits_half_a_zone:
             remaining.append(trouble)
     day.troubles = remaining
-    outcome = run(lab_scenario.check(day), seed)
+    outcome = run(lab_scenario.check_scenario(day), seed)
     shares_left = sorted({max(share for _, share in rows) for rows in shares_by_supervisor(outcome).values() if rows})
     return {
         "seed": seed,
@@ -129,13 +129,13 @@
     """A day with a fault that resembles a failing zone: no zone should be evacuated."""
     number, seed = job
     random = Random(f"alike {number} {seed}")
-    day = lab_scenario.bare_day("small", 36.0, random.uniform(0.35, 0.55))
+    day = lab_scenario.fault_free_day("small", 36.0, random.uniform(0.35, 0.55))
     zones = day.facts.zones
     zone, other, third = random.sample(zones, 3)
     at, lasts, supervisors = 6.0, round(random.uniform(8, 14), 1), random.choice([3, 5])
     supervisor = random.randrange(supervisors)
     cut = [lab_scenario.Link(at, lasts, source, zone, cut=True) for source in (other, third)]
-    store_cut = lab_scenario.Link(at + 1, lasts, lab_scenario.control_zone(supervisor), "roster", cut=True)
+    store_cut = lab_scenario.Link(at + 1, lasts, lab_scenario.supervisor_zone(supervisor), "roster", cut=True)
     day.troubles = [
         [cut[0]],
         cut,
@@ -152,7 +152,7 @@
         ],  # over before it counts as lasting
     ][number]
     day.fleet = replace(day.fleet, store=True, supervisors=supervisors, leave_zones=True)
-    outcome = run(lab_scenario.check(day), seed)
+    outcome = run(lab_scenario.check_scenario(day), seed)
     max_share = max((share for rows in shares_by_supervisor(outcome).values() for _, share in rows), default=0.0)
     return {
         "kind": LOOKALIKES[number],
--- a/driftshed/cli.py
+++ b/driftshed/cli.py
@@ -13,7 +13,7 @@
 from driftshed.proxy.command import proxy
 from driftshed.roster.command import announce, roster
 from driftshed.supervisor.command import supervise
-from driftshed.trace.command import DECIDERS, trace
+from driftshed.trace.command import DECISION_CHECKERS, trace
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
@@ -33,7 +33,7 @@
 main.add_command(zone)
 main.add_command(policy)
 
-DECIDERS |= {"zone": zone_decided_again, "region": zone_decided_again}
+DECISION_CHECKERS |= {"zone": zone_decided_again, "region": zone_decided_again}
 
 if __name__ == "__main__":
     main()
--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -22,7 +22,7 @@
 from driftshed.coordination.members import Member, MemberError, Roll, read_member, write_member
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
-from driftshed.roster.announce import Announcer, Standing
+from driftshed.roster.announce import Announcer, RegistrationState
 from driftshed.roster.jute import (
     ANY_VERSION,
     BAD_VERSION,
@@ -40,7 +40,7 @@
     SetData,
     Stat,
 )
-from driftshed.roster.session import State
+from driftshed.roster.session import SessionState
 
 STAGGER_FRACTION = 0.5  # of the session timeout: delay per rank before the next in order does what the first has not
 SWEEP_DELAY_S = 20.0  # how long a decided record is kept, so that its outcome can still be read
@@ -67,15 +67,15 @@
         """Encoded member data with the current incarnation."""
         return write_member(replace(self.node, incarnation=self.epoch))
 
-    def _begin(self) -> None:
-        super()._begin()
+    def _open_session(self) -> None:
+        super()._open_session()
         self.agent.attach_session(self.client)
 
-    def _state(self, state: State) -> None:
+    def _on_session_state(self, state: SessionState) -> None:
         self.agent.handle_session_state(state)
-        super()._state(state)
+        super()._on_session_state(state)
 
-    def _event(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         self.agent.handle_event(event)
 
 
@@ -201,10 +201,10 @@
         for topic in self.topics.values():
             topic.vote_folder, topic.write_pending, topic.read_pending = None, False, False
 
-    def handle_session_state(self, state: State) -> None:
+    def handle_session_state(self, state: SessionState) -> None:
         """Reads the folders once the session is connected; marks them as outdated in any other state."""
         self.log("fleet_session", state=state.value)
-        if state is State.ON:
+        if state is SessionState.CONNECTED:
             self.loop.soon(self._begin)
         else:
             self.roll.complete_since = None
@@ -212,18 +212,18 @@
                 folder.mark_disconnected()
 
     def _begin(self) -> None:
-        if self.client.session.state is State.ON:
+        if self.client.session.state is SessionState.CONNECTED:
             for folder in (self.members, self.records, *self.other_folders):
                 folder.refresh()
             for topic in self.topics.values():
                 if topic.vote_folder is not None:
                     topic.vote_folder.refresh()
 
-    def _registration_changed(self, standing: Standing) -> None:
-        self.log("fleet_standing", state=standing.value, incarnation=self.chair.epoch)
-        if standing is Standing.FENCED:
+    def _registration_changed(self, state: RegistrationState) -> None:
+        self.log("fleet_standing", state=state.value, incarnation=self.chair.epoch)
+        if state is RegistrationState.FENCED:
             self.on_fenced()
-        elif standing is Standing.LISTED:
+        elif state is RegistrationState.LISTED:
             self._begin()
             self._evaluate_all()
 
@@ -234,7 +234,7 @@
             if client is self.client and error != EXPIRED and not self.stopped:
                 then(error, result)
 
-        client.ask(request, on_reply)
+        client.send_request(request, on_reply)
 
     def handle_event(self, event: Event) -> None:
         """Dispatches a watch event to the folder concerned."""
@@ -250,16 +250,16 @@
         start of its name is registered."""
         session = self.client.session
         return (
-            self.chair.standing is Standing.LISTED
+            self.chair.state is RegistrationState.LISTED
             and not self.stopped
             and not self.roll.has_earlier_incarnation(self.name, self.incarnation)
             and self.roll.highest.get(self.name, 0) == self.incarnation
-            and self.lease.holds(self.loop.clock(), session.proved_at, session.timeout)
+            and self.lease.holds(self.loop.clock(), session.confirmed_at, session.timeout)
         )
 
     def lease_until(self) -> float:
         """When the lease ends unless it is renewed, in seconds on the local monotonic clock."""
-        return self.lease.expires_at(self.client.session.proved_at, self.client.session.timeout)
+        return self.lease.expires_at(self.client.session.confirmed_at, self.client.session.timeout)
 
     def acts(self) -> bool:
         """Whether records agreed for the entire fleet, across all levels of a hierarchy, may be acted on now."""
@@ -348,7 +348,7 @@
 
     def _publish(self) -> None:
         self.publish_timer = None
-        if self.chair.standing is Standing.LISTED:
+        if self.chair.state is RegistrationState.LISTED:
             self._write(SetData(self.chair.path, self.chair.data()), lambda error, result: None)
 
     # ---- reading records ----------------------------------------------------------------------------------------
@@ -816,7 +816,7 @@
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
         """Leaves the fleet gracefully: closes the session, which removes the member node at once; then calls `then`."""
-        if self.chair.standing is not Standing.LISTED:
+        if self.chair.state is not RegistrationState.LISTED:
             self.stop()
             then()
             return
@@ -849,7 +849,7 @@
         return {
             "by": self.name,
             "incarnation": self.incarnation,
-            "standing": self.chair.standing.value,
+            "standing": self.chair.state.value,
             "lease": round(self.lease_until() - now, 3) if self.holds() else None,
             "order": self.roll.order(),
             "members": rows,
--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -15,7 +15,7 @@
 from driftshed.common.options import option
 from driftshed.coordination.view import FleetReader, missing_voters, plain
 from driftshed.net.loop import Loop
-from driftshed.roster.command import check_root, hosts_of
+from driftshed.roster.command import check_root, parse_hosts
 
 EXIT_CODES = """Exit code: 0 when all expected supervisors are alive, 1 when one is not, 2 on bad input, 3 when the
 supervisor or the store does not answer, 4 when the supervisor takes part in no fleet."""
@@ -69,7 +69,7 @@
         views.append(view)
         loop.stop()
 
-    reader = FleetReader(loop, hosts_of(connect, "fleet-connect"), root, expected, done)
+    reader = FleetReader(loop, parse_hosts(connect, "fleet-connect"), root, expected, done)
     loop.run(time.monotonic() + within)
     reader.client.stop()
     loop.close()
--- a/driftshed/coordination/lease.py
+++ b/driftshed/coordination/lease.py
@@ -21,10 +21,11 @@
         timeout unless given."""
         self.drift, self.max_pause = drift, timeout * MAX_PAUSE_FRACTION if max_pause is None else max_pause
 
-    def expires_at(self, proved_at: float, timeout: float) -> float:
-        """When the lease proven by a request sent at `proved_at` ends; both in seconds on the local monotonic clock."""
-        return proved_at + timeout * (1 - self.drift) - self.max_pause
+    def expires_at(self, confirmed_at: float, timeout: float) -> float:
+        """When the lease proven by a request sent at `confirmed_at` ends; both in seconds on the local monotonic
+        clock."""
+        return confirmed_at + timeout * (1 - self.drift) - self.max_pause
 
-    def holds(self, now: float, proved_at: float, timeout: float) -> bool:
+    def holds(self, now: float, confirmed_at: float, timeout: float) -> bool:
         """Whether the lease is valid at `now`."""
-        return now < self.expires_at(proved_at, timeout)
+        return now < self.expires_at(confirmed_at, timeout)
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/taking_part.py
@@ -74,12 +74,12 @@
         agent = Tiered(loop, tiers, member, timeout, seed, log, dial)
     else:
         agent = Agent(loop, hosts, root, member, parse_expected(name, expected), timeout, seed, log, dial)
-    service.living = lambda: agent.addresses
+    service.live_supervisors = lambda: agent.addresses
     service.views["fleet"] = lambda: plain(agent.view())
     zones = service.instance.facts.zones
 
     def publish() -> None:
-        joined = Counter(zones[poll.record.zone] for poll in service.polls.values())
+        joined = Counter(zones[poll.record.zone] for poll in service.streams.values())
         agent.say(proxies=joined.total(), zones=dict(sorted(joined.items())))
         loop.after(PUBLISH_INTERVAL_S, publish)
 
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/tiered.py
@@ -17,9 +17,9 @@
 from driftshed.coordination.tiers import FleetMembership, Heartbeat, HeartbeatTracker, Hierarchy
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import NO_NODE, OK, Create, GetData, SetData, Stat, Sync
-from driftshed.roster.session import State
+from driftshed.roster.session import SessionState
 
 MAX_PUBLISH_INTERVAL_S = 5.0  # between updates of counts and versions in a cell; each update goes to all its members
 BACKOFF_PER_SUPERVISOR_S = 0.002  # interval per supervisor over which simultaneous proposals are spread
@@ -142,7 +142,7 @@
         if self.stopped:
             return
         self.loop.after(self.timeout / tiers.HEARTBEATS_PER_TIMEOUT, self._tick)
-        if self.client.session.state is State.ON:
+        if self.client.session.state is SessionState.CONNECTED:
             if not self.region_folder.listed and not self.region_folder.pending_listings:
                 self.region_folder.refresh()  # the folder did not exist; no watch reports its creation
             if (
@@ -169,14 +169,14 @@
                     tiers.decode_heartbeat(result[0]) if error == OK else None, polled_at, self.loop.clock()
                 )
 
-        client.ask(Sync(path), lambda error, result: None)
-        client.ask(GetData(path), on_reply)
+        client.send_request(Sync(path), lambda error, result: None)
+        client.send_request(GetData(path), on_reply)
 
     # ---- delegates ----------------------------------------------------------------------------------------------
 
-    def _registration_changed(self, standing: Standing) -> None:
-        super()._registration_changed(standing)
-        if standing is Standing.FENCED:  # another process has the name and may become the delegate
+    def _registration_changed(self, state: RegistrationState) -> None:
+        super()._registration_changed(state)
+        if state is RegistrationState.FENCED:  # another process has the name and may become the delegate
             for agent in self._other_agents():
                 self.loop.soon(agent.leave)
             self.proposer = self.for_region = self.for_cell = None
@@ -329,11 +329,11 @@
         def on_reply(error: int, result: object) -> None:
             self.heartbeat_pending = False
             if error == NO_NODE:
-                child.client.ask(Create(path, tiers.encode_heartbeat(heartbeat)), lambda error, result: None)
+                child.client.send_request(Create(path, tiers.encode_heartbeat(heartbeat)), lambda error, result: None)
             if error != OK and run == self.heartbeat_run:
                 self._new_heartbeat_run()  # it may take effect at any time, so no later heartbeat may build on it
 
-        client.ask(SetData(path, tiers.encode_heartbeat(heartbeat)), on_reply)
+        client.send_request(SetData(path, tiers.encode_heartbeat(heartbeat)), on_reply)
 
     # ---- proposals ----------------------------------------------------------------------------------------------
 
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -14,7 +14,7 @@
 from driftshed.net.loop import Timers
 from driftshed.roster.client import RosterClient
 from driftshed.roster.jute import EXPIRED, Event
-from driftshed.roster.session import State
+from driftshed.roster.session import SessionState
 
 
 class FleetReader:
@@ -56,14 +56,14 @@
     def _event(self, event: Event) -> None:
         """Ignores changes while reading: the view is a snapshot."""
 
-    def _state(self, state: State) -> None:
-        if state is State.ON:
+    def _state(self, state: SessionState) -> None:
+        if state is SessionState.CONNECTED:
             for folder in (self.members, self.record_folder):
                 folder.reset()
                 folder.refresh()
 
     def _send(self, request: object, then: Callable[[int, object], object]) -> None:
-        self.client.ask(request, lambda error, result: then(error, result) if error != EXPIRED else None)
+        self.client.send_request(request, lambda error, result: then(error, result) if error != EXPIRED else None)
 
     def _folder_missing(self) -> None:
         self._finish()
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -25,9 +25,9 @@
 from driftshed.day.traffic import Exchange, read_traffic, store_answers
 from driftshed.day.zones import judge_zones
 from driftshed.roster import jute
-from driftshed.roster.nodes import Said
-from driftshed.standins.emulator import Machine
-from driftshed.standins.roster import ROOT as SERVERS_ROOT
+from driftshed.roster.nodes import NodeData
+from driftshed.standins.emulator import ServerProperties
+from driftshed.standins.roster import SERVERS_ROOT as SERVERS_ROOT
 
 SERVICE_START_S = 1.0  # requests before this time do not count toward service
 CLOCK_TOLERANCE_S = 1e-3  # allowance for differences of clocks and for rounding
@@ -90,7 +90,7 @@
 
     facts: face.StartFacts
     cast: Cast
-    machine: Callable[[int], Machine]
+    machine: Callable[[int], ServerProperties]
     seconds: float
     cuts: list[tuple[int, int | None, float]]
     kills: list[tuple[int, float]]
@@ -284,7 +284,7 @@
             elif what == "vanished":
                 remove_node(at, path)
             else:
-                content = msgspec.json.decode(what, type=Said)
+                content = msgspec.json.decode(what, type=NodeData)
                 started = None if content.started is None else round(content.started - self.began, 3)
                 nodes[path] = content.state, started, content.epoch
                 emit(at, path.rpartition("/")[2].partition("~")[0])
@@ -448,7 +448,7 @@
                     while window[0][0] < at - machine.tip_span:
                         window.popleft()
                     total_work = sum(work for _, work, _ in window)
-                    capacity = machine.cores * machine.speed * machine.grown(at - started) * machine.tip_span
+                    capacity = machine.cores * machine.speed * machine.warm_share(at - started) * machine.tip_span
                     informed_work = sum(work for _, work, informed in window if informed)
                     if informed_work >= 2 / 3 * total_work:
                         self.verdict.record_usage("failback", total_work / (machine.tip_multiple * capacity))
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -28,9 +28,9 @@
 from driftshed.policy import part
 from driftshed.policy.change import TOPIC, Course
 from driftshed.proxy.follow import Follower
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import ANY_VERSION, Multi, SetData
-from driftshed.roster.log import Log
+from driftshed.roster.log import TransactionLog
 
 TOPICS = ("one", "two", "three")
 ORDER_INTERVAL_S, PROPOSAL_INTERVAL_S, PROPOSAL_TIMEOUT_S = 0.1, (0.3, 1.2), 1.0  # seconds
@@ -99,7 +99,7 @@
     """Removes one guard of the fleet in this process, so that its checker is shown to detect the violation. `name`: of
     the supervisor that this process runs, if any; only those with names ending in 0 violate the rule of policies."""
     if guard == "leases":  # acts without a lease, as long as it is listed
-        Agent.holds = lambda self: self.chair.standing is Standing.LISTED and not self.stopped
+        Agent.holds = lambda self: self.chair.state is RegistrationState.LISTED and not self.stopped
         tiered.Tiered.acts = Agent.holds
     elif guard == "epochs":  # writes regardless of the version in the store
         write = Agent._write
@@ -125,13 +125,13 @@
         part.may_change_tables = lambda known, now: True
         part.PolicyPart._holds_still = lambda self: False
     elif guard == "owners":  # a proxy whose terms do not increase
-        dial = Follower._dial
+        dial = Follower._join
 
         def connect_without_terms(self) -> None:
             self.term = 0
             dial(self)
 
-        Follower._dial = connect_without_terms
+        Follower._join = connect_without_terms
 
 
 @click.command(context_settings={"ignore_unknown_options": True})
@@ -146,13 +146,13 @@
         real_time = time.time
         time.time = lambda: real_time() + clock_off
     if slow_disk:
-        sync = Log.sync
+        sync = TransactionLog.sync
 
         def slow_sync(self) -> None:
             time.sleep(slow_disk)
             sync(self)
 
-        Log.sync = slow_sync
+        TransactionLog.sync = slow_sync
     if guard:
         take_out(guard, dict(zip(command, command[1:], strict=False)).get("--name", ""))
     if orders_to:
--- a/driftshed/day/script.py
+++ b/driftshed/day/script.py
@@ -13,8 +13,8 @@
 
 from driftshed import interface as face
 from driftshed.evacuation.places import read_regions
-from driftshed.standins.emulator import Machine
-from driftshed.supervisor.flags import facts_of
+from driftshed.standins.emulator import ServerProperties
+from driftshed.supervisor.flags import facts_from_flags
 
 NonNegativeSeconds = Annotated[float, Meta(ge=0, le=600)]
 PositiveSeconds = Annotated[float, Meta(gt=0, le=600)]
@@ -258,12 +258,12 @@
     @property
     def facts(self) -> face.StartFacts:
         """The start facts, parsed from the flags by the supervisor's own code."""
-        return facts_of(self.flags, self.operations)
+        return facts_from_flags(self.flags, self.operations)
 
-    def machine(self, kind: int) -> Machine:
+    def machine(self, kind: int) -> ServerProperties:
         """The capacity model of servers of a kind, given by its index."""
         facts, fleet = self.facts, self.fleet
-        return Machine(
+        return ServerProperties(
             fleet.cores,
             fleet.speed[kind % len(fleet.speed)],
             fleet.room,
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -25,7 +25,7 @@
 from driftshed.net.loop import Loop
 from driftshed.policy import document as policies
 from driftshed.standins.client import ClientStandin
-from driftshed.standins.emulator import Ill, ServerStandin
+from driftshed.standins.emulator import ServerFault, ServerStandin
 from driftshed.standins.roster import RosterStandin, StoreRoster
 
 COMPLETION_TIME_S = 2.5  # after the last arrival, for requests in progress
@@ -372,7 +372,7 @@
 
     def _listed_server(self, number: int, state: str = "ready") -> ListedServer:
         facts = self.facts
-        started = RosterStandin.unix(self.servers[number].started)
+        started = RosterStandin.unix_time(self.servers[number].started)
         return ListedServer(
             self.cast.server(number),
             facts.zones[self.cast.zone_of_server(number)],
@@ -395,7 +395,7 @@
             self._open()
             self.loop.run(self.recorder.began + self.script.seconds)
             for client in self.clients:
-                client.open = False
+                client.running = False
             self.loop.run(self.loop.clock() + COMPLETION_TIME_S)
         finally:
             self._close()
@@ -422,7 +422,7 @@
         else:
             client = HttpClient(self.loop, self.roster_relays[0].address)
             self.roster = RosterStandin(self.loop, client, fleet.roster_lag)
-        self.roster.begin([self._listed_server(number) for number in range(fleet.servers)])
+        self.roster.publish_initial([self._listed_server(number) for number in range(fleet.servers)])
         for number, rate in enumerate(rates):
             address = (self.cast.proxy_host(number), ASK_PORT)
             self.clients.append(
@@ -496,7 +496,7 @@
 
     def _pick_servers(self, count: int, zone: str = "") -> list[int]:
         """Randomly chosen healthy servers, or all healthy servers of a zone."""
-        healthy = [n for n, server in self.servers.items() if n not in self.removed and server.up and not server.ills]
+        healthy = [n for n, server in self.servers.items() if n not in self.removed and server.up and not server.faults]
         if zone:
             return [n for n in healthy if self.facts.zones[self.cast.zone_of_server(n)] == zone]
         return sorted(self.random.sample(healthy, min(count, len(healthy))))
@@ -550,19 +550,19 @@
         for number in numbers:
             server = self.servers[number]
             self._record_event(trouble.how, server=self.cast.server(number))
-            server.fall_ill(
+            server.add_fault(
                 (trouble.how, trouble.at),
                 {
-                    "hang": Ill(hangs=True),
-                    "errors": Ill(errors=trouble.size),
-                    "slow": Ill(slower=trouble.size),
+                    "hang": ServerFault(hangs=True),
+                    "errors": ServerFault(errors=trouble.size),
+                    "slow": ServerFault(slower=trouble.size),
                 }[trouble.how],
             )
 
         def recover() -> None:
             for number in numbers:
                 self._record_event("well", server=self.cast.server(number))
-                self.servers[number].recover((trouble.how, trouble.at))
+                self.servers[number].remove_fault((trouble.how, trouble.at))
 
         self.loop.after(trouble.lasts, recover)
 
@@ -740,11 +740,11 @@
     def _begin_surge(self, trouble: schema.Surge) -> None:
         self._record_event("surge", times=trouble.times)
         for client in self.clients:
-            client.surge *= trouble.times
+            client.rate_factor *= trouble.times
 
         def restore() -> None:
             for client in self.clients:
-                client.surge /= trouble.times
+                client.rate_factor /= trouble.times
 
         self.loop.after(trouble.lasts, restore)
 
--- a/driftshed/evacuation/part.py
+++ b/driftshed/evacuation/part.py
@@ -89,7 +89,7 @@
         agent.on_record = lambda record: (previous_on_record(record), self._apply())
         service.views["zones"] = self.view
         service.actions["zones"] = (OperatorOrder, self.handle_order)
-        service.waits = self._join_refusal
+        service.not_ready_reason = self._join_refusal
         self._tick()
 
     def _join_refusal(self) -> str:
@@ -175,7 +175,7 @@
                     entry.weight if self.facts.listed_weights != "off" else 1.0
                 )
         # Only the own proxies report to a supervisor: the others are assumed to bring as much work each.
-        scale = self.facts.proxies / max(1, len(self.service.polls))
+        scale = self.facts.proxies / max(1, len(self.service.streams))
         busy = [
             scale
             * sum(concurrency for (_, zone), concurrency in self.evidence.usual_concurrency.items() if zone == number)
@@ -294,7 +294,7 @@
         self.shares = shares
         update = self.overlay.set_shares(shares, self.service.instance.roster.version or 0, self.loop.clock())
         if update is not None:
-            self.service.hear_overlaid(update)
+            self.service.apply_overlay(update)
 
     # ---- proposals and votes ----------------------------------------------------------------------------------
 
--- a/driftshed/lab/baselines.py
+++ b/driftshed/lab/baselines.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from driftshed import interface as face
-from driftshed.proxy.pick import Round, Two, Weighted, Weights
+from driftshed.proxy.pick import RoundRobinPicker, TwoChoicesPicker, WeightedPicker, Weights
 
 
 class AllToAll:
@@ -38,20 +38,20 @@
         return [face.SetLine(s, 0.0, 0) for s in gone] + [face.SetLine(s, 1.0, 0) for s in new]
 
 
-class LeastOutstanding(Weighted):
+class LeastOutstanding(WeightedPicker):
     """Picks the line with the fewest outstanding invocations of this proxy, at random among equals."""
 
     def __init__(self, weights: Weights, random: Random) -> None:
         """`random` breaks ties."""
         super().__init__(weights, random)
 
-    def pick(self, but: list[str], out: dict[str, int]) -> str | None:
-        """A server not in `but`, by the outstanding invocations in `out`; None where there is none."""
-        names = [name for name in self.weights.place if name not in but]
+    def pick(self, excluded: list[str], in_flight: dict[str, int]) -> str | None:
+        """A server not in `excluded`, by the outstanding invocations in `in_flight`; None where there is none."""
+        names = [name for name in self.weights.slots if name not in excluded]
         if not names:
             return None
-        fewest = min(out.get(name, 0) for name in names)
-        return self.random.choice([name for name in names if out.get(name, 0) == fewest])
+        fewest = min(in_flight.get(name, 0) for name in names)
+        return self.random.choice([name for name in names if in_flight.get(name, 0) == fewest])
 
 
 class Policy(NamedTuple):
@@ -64,8 +64,8 @@
 
 POLICIES = {
     "driftshed": Policy(None, None, "the product"),
-    "all-to-all": Policy(AllToAll, Weighted, "all ready servers to all proxies, drawn at random"),
-    "round-robin": Policy(AllToAll, Round, "all ready servers to all proxies, in turn"),
+    "all-to-all": Policy(AllToAll, WeightedPicker, "all ready servers to all proxies, drawn at random"),
+    "round-robin": Policy(AllToAll, RoundRobinPicker, "all ready servers to all proxies, in turn"),
     "least-out": Policy(AllToAll, LeastOutstanding, "all ready servers, the one with the fewest own invocations out"),
-    "two-drawn": Policy(AllToAll, Two, "all ready servers, the better of two drawn at random"),
+    "two-drawn": Policy(AllToAll, TwoChoicesPicker, "all ready servers, the better of two drawn at random"),
 }
--- a/driftshed/lab/command.py
+++ b/driftshed/lab/command.py
@@ -15,9 +15,9 @@
 from driftshed.common.options import option
 from driftshed.lab.compare import compare
 from driftshed.lab.experiment import Experiment, Variant, run_pending
-from driftshed.lab.hunt import save_day, search
 from driftshed.lab.run import Outcome
-from driftshed.lab.scenario import SIZES, BadScenario, bare_day, drawn, format_scenario, load_scenario
+from driftshed.lab.scenario import SIZES, ScenarioError, fault_free_day, format_scenario, load_scenario, random_day
+from driftshed.lab.search import save_day, search
 from driftshed.lab.store import Job, RunRow, RunStore
 
 DEFAULT_STORE = Path("lab.sqlite")
@@ -109,7 +109,7 @@
                 clock,
             )
         matrix_jobs = matrix.jobs()
-    except BadScenario as error:
+    except ScenarioError as error:
         raise click.BadParameter(str(error), param_hint="SCENARIOS") from None
     run_store = _open_store(store)
     run_store.add_jobs(matrix_jobs)
@@ -283,7 +283,7 @@
         click.echo(f"{path}: {day.scenario.about}; {len(day.scenario.troubles)} faults, {day.scenario.seconds:g} s")
     if not found:
         click.echo("nothing was found")
-    sys.exit(1 if any(not day.outcome.kept for day in found) else 0)
+    sys.exit(1 if any(not day.outcome.rules_kept for day in found) else 0)
 
 
 @lab.command()
@@ -292,7 +292,7 @@
 @option("seconds", type=click.FloatRange(3, 86400), default=None, help="of the day, unless its size's own")
 def draw(size: str, seed: int, seconds: float | None) -> None:
     """Prints a scenario as a starting point."""
-    day = drawn(seed, size, seconds) if seed else bare_day(size, seconds)
+    day = random_day(seed, size, seconds) if seed else fault_free_day(size, seconds)
     click.echo(format_scenario(day), nl=False)
 
 
@@ -312,7 +312,7 @@
 
     try:
         day = load_scenario(scenario)
-    except BadScenario as error:
+    except ScenarioError as error:
         raise click.BadParameter(str(error), param_hint="SCENARIO") from None
     hosts, loop, operations = addresses(proxies, "proxy"), Loop(), day.facts.operations
     surges = [fault for fault in day.troubles if isinstance(fault, Surge)]
--- a/driftshed/lab/grounds.py
+++ b/driftshed/lab/environments.py
@@ -22,14 +22,14 @@
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
 from driftshed.lab.record import TrafficRecord
-from driftshed.lab.scenario import BadScenario, Link, Scenario, control_zone
-from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
+from driftshed.lab.scenario import Link, Scenario, ScenarioError, supervisor_zone
+from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
 from driftshed.net.http import SOCKETS, Transport
 from driftshed.net.loop import Loop
-from driftshed.proxy.follow import HEARS_WITHIN
-from driftshed.proxy.whole import Place, Proxy
+from driftshed.proxy.assembly import Proxy, ProxyOptions
+from driftshed.proxy.follow import SUPERVISOR_TIMEOUT_S
 from driftshed.roster.follow import RosterFollower
-from driftshed.roster.log import Log
+from driftshed.roster.log import TransactionLog
 from driftshed.roster.membership import Membership
 from driftshed.roster.serve import StoreServer
 from driftshed.supervisor.service import Service
@@ -38,7 +38,7 @@
 SUPERVISOR_PORT = 7100
 
 
-class VirtualGround:
+class VirtualEnvironment:
     """Supervisors, proxies and everything else in one process, in virtual time."""
 
     def __init__(self, scenario: Scenario, seed: int, brain: Callable | None = None, pick: object = None) -> None:
@@ -47,15 +47,15 @@
         self.scenario, self.facts = scenario, scenario.facts
         self.brain, self.pick = brain, pick
         self.cast = Cast(self.facts, 7)
-        self.whole = VirtualLoop()
-        self.loop = Seat(self.whole, "lab")
-        self.network = Network(self.whole, seed, self._make_route)
+        self.virtual_loop = VirtualLoop()
+        self.loop = Seat(self.virtual_loop, "lab")
+        self.network = Network(self.virtual_loop, seed, self._make_route)
         self.link_faults: list[Link] = []
         self.roster_host, self.view_host = "127.7.0.3", "127.7.0.5"
         supervisor_count = scenario.fleet.supervisors
         self.control_hosts = [f"127.7.0.{9 + k}" for k in range(supervisor_count)]
         self.network.zones |= {self.roster_host: "roster", "127.7.0.4": "clients", self.view_host: "control"}
-        self.network.zones |= {host: control_zone(k) for k, host in enumerate(self.control_hosts)}
+        self.network.zones |= {host: supervisor_zone(k) for k, host in enumerate(self.control_hosts)}
         # With several supervisors, control streams are observed at the client: a supervisor that a proxy has left may
         # still answer, and only what arrives at the proxy counts.
         self.record = TrafficRecord(self._stream_kind, (ASK,) if supervisor_count == 1 else (ASK, CONTROL))
@@ -89,12 +89,12 @@
 
     # ---- network ----------------------------------------------------------------------------------------------
 
-    def _make_route(self, here: str, there: str) -> Way:
-        route = Way(0.0, 0.0)
+    def _make_route(self, here: str, there: str) -> Route:
+        route = Route(0.0, 0.0)
         self._set_route(route, here, there)
         return route
 
-    def _set_route(self, route: Way, here: str, there: str) -> None:
+    def _set_route(self, route: Route, here: str, there: str) -> None:
         """Sets delay, jitter, loss and cut of a route from the scenario and the link faults in force."""
         base = self.scenario.network
         inside = here == there or "clients" in (here, there)
@@ -115,7 +115,7 @@
             self.link_faults.append(fault)
         else:
             self.link_faults.remove(fault)
-        for (here, there), route in self.network.ways.items():
+        for (here, there), route in self.network.routes.items():
             self._set_route(route, here, there)
 
     def transport(self, host: str) -> Transport:
@@ -154,15 +154,15 @@
         configured."""
         self.run_count += 1
         host, fleet = self.control_hosts[number], self.scenario.fleet
-        seat = self.supervisors[number] = Seat(self.whole, f"supervisor{number or ''}")
+        seat = self.supervisors[number] = Seat(self.virtual_loop, f"supervisor{number or ''}")
         options = {"brain": self.brain} if self.brain else {}
-        instance = Instance(self.facts, seed, f"run{self.run_count}", self.whole.now, 0.0, **options)
+        instance = Instance(self.facts, seed, f"run{self.run_count}", self.virtual_loop.now, 0.0, **options)
         service = self.services[number] = Service(
             seat,
             instance,
             (host, SUPERVISOR_PORT),
             self._log,
-            silence=SILENCE_TIMEOUT_S,
+            silence_timeout=SILENCE_TIMEOUT_S,
             transport=self.transport(host),
         )
 
@@ -180,7 +180,7 @@
                 fleet.session_timeout,
                 self.network.dial(host, lambda: self._store_tap(STORE, host)),
             )
-            service.followed, instance.on_server_answered = "the store", follower.answered
+            service.roster_source, instance.on_server_answered = "the store", follower.record_answer
         if fleet.supervisors > 1:
             names = [f"s{k}" for k in range(fleet.supervisors)]
             self.agents[number] = take_part(
@@ -204,65 +204,67 @@
 
     def start_store(self) -> None:
         """Starts the store on the files in `folder`."""
-        self.store_seat = Seat(self.whole, "store")
-        self.store = StoreServer(self.store_seat, self.store_address, Log(self.folder), 1, self.network.listen)
+        self.store_seat = Seat(self.virtual_loop, "store")
+        self.store = StoreServer(
+            self.store_seat, self.store_address, TransactionLog(self.folder), 1, self.network.listen
+        )
 
     def kill_store(self) -> None:
         """Ends the store as SIGKILL does."""
-        self.network.end(self.store_seat)
+        self.network.end_process(self.store_seat)
 
     def pause_store(self, seconds: float) -> None:
         """Pauses the store for `seconds`."""
-        self.store_seat.hold_still(self.whole.now + seconds)
+        self.store_seat.pause_until(self.virtual_loop.now + seconds)
 
     def _store_tap(self, kind: str, host: str) -> Callable[[bool, bytes], object]:
         """Records the traffic between a supervisor and the store for the judge, under an address of its own."""
         connection = StoreTalk(Opened(0, kind, host, f"{host}:2181"))
         self.record.kinds.setdefault(kind, []).append(connection)
-        return lambda outward, data: connection.feed(Passed(self.whole.now, 0, not outward, data))
+        return lambda outward, data: connection.feed(Passed(self.virtual_loop.now, 0, not outward, data))
 
     def _log(self, event: str, **fields: object) -> None:
         if event in ("zones", "stage"):
-            self.stages.append((round(self.whole.now, 3), event, fields))
+            self.stages.append((round(self.virtual_loop.now, 3), event, fields))
         elif event == "decided":
-            self.decided.append((self.whole.now, str(fields["text"])))
+            self.decided.append((self.virtual_loop.now, str(fields["text"])))
         elif event in ("module_fault", "handler_fault", "fault"):
-            self.faults.append(f"{self.whole.now:.3f} s: {event} {fields.get('error')}")
+            self.faults.append(f"{self.virtual_loop.now:.3f} s: {event} {fields.get('error')}")
 
-    def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
+    def start_proxies(self, proxy_options: list[ProxyOptions], seeds: list[int]) -> float:
         """Starts all proxies; returns the start of the day on the loop's clock."""
         controls = [(host, SUPERVISOR_PORT) for host in self.control_hosts]
-        within = self.scenario.fleet.hears_within if len(controls) > 1 else HEARS_WITHIN
+        within = self.scenario.fleet.hears_within if len(controls) > 1 else SUPERVISOR_TIMEOUT_S
         self.seats = []
-        for place, seed in zip(places, seeds, strict=True):
-            host = place.listen[0]
-            self.network.zones[host] = place.zone
-            seat = Seat(self.whole, f"proxy {place.number}")
+        for options, seed in zip(proxy_options, seeds, strict=True):
+            host = options.listen[0]
+            self.network.zones[host] = options.zone
+            seat = Seat(self.virtual_loop, f"proxy {options.number}")
             self.seats.append(seat)
-            first = place.number % len(controls)
-            place = place._replace(supervisors=controls[first:] + controls[:first], hears_within=within)
-            proxy = Proxy(seat, place, self.facts, seed, self._log, f"{seed:x}", transport=self.transport(host))
+            first = options.number % len(controls)
+            options = options._replace(supervisors=controls[first:] + controls[:first], supervisor_timeout=within)
+            proxy = Proxy(seat, options, self.facts, seed, self._log, f"{seed:x}", transport=self.transport(host))
             if self.pick is not None:
-                proxy.tables.pick_by = self.pick
-                proxy.tables._build(None)
+                proxy.tables.picker_type = self.pick
+                proxy.tables.build_picker(None)
             self.proxies.append(proxy)
         return 0.0
 
     def kill_supervisor(self, number: int = 0) -> None:
         """Ends a supervisor as SIGKILL does: its streams are reset."""
-        self.network.end(self.supervisors[number])
+        self.network.end_process(self.supervisors[number])
         server = self.services[number].http
         server.on_connection_end = None
         server.close(hard=True)
 
     def pause_supervisor(self, seconds: float, number: int = 0) -> None:
         """Pauses a supervisor for `seconds`."""
-        self.supervisors[number].hold_still(self.whole.now + seconds)
+        self.supervisors[number].pause_until(self.virtual_loop.now + seconds)
 
     def pause_proxies(self, numbers: list[int], seconds: float) -> None:
         """Pauses proxies for `seconds`."""
         for number in numbers:
-            self.seats[number].hold_still(self.whole.now + seconds)
+            self.seats[number].pause_until(self.virtual_loop.now + seconds)
 
     def reset_proxy_streams(self, numbers: list[int]) -> None:
         """Resets all streams between these proxies and the supervisors."""
@@ -277,13 +279,13 @@
     """Supervisor and proxies as processes of their own, on loopback sockets."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path) -> None:
-        """`folder` is for records and logs. Raises BadScenario for what only virtual time can do."""
+        """`folder` is for records and logs. Raises ScenarioError for what only virtual time can do."""
         self.scenario, self.facts, self.folder = scenario, scenario.facts, folder
         if scenario.fleet.store:
-            raise BadScenario("fleet.store: only in virtual time; with real processes, run `driftshed day sessions`")
+            raise ScenarioError("fleet.store: only in virtual time; with real processes, run `driftshed day sessions`")
         for fault in scenario.troubles:
             if isinstance(fault, Link) and not (fault.cut and fault.both):
-                raise BadScenario(
+                raise ScenarioError(
                     f"link at {fault.at} s: with real processes, links can only be cut, in both directions"
                 )
         self.net, self.lock = free_net(os.getpid())
@@ -337,12 +339,18 @@
             self.supervisor.process.stdout.close()
         self.supervisor.start(seed)
 
-    def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
+    def start_proxies(self, proxy_options: list[ProxyOptions], seeds: list[int]) -> float:
         """Starts all proxies, waits until every process listens, and returns the start of the record."""
-        for place, seed in zip(places, seeds, strict=True):
+        for options, seed in zip(proxy_options, seeds, strict=True):
             proxy = ProxyProcess(self.scenario, self.folder, None)
             proxy.start(
-                place.number, place.zone, place.rate, place.listen, [self.control_relay.address], place.standing, seed
+                options.number,
+                options.zone,
+                options.rate,
+                options.listen,
+                [self.control_relay.address],
+                options.initial_servers,
+                seed,
             )
             self.proxies.append(proxy)
         for process in (self.supervisor, *self.proxies):
--- a/driftshed/lab/experiment.py
+++ b/driftshed/lab/experiment.py
@@ -21,7 +21,7 @@
 from driftshed.lab.baselines import POLICIES
 from driftshed.lab.once import Task
 from driftshed.lab.run import Outcome
-from driftshed.lab.scenario import BadScenario, drawn, format_scenario, load_scenario, parse_scenario
+from driftshed.lab.scenario import ScenarioError, format_scenario, load_scenario, parse_scenario, random_day
 from driftshed.lab.store import Job, RunStore
 
 RUN_TIMEOUT_S = 3600.0  # wall-clock time of one run
@@ -49,18 +49,18 @@
     clock: Literal["virtual", "real"] = "virtual"
 
     def jobs(self) -> list[Job]:
-        """Every run of the matrix. Raises BadScenario where one is invalid."""
+        """Every run of the matrix. Raises ScenarioError where one is invalid."""
         sources = [(name, lambda seed, name=name: format_scenario(load_scenario(name))) for name in self.scenarios]
         if self.drawn:
-            sources.append((f"drawn {self.drawn}", lambda seed: format_scenario(drawn(seed, self.drawn))))
+            sources.append((f"drawn {self.drawn}", lambda seed: format_scenario(random_day(seed, self.drawn))))
         jobs = []
         for variant in self.variants:
             if variant.policy not in POLICIES:
-                raise BadScenario(f"policy {variant.policy!r} is not one of {', '.join(POLICIES)}")
+                raise ScenarioError(f"policy {variant.policy!r} is not one of {', '.join(POLICIES)}")
             if self.clock == "real" and variant.policy != "driftshed":
-                raise BadScenario(f"policy {variant.policy!r}: baselines run only in virtual time")
+                raise ScenarioError(f"policy {variant.policy!r}: baselines run only in virtual time")
             if variant.build and not (Path(variant.build) / "driftshed" / "lab").is_dir():
-                raise BadScenario(f"build {variant.build!r}: not a folder that contains driftshed/lab")
+                raise ScenarioError(f"build {variant.build!r}: not a folder that contains driftshed/lab")
             for name, make_text in sources:
                 for seed in self.seeds:
                     text = make_text(seed)
--- a/driftshed/lab/load.py
+++ b/driftshed/lab/load.py
@@ -13,7 +13,7 @@
 from hdrh.histogram import HdrHistogram
 
 from driftshed import interface as face
-from driftshed.lab.scenario import BadScenario, Surge, Traffic
+from driftshed.lab.scenario import ScenarioError, Surge, Traffic
 from driftshed.net.http import Answer, HttpClient, Transport
 from driftshed.net.loop import Timers
 
@@ -102,7 +102,7 @@
 
 
 def read_trace(path: str, names: list[str]) -> tuple[np.ndarray, np.ndarray]:
-    """Times and operations of a file of invocations, one "SECONDS OPERATION" a line. Raises BadScenario."""
+    """Times and operations of a file of invocations, one "SECONDS OPERATION" a line. Raises ScenarioError."""
     times, indices, index_of = [], [], {name: index for index, name in enumerate(names)}
     try:
         with Path(path).open() as file:
@@ -112,11 +112,11 @@
                     continue
                 if len(parts) != 2 or parts[1] not in index_of or number > MAX_TRACE_LINES:
                     text = f"{path}, line {number}: expected seconds and one of {', '.join(names)}"
-                    raise BadScenario(text + f", at most {MAX_TRACE_LINES} lines")
+                    raise ScenarioError(text + f", at most {MAX_TRACE_LINES} lines")
                 times.append(float(parts[0]))
                 indices.append(index_of[parts[1]])
     except (OSError, ValueError) as error:
-        raise BadScenario(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     order = np.argsort(times, kind="stable")
     return np.array(times)[order], np.array(indices, dtype=int)[order]
 
--- a/driftshed/lab/once.py
+++ b/driftshed/lab/once.py
@@ -23,7 +23,7 @@
 
 
 def run_task(task: Task):
-    """Runs the scenario of a task. Raises BadScenario."""
+    """Runs the scenario of a task. Raises ScenarioError."""
     scenario = parse_scenario(task.text, "scenario")
     scenario.flags |= task.flags
     return run(scenario, task.seed, task.clock, task.policy)
--- a/driftshed/lab/run.py
+++ b/driftshed/lab/run.py
@@ -19,9 +19,9 @@
 from driftshed.day.recorder import ASK, WORK, read_record
 from driftshed.day.traffic import read_traffic
 from driftshed.lab.baselines import POLICIES
-from driftshed.lab.grounds import RealEnvironment, VirtualGround, decisions_in_log
-from driftshed.lab.scenario import Scenario, check, format_scenario
-from driftshed.lab.world import SETTLE_S, World
+from driftshed.lab.environments import RealEnvironment, VirtualEnvironment, decisions_in_log
+from driftshed.lab.scenario import Scenario, check_scenario, format_scenario
+from driftshed.lab.simulation import SETTLE_S, SimulatedDeployment
 
 WORST_WINDOW_S = 10.0  # length of the window whose service is reported as the worst
 
@@ -58,7 +58,7 @@
     wall: tuple[float, float]  # seconds of the run, and of judging it
 
     @property
-    def kept(self) -> bool:
+    def rules_kept(self) -> bool:
         """Whether no rule was broken and no fault raised."""
         return not any(row["broken"] for row in self.rules.values()) and not self.faults
 
@@ -66,35 +66,35 @@
 def run(scenario: Scenario, seed: int, clock: str = "virtual", policy: str = "driftshed") -> Outcome:
     """Runs the scenario's day and judges it by the recorded traffic. `clock` is "virtual" or "real"; with "real"
     the policy is always the product's."""
-    check(scenario)
+    check_scenario(scenario)
     began = time.perf_counter()
     if clock == "virtual":
         chosen = POLICIES[policy]
-        environment = VirtualGround(scenario, seed, chosen.brain, chosen.pick)
-        world = World(scenario, seed, environment)
-        results = _play(world)
-        with rare_collections():
+        environment = VirtualEnvironment(scenario, seed, chosen.brain, chosen.pick)
+        deployment = SimulatedDeployment(scenario, seed, environment)
+        results = _play(deployment)
+        with infrequent_garbage_collection():
             environment.loop.loop.run(scenario.seconds + SETTLE_S)
         if environment.folder is not None:
             shutil.rmtree(environment.folder, ignore_errors=True)
         kinds, decided = environment.record.kinds, [text for _, text in environment.decided]
-        events, began_unix = environment.whole.events, 0.0
+        events, began_unix = environment.virtual_loop.events, 0.0
     else:
         with tempfile.TemporaryDirectory() as scratch:
             environment = RealEnvironment(scenario, seed, Path(scratch))
-            world = World(scenario, seed, environment)
-            environment.servers = world.servers
+            deployment = SimulatedDeployment(scenario, seed, environment)
+            environment.servers = deployment.servers
             try:
-                results = _play(world)
-                environment.loop.run(world.started_at + scenario.seconds + SETTLE_S)
+                results = _play(deployment)
+                environment.loop.run(deployment.started_at + scenario.seconds + SETTLE_S)
             finally:
-                if world.places:
-                    world.close()
+                if deployment.proxy_options:
+                    deployment.close()
                 environment.close()
             began_unix, kinds = read_traffic(read_record(Path(scratch) / "record"))
             decided, events = decisions_in_log(Path(scratch) / "supervisor.log"), 0
     played = time.perf_counter()
-    outcome = _judge(world, kinds, began_unix, results)
+    outcome = _judge(deployment, kinds, began_unix, results)
     outcome.clock, outcome.policy, outcome.decided, outcome.events = clock, policy, decided, events
     outcome.faults, outcome.stages = environment.faults, environment.stages
     outcome.wall = round(played - began, 3), round(time.perf_counter() - played, 3)
@@ -102,7 +102,7 @@
 
 
 @contextmanager
-def rare_collections() -> Iterator[None]:
+def infrequent_garbage_collection() -> Iterator[None]:
     """Makes garbage collection less frequent: the many objects that a run keeps are scanned over and over, which
     took a fifth of all time."""
     before = gc.get_threshold()
@@ -115,59 +115,59 @@
         gc.unfreeze()
 
 
-def _play(world: World) -> list[tuple[float, int, float | None, int]]:
+def _play(deployment: SimulatedDeployment) -> list[tuple[float, int, float | None, int]]:
     results: list[tuple[float, int, float | None, int]] = []
-    world.open()
-    world.load.on_result = lambda *row: results.append(row)
+    deployment.open()
+    deployment.load.on_result = lambda *row: results.append(row)
     return results
 
 
-def _judge(world: World, kinds: dict[str, list], began_unix: float, results: list) -> Outcome:
-    scenario, facts, cast = world.scenario, world.facts, world.cast
+def _judge(deployment: SimulatedDeployment, kinds: dict[str, list], began_unix: float, results: list) -> Outcome:
+    scenario, facts, cast = deployment.scenario, deployment.facts, deployment.cast
     case = Case(
         facts,
         cast,
         lambda number: scenario.machine(cast.kind_of_server(number), facts),
         scenario.seconds,
-        world.cuts,
-        world.kills,
+        deployment.cuts,
+        deployment.kills,
         began_unix,
         kinds,
-        world.environment.owner,
-        world.pauses,
+        deployment.environment.owner,
+        deployment.pauses,
     )
     judge = Judge(case)
     verdict: Verdict = judge.judge()
     if scenario.fleet.supervisors > 1:
-        judge_accord(verdict, kinds, world.environment.owner)
+        judge_accord(verdict, kinds, deployment.environment.owner)
     over_time = service_over_time(scenario, results)
-    lag = world.load.lag
-    carried, digest = _work_by_server(world, kinds)
+    lag = deployment.load.lag
+    carried, digest = _work_by_server(deployment, kinds)
     return Outcome(
         format_scenario(scenario),
-        world.seed,
+        deployment.seed,
         "",
         "",
         lag.kept_up,
         (round(lag.p99, 6), round(lag.max, 6)),
         verdict.service if verdict.asked else 1.0,
         worst_service(over_time),
-        service_bound(world, results),
+        service_bound(deployment, results),
         verdict.asked,
         verdict.operations,
         {
             operation.name: {str(p): histogram.get_value_at_percentile(p) / 1e6 for p in (50, 90, 99, 99.9)}
-            for operation, histogram in zip(facts.operations, world.load.histograms, strict=True)
+            for operation, histogram in zip(facts.operations, deployment.load.histograms, strict=True)
             if histogram.get_total_count()
         },
         over_time,
         verdict.rules,
         verdict.breaks,
         verdict.margins,
-        [(round(period.since, 3), round(period.till, 3), period.what) for period in world.fault_periods],
-        [(round(sample.at, 3), sample.queued_lines) for sample in world.samples],
+        [(round(period.since, 3), round(period.till, 3), period.what) for period in deployment.fault_periods],
+        [(round(sample.at, 3), sample.queued_lines) for sample in deployment.samples],
         facts.queue_cap,
-        _withdrawn_periods(world),
+        _withdrawn_periods(deployment),
         carried,
         [],
         [],
@@ -203,18 +203,18 @@
     return worst
 
 
-def service_bound(world: World, results: list) -> float:
+def service_bound(deployment: SimulatedDeployment, results: list) -> float:
     """An upper bound on the service of any policy: second by second, all servers that are up share all work without
     loss, and the work with the highest value per second goes first. No real policy reaches it."""
-    facts, traffic = world.facts, world.scenario.traffic
+    facts, traffic = deployment.facts, deployment.scenario.traffic
     mean = [(low + high) / 2 for low, high in traffic.work]
-    asked = np.zeros((int(np.ceil(world.scenario.seconds)), len(facts.operations)))
+    asked = np.zeros((int(np.ceil(deployment.scenario.seconds)), len(facts.operations)))
     for intended, operation_index, *_ in results:
         asked[min(int(intended), len(asked) - 1), operation_index] += 1
     values = np.array([operation.billed_value for operation in facts.operations])
     order = np.argsort(-values / np.array(mean))
     earned, unused = 0.0, 0.0
-    samples = world.samples
+    samples = deployment.samples
     for second in range(len(asked)):
         nearest = min(samples, key=lambda sample: abs(sample.at - second), default=None)
         available = sum(nearest.capacity.values()) if nearest else 0.0
@@ -229,7 +229,7 @@
     return float(earned / requested) if requested else 1.0
 
 
-def _work_by_server(world: World, kinds: dict[str, list]) -> tuple[dict, str]:
+def _work_by_server(deployment: SimulatedDeployment, kinds: dict[str, list]) -> tuple[dict, str]:
     """By server and second: the work sent to it and its capacity; and a digest of all traffic."""
     digest = hashlib.blake2b(digest_size=16)
     sent: dict[str, dict[int, float]] = {}
@@ -243,7 +243,7 @@
         for exchange in connection.exchanges:
             digest.update(f"{exchange.asked_at!r} {exchange.answered_at!r} {exchange.status}\n".encode())
     rows: dict[str, list[tuple[float, float, float]]] = {}
-    for sample in world.samples:
+    for sample in deployment.samples:
         second = int(sample.at)
         for server, capacity in sample.capacity.items():
             work = sent.get(server, {}).get(second, 0.0)
@@ -251,16 +251,16 @@
     return rows, digest.hexdigest()
 
 
-def _withdrawn_periods(world: World) -> list[tuple[str, float, float, str]]:
+def _withdrawn_periods(deployment: SimulatedDeployment) -> list[tuple[str, float, float, str]]:
     """Periods for which the supervisor reported a server as withdrawn: server, since, till, reason."""
     current: dict[str, list] = {}
     rows = []
-    for sample in world.samples:
+    for sample in deployment.samples:
         if not sample.supervisor_answered:
             continue
         for server in [server for server in current if server not in sample.withdrawn]:
             rows.append((server, current[server][0], sample.at, current.pop(server)[1]))
         for server, why in sample.withdrawn.items():
             current.setdefault(server, [sample.at, why.partition(": ")[2] or why])
-    rows += [(server, since, world.scenario.seconds, why) for server, (since, why) in current.items()]
+    rows += [(server, since, deployment.scenario.seconds, why) for server, (since, why) in current.items()]
     return [(server, round(since, 2), round(till, 2), why) for server, since, till, why in rows]
--- a/driftshed/lab/scenario.py
+++ b/driftshed/lab/scenario.py
@@ -16,8 +16,8 @@
 from driftshed import interface as face
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
-from driftshed.standins.emulator import Machine
-from driftshed.supervisor.flags import facts_of
+from driftshed.standins.emulator import ServerProperties
+from driftshed.supervisor.flags import facts_from_flags
 
 Seconds = Annotated[float, Meta(ge=0, le=86400)]
 PositiveSeconds = Annotated[float, Meta(gt=0, le=86400)]
@@ -27,12 +27,12 @@
 Factor = Annotated[float, Meta(gt=0, le=1000)]
 
 
-class BadScenario(Exception):
+class ScenarioError(Exception):
     """Raised with what is wrong with a scenario, and where."""
 
 
 class ServerKind(Struct, forbid_unknown_fields=True):
-    """A kind of server, with the fields of `emulator.Machine`."""
+    """A kind of server, with the fields of `emulator.ServerProperties`."""
 
     cores: Count = 2
     speed: Factor = 1.0
@@ -310,13 +310,13 @@
     @property
     def facts(self) -> face.StartFacts:
         """The start facts that flags and operations amount to. Raises click.ClickException for invalid flags."""
-        return facts_of(self.flags, self.operations)
+        return facts_from_flags(self.flags, self.operations)
 
-    def machine(self, kind: int, facts: face.StartFacts) -> Machine:
+    def machine(self, kind: int, facts: face.StartFacts) -> ServerProperties:
         """The emulated server of a kind, with the warm-up and overload behaviour that the facts state."""
         settings = self.fleet.kinds[kind % len(self.fleet.kinds)]
         marks = max((o.repeat_window or 0.0 for o in facts.operations), default=0.0)
-        return Machine(
+        return ServerProperties(
             **msgspec.structs.asdict(settings),
             cold_share=facts.cold_share,
             warm_within=facts.warm_within,
@@ -333,68 +333,70 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """A scenario by the name of a shipped one, or by path. Raises BadScenario."""
+    """A scenario by the name of a shipped one, or by path. Raises ScenarioError."""
     if name in shipped_scenarios():
         text = (resources.files("driftshed.lab") / "scenarios" / f"{name}.toml").read_text()
     else:
         try:
             text = Path(name).read_text()
         except (OSError, UnicodeDecodeError) as error:
-            raise BadScenario(
+            raise ScenarioError(
                 f"{name}: neither a readable file nor one of {', '.join(shipped_scenarios())} ({error})"
             ) from None
     return parse_scenario(text, name)
 
 
 def parse_scenario(text: str, name: str) -> Scenario:
-    """A scenario from the text of its file; `name` is for messages. Raises BadScenario."""
+    """A scenario from the text of its file; `name` is for messages. Raises ScenarioError."""
     try:
         scenario = msgspec.convert(tomllib.loads(text), Scenario)
-        return check(scenario)
-    except (tomllib.TOMLDecodeError, msgspec.ValidationError, BadScenario) as error:
-        raise BadScenario(f"{name}: {error}") from None
+        return check_scenario(scenario)
+    except (tomllib.TOMLDecodeError, msgspec.ValidationError, ScenarioError) as error:
+        raise ScenarioError(f"{name}: {error}") from None
 
 
-def control_zone(number: int) -> str:
+def supervisor_zone(number: int) -> str:
     """The zone name that stands for a supervisor in the network."""
     return f"control{number or ''}"
 
 
-def check(scenario: Scenario) -> Scenario:
-    """Returns the scenario if its parts are consistent; raises BadScenario otherwise."""
+def check_scenario(scenario: Scenario) -> Scenario:
+    """Returns the scenario if its parts are consistent; raises ScenarioError otherwise."""
     try:
         facts = scenario.facts
     except click.ClickException as error:
-        raise BadScenario(error.format_message()) from None
+        raise ScenarioError(error.format_message()) from None
     names = [operation.name for operation in facts.operations]
     if not len(scenario.traffic.shares) == len(scenario.traffic.work) == len(names):
-        raise BadScenario("traffic.shares and traffic.work need one entry for each operation")
+        raise ScenarioError("traffic.shares and traffic.work need one entry for each operation")
     if sum(scenario.traffic.shares) <= 0:
-        raise BadScenario("traffic.shares: at least one must be above 0")
+        raise ScenarioError("traffic.shares: at least one must be above 0")
     if len(scenario.fleet.kinds) != len(facts.kinds):
-        raise BadScenario(f"fleet.kinds: needs one entry for each of {', '.join(facts.kinds)}")
+        raise ScenarioError(f"fleet.kinds: needs one entry for each of {', '.join(facts.kinds)}")
     if len(facts.zones) > 10 or facts.proxies > 250 * 15 * len(facts.zones):
-        raise BadScenario("at most 10 zones, and 3,750 proxies in each")
+        raise ScenarioError("at most 10 zones, and 3,750 proxies in each")
     try:
         read_limits(scenario.fleet.zone_limits)
         read_regions(scenario.fleet.regions, facts.zones)
     except ValueError as error:
-        raise BadScenario(f"fleet.zone_limits or fleet.regions: {error}") from None
+        raise ScenarioError(f"fleet.zone_limits or fleet.regions: {error}") from None
     if scenario.fleet.leave_zones and scenario.fleet.supervisors == 1:
-        raise BadScenario("fleet.leave_zones: evacuation needs several supervisors")
+        raise ScenarioError("fleet.leave_zones: evacuation needs several supervisors")
     if scenario.fleet.supervisors > 1 and not scenario.fleet.store:
-        raise BadScenario("fleet.supervisors: more than one need fleet.store = true, which they find each other by")
-    controls = [control_zone(k) for k in range(scenario.fleet.supervisors)]
+        raise ScenarioError("fleet.supervisors: more than one need fleet.store = true, which they find each other by")
+    controls = [supervisor_zone(k) for k in range(scenario.fleet.supervisors)]
     for fault in scenario.troubles:
         where = f"{type(fault).__struct_config__.tag} at {fault.at} s"
         if fault.at >= scenario.seconds:
-            raise BadScenario(f"{where}: begins after the end of the day")
+            raise ScenarioError(f"{where}: begins after the end of the day")
         if isinstance(fault, Lapse | StoreDown | StorePause) and not scenario.fleet.store:
-            raise BadScenario(f"{where}: needs fleet.store = true")
+            raise ScenarioError(f"{where}: needs fleet.store = true")
         if isinstance(fault, LateRoster | LyingRoster) and scenario.fleet.store:
-            raise BadScenario(f"{where}: not possible with a store; use store-pause or lapse")
+            raise ScenarioError(f"{where}: not possible with a store; use store-pause or lapse")
         if getattr(fault, "which", 0) >= scenario.fleet.supervisors:
-            raise BadScenario(f"{where}: which: the fleet has {scenario.fleet.supervisors} supervisors, counted from 0")
+            raise ScenarioError(
+                f"{where}: which: the fleet has {scenario.fleet.supervisors} supervisors, counted from 0"
+            )
         whom = getattr(fault, "whom", Whom())
         for field, value, known in (
             ("zone", whom.zone or getattr(fault, "zone", ""), facts.zones),
@@ -404,7 +406,7 @@
             ("there", getattr(fault, "there", ""), (*facts.zones, *controls, "roster")),
         ):
             if value and value not in known:
-                raise BadScenario(f"{where}: {field} {value!r} is none of {', '.join(known)}")
+                raise ScenarioError(f"{where}: {field} {value!r} is none of {', '.join(known)}")
     return scenario
 
 
@@ -452,7 +454,7 @@
 ]
 
 
-def bare_day(size: str, seconds: float | None = None, load: float = 0.55) -> Scenario:
+def fault_free_day(size: str, seconds: float | None = None, load: float = 0.55) -> Scenario:
     """A day of this size without faults; `load`: the share of the capacity that its invocations use."""
     servers, proxies, rate, length = SIZES[size]
     work, shares = [(0.03, 0.09), (0.05, 0.1), (0.08, 0.14)], [6.0, 2.0, 2.0]
@@ -473,7 +475,7 @@
         "lines-per-second": float(max(1000, 8 * proxies)),
         "report-lines": float(max(250, 3 * (servers + proxies))),
     }
-    return check(
+    return check_scenario(
         Scenario(
             f"a day of {servers} servers and {proxies} proxies",
             seconds or length,
@@ -487,13 +489,13 @@
     )
 
 
-def drawn(seed: int, size: str, seconds: float | None = None) -> Scenario:
+def random_day(seed: int, size: str, seconds: float | None = None) -> Scenario:
     """A day with three to seven random faults."""
     random = Random(f"scenario {seed}")
-    day = bare_day(size, seconds, random.uniform(0.4, 0.7))
+    day = fault_free_day(size, seconds, random.uniform(0.4, 0.7))
     day.about = f"drawn by seed {seed}"
     day.troubles = sorted((random_fault(random, day) for _ in range(random.randint(3, 7))), key=lambda t: t.at)
-    return check(day)
+    return check_scenario(day)
 
 
 def random_fault(random: Random, day: Scenario) -> Fault:
--- a/driftshed/lab/hunt.py
+++ b/driftshed/lab/search.py
@@ -15,12 +15,12 @@
 from driftshed.lab.experiment import RunFailed, run_job
 from driftshed.lab.run import Outcome
 from driftshed.lab.scenario import (
-    BadScenario,
     Scenario,
-    check,
-    drawn,
+    ScenarioError,
+    check_scenario,
     format_scenario,
     parse_scenario,
+    random_day,
     random_fault,
 )
 from driftshed.lab.store import Job
@@ -66,7 +66,7 @@
     else:
         mutant.traffic.rate = round(mutant.traffic.rate * random.uniform(0.8, 1.25), 3)
     mutant.troubles.sort(key=lambda fault: fault.at)
-    return check(mutant)
+    return check_scenario(mutant)
 
 
 def shrink(
@@ -136,7 +136,7 @@
         candidates = []
         for _ in range(width):
             if k == 0 or random.random() < 0.2:
-                scenario = drawn(random.getrandbits(30), size, seconds)
+                scenario = random_day(random.getrandbits(30), size, seconds)
             else:
                 scenario = mutate(random, random.choice(days).scenario)
             candidates.append((scenario, random.getrandbits(30)))
@@ -150,14 +150,14 @@
         progress(
             f"round {k + 1} of {rounds}: worst {days[0].severity:.2f}" if days else f"round {k + 1}: no run succeeded"
         )
-    failing = [day for day in days if not day.outcome.kept or day.outcome.bound - day.outcome.service > gap]
+    failing = [day for day in days if not day.outcome.rules_kept or day.outcome.bound - day.outcome.service > gap]
     return [day for day in pool.map(lambda day: _shrink_day(day, progress), _diverse(failing)) if day is not None]
 
 
 def _try_day(scenario: Scenario, seed: int, progress: Callable[[str], object]) -> Outcome | None:
     try:
         return run_day(scenario, seed)
-    except (RunFailed, BadScenario) as error:
+    except (RunFailed, ScenarioError) as error:
         progress(f"run failed: {error}")
         return None
 
@@ -179,8 +179,8 @@
 
     def fails(scenario: Scenario) -> bool:
         try:
-            return matches(run_day(check(scenario), day.seed))
-        except (RunFailed, BadScenario):
+            return matches(run_day(check_scenario(scenario), day.seed))
+        except (RunFailed, ScenarioError):
             return False
 
     shrunk = shrink(day.scenario, fails)
--- a/driftshed/lab/world.py
+++ b/driftshed/lab/simulation.py
@@ -1,5 +1,5 @@
 """A simulated deployment: servers, a roster, clients and faults, the same for both clocks. Supervisors, proxies and
-transport are those of the `Environment` that it runs in (`grounds.py`)."""
+transport are those of the `Environment` that it runs in (`environments.py`)."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from driftshed.lab.load import LoadGenerator, generate_arrivals
 from driftshed.net.http import Answer, Transport
 from driftshed.net.loop import Timers
-from driftshed.proxy.whole import Place
-from driftshed.standins.emulator import Ill, ServerStandin
+from driftshed.proxy.assembly import ProxyOptions
+from driftshed.standins.emulator import ServerFault, ServerStandin
 from driftshed.standins.roster import RosterStandin, StoreRoster
 
 SETTLE_S = 2.5  # after the last arrival, for requests under way
@@ -54,7 +54,7 @@
         """Starts or restarts the supervisor of this number."""
         ...
 
-    def start_proxies(self, places: list[Place], seeds: list[int]) -> float:
+    def start_proxies(self, proxy_options: list[ProxyOptions], seeds: list[int]) -> float:
         """Starts all proxies; returns the start of the day on the loop's clock."""
         ...
 
@@ -105,7 +105,7 @@
     supervisor_answered: bool
 
 
-class World:
+class SimulatedDeployment:
     """`open()` starts the day; the caller then runs the loop, and reads the records left in the attributes."""
 
     def __init__(self, scenario: scenarios.Scenario, seed: int, environment: Environment) -> None:
@@ -127,7 +127,7 @@
         self.killed_supervisors: set[int] = set()  # not restarted yet
         self.pauses: list[tuple[int, float, float]] = []
         self.started_at = 0.0
-        self.places: list[Place] = []
+        self.proxy_options: list[ProxyOptions] = []
 
     @property
     def now(self) -> float:
@@ -143,8 +143,10 @@
             environment.start_supervisor(self.random.getrandbits(32), number)
         rates = [scenario.traffic.uneven ** self.random.random() for _ in range(facts.proxies)]
         rates = [rate / sum(rates) * scenario.traffic.rate for rate in rates]
-        self.places = [self._make_place(number, rate) for number, rate in enumerate(rates)]
-        self.started_at = environment.start_proxies(self.places, [self.random.getrandbits(32) for _ in self.places])
+        self.proxy_options = [self._make_proxy_options(number, rate) for number, rate in enumerate(rates)]
+        self.started_at = environment.start_proxies(
+            self.proxy_options, [self.random.getrandbits(32) for _ in self.proxy_options]
+        )
         for number in range(scenario.fleet.servers):
             self._new_server(number, cold=False)
         if scenario.fleet.store:
@@ -154,13 +156,13 @@
         else:
             transport, address = environment.roster_transport()
             self.roster = RosterStandin(self.loop, transport.client(self.loop, address), scenario.fleet.roster_lag)
-        self.roster.begin([self._listing(number) for number in self.servers])
+        self.roster.publish_initial([self._listing(number) for number in self.servers])
         surges = [fault for fault in scenario.troubles if isinstance(fault, scenarios.Surge)]
         arrivals = generate_arrivals(scenario.traffic, facts.operations, rates, surges, scenario.seconds, self.seed)
         self.load = LoadGenerator(
             self.loop,
             environment.transport(f"127.{self.cast.net}.0.4"),
-            [place.listen for place in self.places],
+            [options.listen for options in self.proxy_options],
             facts.operations,
             arrivals,
             self.seed,
@@ -181,13 +183,15 @@
         for server in self.servers.values():
             server.stop()
 
-    def _make_place(self, number: int, rate: float) -> Place:
+    def _make_proxy_options(self, number: int, rate: float) -> ProxyOptions:
         facts, cast, servers = self.facts, self.cast, range(self.scenario.fleet.servers)
         zone = number % len(facts.zones)
         near = [n for n in servers if cast.zone_of_server(n) == zone] or list(servers)
-        standing = self.random.sample(near, min(len(near), max(1, facts.standing_lines)))
+        initial_servers = self.random.sample(near, min(len(near), max(1, facts.standing_lines)))
         host = cast.proxy_host(number)
-        return Place(number, facts.zones[zone], rate, (host, ASK_PORT), [], [cast.server(n) for n in standing], host)
+        return ProxyOptions(
+            number, facts.zones[zone], rate, (host, ASK_PORT), [], [cast.server(n) for n in initial_servers], host
+        )
 
     def _new_server(self, number: int, cold: bool) -> None:
         host, _, port = self.cast.server(number).rpartition(":")
@@ -274,14 +278,14 @@
         numbers = self._select_servers(fault.whom)
         hard, operation = fault.hard, fault.operation or None
         condition = {
-            "slow": Ill(slower=max(1e-3, hard)),
-            "hang": Ill(hangs=True),
-            "errors": Ill(errors=min(1.0, hard)),
-            "lost-answers": Ill(lost=min(1.0, hard)),
-            "refuse": Ill(refuses=True),
-            "squeeze": Ill(squeezed=min(1.0, hard)),
-            "neighbour": Ill(stolen=min(0.99, hard)),
-            "ageing": Ill(ages=hard),
+            "slow": ServerFault(slower=max(1e-3, hard)),
+            "hang": ServerFault(hangs=True),
+            "errors": ServerFault(errors=min(1.0, hard)),
+            "lost-answers": ServerFault(lost=min(1.0, hard)),
+            "refuse": ServerFault(refuses=True),
+            "squeeze": ServerFault(connection_share=min(1.0, hard)),
+            "neighbour": ServerFault(stolen=min(0.99, hard)),
+            "ageing": ServerFault(slowdown_per_minute=hard),
         }[fault.how]._replace(operation=operation)
         self._record_fault(fault.lasts, f"{fault.how} x{len(numbers)}" + (f" {fault.operation}" * bool(operation)))
         until = self.loop.clock() + fault.lasts
@@ -290,9 +294,9 @@
         def set_condition(on: bool) -> None:
             for n in numbers:
                 if on:
-                    self.servers[n].fall_ill(key, condition)
+                    self.servers[n].add_fault(key, condition)
                 else:
-                    self.servers[n].recover(key)
+                    self.servers[n].remove_fault(key)
             if fault.every and self.loop.clock() < until:
                 self.loop.at(
                     min(until, self.loop.clock() + fault.every / 2), lambda: set_condition(not on and not ended())
@@ -392,16 +396,16 @@
 
     def _apply_link_fault(self, fault: scenarios.Link) -> None:
         if fault.cut:
-            for place in self.places:
+            for options in self.proxy_options:
                 ends = (fault.here, fault.there)
                 for supervisor, control in enumerate(
-                    map(scenarios.control_zone, range(self.scenario.fleet.supervisors))
+                    map(scenarios.supervisor_zone, range(self.scenario.fleet.supervisors))
                 ):
                     if control not in ends and "" not in ends:
                         continue
                     peer = ends[0] if ends[1] == control else ends[1] if ends[0] == control else ""
-                    if place.zone in (peer or place.zone, *ends) and (control in ends or place.zone in ends):
-                        self.cuts.append((place.number, supervisor, self.now))
+                    if options.zone in (peer or options.zone, *ends) and (control in ends or options.zone in ends):
+                        self.cuts.append((options.number, supervisor, self.now))
         self.environment.set_link_fault(fault, True)
         self.loop.after(fault.lasts, lambda: self.environment.set_link_fault(fault, False))
 
@@ -489,7 +493,9 @@
         self.environment.pause_proxies(numbers, fault.lasts)
 
     def _select_proxies(self, share: float) -> list[int]:
-        return sorted(self.random.sample(range(len(self.places)), max(1, round(share * len(self.places)))))
+        return sorted(
+            self.random.sample(range(len(self.proxy_options)), max(1, round(share * len(self.proxy_options))))
+        )
 
     def _begin_rejoin(self, fault: scenarios.Rejoin) -> None:
         numbers = self._select_proxies(fault.share)
--- a/driftshed/lab/virtual.py
+++ b/driftshed/lab/virtual.py
@@ -104,7 +104,7 @@
     def _on_cancelled(self) -> None:
         self.loop._on_cancelled()
 
-    def hold_still(self, until: float) -> None:
+    def pause_until(self, until: float) -> None:
         """Pauses the process until the time `until`, as SIGSTOP does: its timers and incoming messages wait."""
         self.paused_until = max(self.paused_until, until)
 
@@ -113,7 +113,7 @@
         self.ended = True
 
 
-class Way:
+class Route:
     """One direction between two zones: `delay` in seconds, `jitter` on top of it (its mean in seconds; up to twice
     as much), `loss`, the probability that a message is lost at each sending, and whether the route is `cut`."""
 
@@ -128,12 +128,12 @@
     """Listeners by address, and the routes between zones. `observer(host, address)` may return an observer of a new
     stream (see `record.py`); it is called at the server's end where its `at_server` is set, else at the client's."""
 
-    def __init__(self, loop: VirtualLoop, seed: int, ways: Callable[[str, str], Way]) -> None:
-        """`ways(from_zone, to_zone)` returns the initial route; `seed` draws jitter and loss."""
+    def __init__(self, loop: VirtualLoop, seed: int, make_route: Callable[[str, str], Route]) -> None:
+        """`make_route(from_zone, to_zone)` returns the initial route; `seed` draws jitter and loss."""
         self.loop, self.random = loop, Random(f"network {seed}").random
-        self.ways: dict[tuple[str, str], Way] = {}
-        self.make_route = ways
-        self.loop_seat = Seat(loop, "network")
+        self.routes: dict[tuple[str, str], Route] = {}
+        self.make_route = make_route
+        self.own_seat = Seat(loop, "network")
         self.zones: dict[str, str] = {}  # by host
         self.servers: dict[tuple[str, int], VirtualServer] = {}
         self.listeners: dict[tuple[str, int], VirtualListener] = {}
@@ -141,12 +141,12 @@
         self.observer: Callable[[str, tuple[str, int]], object] | None = None
         self.messages = 0
 
-    def way(self, here: str, there: str) -> Way:
+    def route(self, here: str, there: str) -> Route:
         """The route between the zones of two hosts, made at its first use."""
         pair = self.zones.get(here, ""), self.zones.get(there, "")
-        route = self.ways.get(pair)
+        route = self.routes.get(pair)
         if route is None:
-            route = self.ways[pair] = self.make_route(*pair)
+            route = self.routes[pair] = self.make_route(*pair)
         return route
 
     def transport(self, host: str) -> Transport:
@@ -184,7 +184,7 @@
         """As `Listener`."""
         return VirtualListener(self, loop, address, on_stream)
 
-    def end(self, seat: Seat) -> None:
+    def end_process(self, seat: Seat) -> None:
         """Ends a process: its listeners close and its byte streams are reset."""
         seat.end()
         for listener in [each for each in self.listeners.values() if each.loop is seat]:
@@ -193,7 +193,7 @@
             stream.on_end = lambda reason: None
             stream.abort("reset", hard=True)
 
-    def fall(self, address: tuple[str, int]) -> None:
+    def reset_server(self, address: tuple[str, int]) -> None:
         """Resets the HTTP connections of the server at `address`, as after the end of its process."""
         server = self.servers.get(address)
         if server is not None:
@@ -205,7 +205,7 @@
 
     __slots__ = ("network", "route", "seat", "last_arrival", "undelivered", "closed")
 
-    def __init__(self, network: Network, route: Way, seat: Seat) -> None:
+    def __init__(self, network: Network, route: Route, seat: Seat) -> None:
         """`seat` is the receiving process, whose callbacks the deliveries are."""
         self.network, self.route, self.seat = network, route, seat
         self.last_arrival, self.closed = 0.0, False
@@ -244,7 +244,7 @@
                 for deliver in undelivered:
                     self.send(deliver)
 
-        self.network.loop_seat.after(delay, retry)
+        self.network.own_seat.after(delay, retry)
 
 
 class VirtualServer:
@@ -403,8 +403,8 @@
         self.server_side: VirtualServerConnection | None = None
         self.observer = network.observer(host, address) if network.observer else None
         self.exchange = None
-        self.to_client = Pipe(network, network.way(address[0], host), client.loop)
-        self.to_server = Pipe(network, network.way(host, address[0]), network.loop_seat)
+        self.to_client = Pipe(network, network.route(address[0], host), client.loop)
+        self.to_server = Pipe(network, network.route(host, address[0]), network.own_seat)
         self.to_server.send(self._attempt_connection)
 
     @property
@@ -550,8 +550,8 @@
     @classmethod
     def connect(cls, network: Network, loop: Seat, host: str, address: tuple[str, int], tap) -> VirtualStream:
         """Opens a stream from `host` to `address` and returns the client's end, still connecting."""
-        to_server = Pipe(network, network.way(host, address[0]), network.loop_seat)
-        to_client = Pipe(network, network.way(address[0], host), loop)
+        to_server = Pipe(network, network.route(host, address[0]), network.own_seat)
+        to_client = Pipe(network, network.route(address[0], host), loop)
         client_end = cls(network, loop, to_server, address, tap)
         client_end.connecting = True
 
--- a/driftshed/policy/document.py
+++ b/driftshed/policy/document.py
@@ -18,7 +18,7 @@
 from driftshed.core.migration import CHANGEABLE_FACTS
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
-from driftshed.supervisor.flags import FLAGS, OperationFlag, facts_of
+from driftshed.supervisor.flags import FLAGS, OperationFlag, facts_from_flags
 
 DOCUMENT_FORM = 1  # newest version of the document format that this build reads
 MAX_BYTES = 32768  # of the canonical text
@@ -188,7 +188,7 @@
         ]
         texts.append(f"{each.name}:{','.join(parts)}")
     try:
-        return facts_of(flags, texts)
+        return facts_from_flags(flags, texts)
     except click.ClickException as error:
         raise BadDocument(error.format_message()) from None
 
--- a/driftshed/policy/part.py
+++ b/driftshed/policy/part.py
@@ -32,7 +32,7 @@
 )
 from driftshed.policy.document import BadDocument, Document
 from driftshed.policy.keep import BadKeep, Keep, StoredVersion
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 from driftshed.supervisor.service import Service
 
 LOOK_EVERY = 0.1  # seconds between two checks of the records, the lease and the module
@@ -87,10 +87,10 @@
         self.latest_committed = keep.latest_committed()
         self.mine: Proposal | None = None
         self.last_record: agreement.Record | None = None
-        previous_judge, previous_on_record, previous_waits = agent.judge, agent.on_record, service.waits
+        previous_judge, previous_on_record, previous_waits = agent.judge, agent.on_record, service.not_ready_reason
         agent.judge = lambda record: self._vote(record) if record.topic == TOPIC else previous_judge(record)
         agent.on_record = lambda record: (previous_on_record(record), self._handle_record(record))
-        service.waits = lambda: previous_waits() or self._join_refusal()
+        service.not_ready_reason = lambda: previous_waits() or self._join_refusal()
         self.instance.tables_frozen = lambda: self._holds_still()
         service.views["policy"] = self.view
         service.actions["policy"] = (Asked, self.ask)
@@ -139,7 +139,7 @@
         despite_after = self._despite_after()
         if lease_holds := self.agent.acts() and self.agent.records.whole:
             self.lease_until = self.agent.acts_until()
-        fenced = self.agent.chair.standing is Standing.FENCED
+        fenced = self.agent.chair.state is RegistrationState.FENCED
         known = Known(
             lease_holds,
             self.lease_until,
@@ -273,7 +273,7 @@
         if frozen != self.was_still:
             self.log("tables_hold_still" if frozen else "tables_may_change", level="warning" if frozen else "info")
             self.was_still = frozen
-            self.service.soon()
+            self.service.schedule_turn()
         self._revert_on_faults()
 
     def _switch(self) -> None:
@@ -291,7 +291,7 @@
         self.agent.say(policy=change.version)
         self.agent.look()
         self.log("policy", version=change.version, digest=change.digest, undoes=change.undoes)
-        self.service.soon()
+        self.service.schedule_turn()
 
     def _revert_on_faults(self) -> None:
         """Proposes to revert a policy under which the module raised; the fleet agrees on it as on any other change."""
--- a/driftshed/proxy/whole.py
+++ b/driftshed/proxy/assembly.py
@@ -8,12 +8,12 @@
 from driftshed import interface as face
 from driftshed.net.http import SOCKETS, Bounds, Transport
 from driftshed.net.loop import Timers
-from driftshed.proxy.follow import HEARS_WITHIN, Follower, Log, Sums
+from driftshed.proxy.follow import SUPERVISOR_TIMEOUT_S, Follower, Log, ReportCounts
 from driftshed.proxy.forward import Forwarder, Limits
 from driftshed.proxy.tables import Tables
 
 
-class Place(NamedTuple):
+class ProxyOptions(NamedTuple):
     """Settings of one proxy: its number and zone, its usual invocations per second, its listening address, the
     supervisors in order of preference, the initial servers, and the local address of its connections."""
 
@@ -22,9 +22,9 @@
     rate: float
     listen: tuple[str, int]
     supervisors: list[tuple[str, int]]
-    standing: list[str]
+    initial_servers: list[str]
     source: str | None = None
-    hears_within: float = HEARS_WITHIN  # seconds until a silent supervisor is given up
+    supervisor_timeout: float = SUPERVISOR_TIMEOUT_S  # seconds until a silent supervisor is given up
 
 
 class Proxy:
@@ -33,7 +33,7 @@
     def __init__(
         self,
         loop: Timers,
-        place: Place,
+        options: ProxyOptions,
         facts: face.StartFacts,
         seed: int,
         log: Log,
@@ -46,40 +46,40 @@
         """Listens and joins at once; raises OSError where it cannot listen. `tag` makes the idempotency keys of this
         run distinct from those of any other."""
         random = Random(seed)
-        self.place, self.facts = place, facts
+        self.options, self.facts = options, facts
         self.tables = Tables(
-            len(facts.operations), facts.pick, facts.level_form, facts.default_tries, place.standing, random
+            len(facts.operations), facts.pick, facts.level_form, facts.default_tries, options.initial_servers, random
         )
-        self.sums = Sums([operation.name for operation in facts.operations])
+        self.report_counts = ReportCounts([operation.name for operation in facts.operations])
         limits = limits._replace(idle_for=0.8 * facts.idle_close, connect_timeout=facts.connect_timeout)
         self.forwarder = Forwarder(
             loop,
-            place.listen,
-            place.number,
+            options.listen,
+            options.number,
             facts,
             self.tables,
-            self.sums,
+            self.report_counts,
             limits,
             bounds,
-            place.source,
+            options.source,
             shared,
             transport,
             tag,
         )
         self.follower = Follower(
             loop,
-            place.number,
-            place.zone,
-            place.rate,
-            place.supervisors,
+            options.number,
+            options.zone,
+            options.rate,
+            options.supervisors,
             self.tables,
-            self.sums,
+            self.report_counts,
             random,
             log,
-            place.source,
+            options.source,
             facts.report_period,
             transport,
-            place.hears_within,
+            options.supervisor_timeout,
         )
         self.follower.on_tables_changed = self.forwarder.close_removed_servers
 
--- a/driftshed/proxy/command.py
+++ b/driftshed/proxy/command.py
@@ -15,11 +15,11 @@
 from driftshed.core.messages import InvalidServerName, server_id
 from driftshed.net.http import Bounds
 from driftshed.net.loop import Loop
-from driftshed.proxy.follow import HEARS_WITHIN
+from driftshed.proxy.assembly import Proxy, ProxyOptions
+from driftshed.proxy.follow import SUPERVISOR_TIMEOUT_S
 from driftshed.proxy.forward import Limits
-from driftshed.proxy.whole import Place, Proxy
 from driftshed.supervisor.flags import fact_options, start_facts
-from driftshed.trace.writer import TraceWriter, tend_trace
+from driftshed.trace.writer import TraceWriter, schedule_trace_flush
 
 
 def addresses(texts: tuple[str, ...], flag: str) -> list[tuple[str, int]]:
@@ -47,7 +47,10 @@
 @option("standing", multiple=True, help="address:port of a server to start with; several")
 @option("source", type=click.STRING, default=None, help="address that connections are made from")
 @option(
-    "hears-within", type=click.FloatRange(0.5, 600), default=HEARS_WITHIN, help="seconds until a silent one is given up"
+    "hears-within",
+    type=click.FloatRange(0.5, 600),
+    default=SUPERVISOR_TIMEOUT_S,
+    help="seconds until a silent one is given up",
 )
 @option("seed", type=click.IntRange(0, 2**63 - 1), default=1, help="seed of this proxy's random numbers")
 @option("clients", type=click.IntRange(1, 100000), default=8192, help="connections of clients")
@@ -89,18 +92,20 @@
     loop = Loop()
     loop.on_error = lambda error: log("fault", level="error", error=f"{type(error).__name__}: {error}")
     addresses(standing, "standing")
-    place = Place(number, zone, rate, address, addresses(follows, "supervisor"), list(standing), source, hears_within)
+    options = ProxyOptions(
+        number, zone, rate, address, addresses(follows, "supervisor"), list(standing), source, hears_within
+    )
     limits = Limits(invocations, server_connections, connecting)
     bounds = Bounds(body_bytes=body_bytes, connections=clients)
     try:
-        running = Proxy(loop, place, facts, seed, log, os.urandom(4).hex(), limits, bounds, shared)
+        running = Proxy(loop, options, facts, seed, log, os.urandom(4).hex(), limits, bounds, shared)
     except OSError as error:
         raise click.BadParameter(f"{listen}: {error.strerror}; choose a free port", param_hint="--listen") from None
     forwarder, follower = running.forwarder, running.follower
     writer = None
     if trace is not None:
         writer, wall = TraceWriter(trace, f"proxy-{number}"), time.time() - loop.clock()
-        tend_trace(loop, writer, log)
+        schedule_trace_flush(loop, writer, log)
         forwarder.trace = lambda kind, at, **fields: writer.add(kind, at + wall, **fields)
         follower.on_message = lambda at, name, sent: writer.add("message", at + wall, id=name, sent=int(sent))
 
@@ -115,5 +120,5 @@
     loop.close()
     if writer is not None:
         writer.close(1.0)
-    log("stopped", **{"counts": forwarder.counts, "reports_dropped": running.sums.dropped_tries})
+    log("stopped", **{"counts": forwarder.counts, "reports_dropped": running.report_counts.dropped_tries})
     sys.stderr.flush()
--- a/driftshed/proxy/follow.py
+++ b/driftshed/proxy/follow.py
@@ -23,8 +23,8 @@
 from driftshed.net.loop import Loop
 from driftshed.proxy.tables import ChangesRejected, Tables
 
-CHANGES_DECODER, JOINED = msgspec.json.Decoder(Changes), msgspec.json.Decoder(JoinAnswer)
-HEARS_WITHIN, GRACE_SHARE = (
+CHANGES_DECODER, JOIN_ANSWER_DECODER = msgspec.json.Decoder(Changes), msgspec.json.Decoder(JoinAnswer)
+SUPERVISOR_TIMEOUT_S, GRACE_SHARE = (
     12.0,
     1 / 6,
 )  # seconds until a silent supervisor is given up; share of them that an answer may be late
@@ -39,7 +39,7 @@
 Log = Callable[..., object]
 
 
-class Sums:
+class ReportCounts:
     """Counts of tries by server and of invocations by operation since the last report. Bounded: without a supervisor
     for `MAX_UNSENT_PERIODS` periods the counts are dropped, and the dropped tries counted."""
 
@@ -100,13 +100,13 @@
         rate: float,
         supervisors: list[tuple[str, int]],
         tables: Tables,
-        sums: Sums,
+        report_counts: ReportCounts,
         random: Random,
         log: Log,
         source: str | None = None,
         report_period: float = 0.5,
         transport: Transport = SOCKETS,
-        supervisor_timeout: float = HEARS_WITHIN,
+        supervisor_timeout: float = SUPERVISOR_TIMEOUT_S,
     ) -> None:
         """Joins the first of `supervisors` at once. `rate`: usual invocations per second; `report_period` and
         `supervisor_timeout` are in seconds."""
@@ -114,15 +114,21 @@
         self.poll_grace = supervisor_timeout - self.poll_wait
         self.configured, self.term = supervisors, 0  # the term rises with each join, at whichever supervisor
         self.loop, self.number, self.zone, self.rate = loop, number, zone, rate
-        self.addresses, self.tables, self.sums, self.random, self.log = supervisors, tables, sums, random, log
+        self.addresses, self.tables, self.report_counts, self.random, self.log = (
+            supervisors,
+            tables,
+            report_counts,
+            random,
+            log,
+        )
         self.source, self.report_period, self.transport = source, report_period, transport
         self.on_tables_changed: Callable[[], object] = lambda: None
         self.on_message: Callable[[float, str, bool], object] | None = None
         self.current, self.failures, self.stream, self.rejected_changes, self.stopped = 0, 0, "", 0, False
-        self._dial()
+        self._join()
         loop.after(report_period * random.random(), self._report)
 
-    def _dial(self) -> None:
+    def _join(self) -> None:
         if self.stopped:
             return
         address = self.addresses[self.current]
@@ -152,9 +158,9 @@
         if self.failures > 1 or use_next:
             self.current = (self.current + 1) % len(self.addresses)
         if redirected and self.failures == 1 and len(self.addresses) > 1:
-            self._dial()
+            self._join()
         else:
-            self.loop.after(delay, self._dial)
+            self.loop.after(delay, self._join)
 
     def _handle_join_answer(self, answer: Answer) -> None:
         outdated = TERM_PATTERN.search(answer.body) if answer.status == 409 else None
@@ -166,13 +172,13 @@
             self._reconnect(answer.error or f"join: {answer.status}", answer.error == "late" or answer.status == 503)
             return
         try:
-            joined = JOINED.decode(answer.body)
+            joined = JOIN_ANSWER_DECODER.decode(answer.body)
         except msgspec.DecodeError as error:
             self._reconnect(f"join: {error}")
             return
-        if joined.operations != self.sums.operations:
+        if joined.operations != self.report_counts.operations:
             # Guards against tables of other operations: tables refer to operations by index only.
-            why = f"the supervisor's operations are {joined.operations}, not {self.sums.operations}"
+            why = f"the supervisor's operations are {joined.operations}, not {self.report_counts.operations}"
             self.log(
                 "turned_down", level="error", why=f"{why}: give both the same --operation flags, in the same order"
             )
@@ -228,7 +234,7 @@
         try:
             changes = CHANGES_DECODER.decode(answer.body)
             if changes.version != self.tables.version or changes.changes:
-                self.tables.take(changes, self.loop.now)
+                self.tables.apply(changes, self.loop.now)
             self.tables.check_policy(changes.policy)
             self.tables.policy = changes.policy
         except (msgspec.DecodeError, ChangesRejected) as error:
@@ -251,11 +257,11 @@
             return
         self.loop.after(self.report_period, self._report)
         if not self.stream:
-            dropped = self.sums.keep_unsent()
+            dropped = self.report_counts.keep_unsent()
             if dropped:
-                self.log("reports_dropped", level="warning", tries=dropped, in_all=self.sums.dropped_tries)
+                self.log("reports_dropped", level="warning", tries=dropped, in_all=self.report_counts.dropped_tries)
             return
-        body = encode_json(self.sums.make_report(self.stream))
+        body = encode_json(self.report_counts.make_report(self.stream))
         self.report_client.call(
             "POST", f"/v1/proxies/{self.number}/report", body, lambda answer: None, REPORT_TIMEOUT_S
         )
--- a/driftshed/proxy/forward.py
+++ b/driftshed/proxy/forward.py
@@ -9,7 +9,7 @@
 from driftshed import interface as face
 from driftshed.net.http import SOCKETS, Answer, Bounds, Call, HttpClient, Request, Transport
 from driftshed.net.loop import Loop
-from driftshed.proxy.follow import Sums
+from driftshed.proxy.follow import ReportCounts
 from driftshed.proxy.retry import (
     FinishedTry,
     Outcome,
@@ -95,7 +95,7 @@
         number: int,
         facts: face.StartFacts,
         tables: Tables,
-        sums: Sums,
+        report_counts: ReportCounts,
         limits: Limits = Limits(),
         bounds: Bounds = Bounds(),
         source: str | None = None,
@@ -105,7 +105,7 @@
     ) -> None:
         """Listens at `address` at once; raises OSError where it cannot. `source`: local address of connections to
         servers; `shared`: other processes may listen at the same address."""
-        self.loop, self.number, self.facts, self.tables, self.sums = loop, number, facts, tables, sums
+        self.loop, self.number, self.facts, self.tables, self.report_counts = loop, number, facts, tables, report_counts
         self.limits, self.source, self.transport = limits, source, transport
         self.tag = tag  # makes the idempotency keys of this run distinct from those of any other
         self.operations = {operation.name: index for index, operation in enumerate(facts.operations)}
@@ -132,7 +132,7 @@
             self._refuse(request, 404, f"operation {name[:64]!r} is not known here")
             return
         now, operation = self.loop.now, self.facts.operations[index]
-        self.sums.by_operation[index][0] += 1
+        self.report_counts.by_operation[index][0] += 1
         if self.under_way >= self.limits.invocations:
             self._refuse(request, 503, "too many invocations under way", retry_after=1.0)
             return
@@ -249,7 +249,7 @@
             del self.in_flight[server]
         outcome = outcome_of(answer)
         duration = now - invocation.try_started_at
-        self.sums.add_try(server, duration if outcome is Outcome.ANSWERED else None, self._parse_load(answer))
+        self.report_counts.add_try(server, duration if outcome is Outcome.ANSWERED else None, self._parse_load(answer))
         invocation.finished_tries.append(FinishedTry(server, "", -1, invocation.try_started_at, outcome))
         invocation.trace_rows.append(
             (invocation.try_started_at - invocation.started_at, duration, answer.error or str(answer.status))
@@ -297,7 +297,7 @@
         extra = f"x-reason: {reason}\r\n" + ("x-never-ran: 1\r\nretry-after: 1\r\n" if never_ran else "")
         self._count(f"{status} {reason.split(' ')[0]}")
         invocation.request.answer(status, reason.encode(), "text/plain", extra)
-        self.sums.by_operation[invocation.operation][1] += bool(invocation.finished_tries)
+        self.report_counts.by_operation[invocation.operation][1] += bool(invocation.finished_tries)
         self._finish(invocation, "rate-limited" if never_ran else "errored")
 
     def _cancel_try(self, invocation: Invocation) -> None:
--- a/driftshed/proxy/pick.py
+++ b/driftshed/proxy/pick.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Starts without lines."""
-        self.place: dict[str, int] = {}
+        self.slots: dict[str, int] = {}
         self.names: list[str | None] = []
         self.units: list[int] = []
         self.tree: list[int] = [0]
@@ -27,25 +27,25 @@
         self.total = 0
 
     def __len__(self) -> int:
-        return len(self.place)
+        return len(self.slots)
 
     def weight(self, name: str) -> float:
         """Weight as stored, a multiple of `UNIT`; 0.0 for an unknown name."""
-        slot = self.place.get(name)
+        slot = self.slots.get(name)
         return 0.0 if slot is None else self.units[slot] * self.UNIT
 
     def set(self, name: str, weight: float) -> None:
         """Sets the weight of a line; 0 removes it. A weight above 0 counts as at least one unit."""
-        slot = self.place.get(name)
+        slot = self.slots.get(name)
         if weight <= 0:
             if slot is not None:
                 self._add_units(slot, -self.units[slot])
                 self.units[slot], self.names[slot] = 0, None
-                del self.place[name]
+                del self.slots[name]
                 self.free_slots.append(slot)
             return
         if slot is None:
-            slot = self.place[name] = self._allocate_slot()
+            slot = self.slots[name] = self._allocate_slot()
             self.names[slot] = name
         units = min(self.MAX_UNITS, max(1, round(weight / self.UNIT)))
         self._add_units(slot, units - self.units[slot])
@@ -91,7 +91,7 @@
 
     def draw_excluding(self, random: Random, excluded: list[str]) -> str | None:
         """Random line by weight among those not in `excluded`, whose intervals are cut out; None where none is left."""
-        excluded_slots = sorted({self.place[name] for name in excluded if name in self.place})
+        excluded_slots = sorted({self.slots[name] for name in excluded if name in self.slots})
         remaining = self.total - sum(self.units[slot] for slot in excluded_slots)
         if remaining <= 0:
             return None
@@ -110,7 +110,7 @@
         return units
 
 
-class Weighted:
+class WeightedPicker:
     """Picks a line at random, by weight."""
 
     def __init__(self, weights: Weights, random: Random) -> None:
@@ -126,19 +126,19 @@
         pass
 
 
-class Two(Weighted):
+class TwoChoicesPicker(WeightedPicker):
     """Picks the better of two lines drawn by weight: the one with fewer of this proxy's own invocations under way, the
     first one on a tie."""
 
     def pick(self, excluded: list[str], in_flight: dict[str, int]) -> str | None:
-        """As `Weighted.pick`; compares the two by `in_flight`."""
+        """As `WeightedPicker.pick`; compares the two by `in_flight`."""
         first, second = super().pick(excluded, in_flight), super().pick(excluded, in_flight)
         if first is None or in_flight.get(first, 0) <= in_flight.get(second, 0):
             return first
         return second
 
 
-class Round(Weighted):
+class RoundRobinPicker(WeightedPicker):
     """Weighted round robin: each line is picked again after an interval of virtual time proportional to 1 / weight.
 
     A heap orders the lines by their next time. A new or changed line starts at a random point of its interval, so that
@@ -150,7 +150,7 @@
         self.heap: list[tuple[float, int, str]] = []
         self.current_entry: dict[str, int] = {}  # by line: number of its valid heap entry; older ones are skipped
         self.entry_count, self.virtual_time = 0, 0.0
-        for name in weights.place:
+        for name in weights.slots:
             self.on_weight_changed(name)
 
     def on_weight_changed(self, name: str) -> None:
@@ -188,4 +188,4 @@
         return found
 
 
-PICKERS = {"weighted": Weighted, "two": Two, "round": Round}
+PICKERS = {"weighted": WeightedPicker, "two": TwoChoicesPicker, "round": RoundRobinPicker}
--- a/driftshed/roster/announce.py
+++ b/driftshed/roster/announce.py
@@ -27,14 +27,14 @@
     GetData,
     SetData,
 )
-from driftshed.roster.membership import Announced
+from driftshed.roster.membership import ServerAnnouncement
 from driftshed.roster.nodes import write_node
-from driftshed.roster.session import State
+from driftshed.roster.session import SessionState
 
 RETRY_DELAY_S = 0.5  # after a request that failed or whose outcome is unknown
 
 
-class Standing(Enum):
+class RegistrationState(Enum):
     """Registration state of an announcer."""
 
     JOINING = "joining"
@@ -51,21 +51,21 @@
         loop: Timers,
         hosts: list[tuple[str, int]],
         root: str,
-        node: Announced,
+        node: ServerAnnouncement,
         timeout: float,
         seed: int,
-        on_standing: Callable[[Standing], object] = lambda standing: None,
+        on_state_change: Callable[[RegistrationState], object] = lambda state: None,
         dial: Callable[..., Stream] = dial,
     ) -> None:
-        """`node`: the data to announce; its epoch is set here. `on_standing(standing)` is called with each new
+        """`node`: the data to announce; its epoch is set here. `on_state_change(state)` is called with each new
         registration state. `timeout`: of the session, in seconds."""
         self.loop, self.hosts, self.root, self.node, self.timeout = loop, hosts, root, node, timeout
-        self.random, self.on_standing, self.dial = Random(f"announce {seed}"), on_standing, dial
-        self.standing = Standing.JOINING
+        self.random, self.on_state_change, self.dial = Random(f"announce {seed}"), on_state_change, dial
+        self.state = RegistrationState.JOINING
         self.epoch = 0  # none acquired yet
         self.on_written: Callable[[], object] | None = None  # called once the store has the latest state
         self.counter_path = f"{root}-epochs/{self.name}"
-        self._begin()
+        self._open_session()
 
     @property
     def name(self) -> str:
@@ -76,35 +76,39 @@
         """The data of the node."""
         return write_node(self.node._replace(epoch=self.epoch))
 
-    def _begin(self) -> None:
+    def _open_session(self) -> None:
         self.client = RosterClient(
-            self.loop, self.hosts, self.timeout, self.random, self._state, self._event, self.dial
+            self.loop, self.hosts, self.timeout, self.random, self._on_session_state, self._on_event, self.dial
         )
         self._acquire_epoch()
 
-    def _event(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         """Does nothing: an announcer sets no watches."""
 
-    def _state(self, state: State) -> None:
-        if state is State.EXPIRED and self.standing not in (Standing.FENCED, Standing.LEFT):
-            self._set_standing(Standing.JOINING)
-            self.loop.soon(self._begin)
+    def _on_session_state(self, state: SessionState) -> None:
+        if state is SessionState.EXPIRED and self.state not in (RegistrationState.FENCED, RegistrationState.LEFT):
+            self._set_state(RegistrationState.JOINING)
+            self.loop.soon(self._open_session)
 
-    def _set_standing(self, standing: Standing) -> None:
-        if standing is not self.standing:
-            self.standing = standing
-            self.on_standing(standing)
-            if standing is Standing.LISTED:
+    def _set_state(self, state: RegistrationState) -> None:
+        if state is not self.state:
+            self.state = state
+            self.on_state_change(state)
+            if state is RegistrationState.LISTED:
                 self._write_state()
 
     def _request(self, request: object, then: Callable[[int, object], object]) -> None:
         client = self.client
 
         def on_result(error: int, result: object) -> None:
-            if client is self.client and self.standing not in (Standing.FENCED, Standing.LEFT) and error != EXPIRED:
+            if (
+                client is self.client
+                and self.state not in (RegistrationState.FENCED, RegistrationState.LEFT)
+                and error != EXPIRED
+            ):
                 then(error, result)
 
-        client.ask(request, on_result)
+        client.send_request(request, on_result)
 
     def _retry_later(self, call: Callable[[], object]) -> None:
         client = self.client
@@ -168,7 +172,7 @@
     def _create_node(self) -> None:
         def on_created(error: int, result: object) -> None:
             if error == OK:
-                self._set_standing(Standing.LISTED)
+                self._set_state(RegistrationState.LISTED)
             elif error == NODE_EXISTS:
                 self._check_existing_node()
             elif error == CONNECTION_LOSS:
@@ -183,7 +187,7 @@
 
         def on_read(error: int, result: object) -> None:
             if error == OK and result[1].ephemeral_owner == self.client.session.session:
-                self._set_standing(Standing.LISTED)
+                self._set_state(RegistrationState.LISTED)
             else:
                 self._retry_later(self._create_node)
 
@@ -193,11 +197,11 @@
 
     def fence(self) -> None:
         """Another start owns the name: sends no more requests but the one that closes the session."""
-        self._set_standing(Standing.FENCED)
-        self.client.ask(Close(), lambda error, result: None)
+        self._set_state(RegistrationState.FENCED)
+        self.client.send_request(Close(), lambda error, result: None)
         self.client.stop()
 
-    def say(self, state: str, then: Callable[[], object] = lambda: None) -> None:
+    def set_server_state(self, state: str, then: Callable[[], object] = lambda: None) -> None:
         """Sets the state "draining", "gone" or "ready", effective at once; calls `then()` once it is stored."""
         self.node, self.on_written = self.node._replace(state=state), then
         self._write_state()
@@ -208,7 +212,7 @@
         Guards against a state that is lost with its session, for whose `then` the caller would wait forever: it is
         written again once this start is listed again."""
         then = self.on_written
-        if then is None or self.standing is not Standing.LISTED:
+        if then is None or self.state is not RegistrationState.LISTED:
             return
 
         def on_stored(error: int, result: object) -> None:
@@ -218,7 +222,7 @@
                 self.on_written = None
                 then()
             elif error == NO_NODE:  # the node was deleted by another client
-                self._set_standing(Standing.JOINING)
+                self._set_state(RegistrationState.JOINING)
                 self._create_node()
             else:
                 self._retry_later(self._write_state)
@@ -227,7 +231,7 @@
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
         """Sets the state "gone", then ends the session."""
-        self.say("gone", lambda: self.close(then))
+        self.set_server_state("gone", lambda: self.close(then))
 
     def close(self, then: Callable[[], object] = lambda: None) -> None:
         """Ends the session, and its node with it; calls `then()` once the request is answered or has failed."""
@@ -236,10 +240,10 @@
             self.client.stop()
             then()
 
-        self._set_standing(Standing.LEFT)
-        self.client.ask(Close(), on_closed)
+        self._set_state(RegistrationState.LEFT)
+        self.client.send_request(Close(), on_closed)
 
     def stop(self) -> None:
         """Ends the connection without closing the session, as a dying process does: the session lapses."""
-        self.standing = Standing.LEFT
+        self.state = RegistrationState.LEFT
         self.client.stop()
--- a/driftshed/roster/client.py
+++ b/driftshed/roster/client.py
@@ -8,7 +8,7 @@
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.jute import Event, Malformed, Request
-from driftshed.roster.session import ClientSession, OnResult, State
+from driftshed.roster.session import ClientSession, OnResult, SessionState
 
 RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 2.0  # before the next host: doubled each time, times a random 1 to 2
 CONNECT_TIMEOUT_S = 2.0  # to establish a connection
@@ -23,7 +23,7 @@
         hosts: list[tuple[str, int]],
         timeout: float,
         random: Random,
-        on_state: Callable[[State], object],
+        on_state: Callable[[SessionState], object],
         on_event: Callable[[Event], object],
         dial: Callable[..., Stream] = dial,
     ) -> None:
@@ -36,19 +36,19 @@
         self.timer: Timer | None = None
         self._connect()
 
-    def ask(self, request: Request, on_result: OnResult) -> None:
+    def send_request(self, request: Request, on_result: OnResult) -> None:
         """Sends a request; calls `on_result(error, result)` once. After CONNECTION_LOSS the request may or may not have
         been executed."""
         self.session.ask(request, on_result, self.loop.clock())
         self._flush()
 
-    def _on_state(self, state: State) -> None:
-        if state is State.ON:
+    def _on_state(self, state: SessionState) -> None:
+        if state is SessionState.CONNECTED:
             self.failures = 0
         self.on_state(state)
 
     def _connect(self) -> None:
-        if self.stopped or self.session.state in (State.EXPIRED, State.CLOSED):
+        if self.stopped or self.session.state in (SessionState.EXPIRED, SessionState.CLOSED):
             return
         try:
             stream = self.dial(self.loop, self.hosts[self.host_index])
@@ -70,7 +70,7 @@
         except Malformed as error:
             self.stream.abort(f"malformed: {error}")
             return
-        if self.session.state in (State.EXPIRED, State.CLOSED):
+        if self.session.state in (SessionState.EXPIRED, SessionState.CLOSED):
             if self.stream is not None:
                 self.stream.abort("over")
             return
@@ -83,7 +83,7 @@
         if self.timer:
             self.timer.cancel()
         self.session.disconnected()
-        if self.session.state not in (State.EXPIRED, State.CLOSED):
+        if self.session.state not in (SessionState.EXPIRED, SessionState.CLOSED):
             self._reconnect_later()
 
     def _reconnect_later(self) -> None:
--- a/driftshed/roster/command.py
+++ b/driftshed/roster/command.py
@@ -13,13 +13,13 @@
 from driftshed.common.options import option
 from driftshed.core.messages import InvalidServerName, server_id
 from driftshed.net.loop import Loop
-from driftshed.roster.announce import Announcer, Standing
-from driftshed.roster.log import CorruptLog, Log
-from driftshed.roster.membership import Announced
+from driftshed.roster.announce import Announcer, RegistrationState
+from driftshed.roster.log import CorruptLog, TransactionLog
+from driftshed.roster.membership import ServerAnnouncement
 from driftshed.roster.serve import StoreServer
 
 
-def hosts_of(text: str, flag: str) -> list[tuple[str, int]]:
+def parse_hosts(text: str, flag: str) -> list[tuple[str, int]]:
     """Parses a connect string, comma-separated HOST:PORT. Raises click.BadParameter, which names the flag."""
     hosts = []
     for part in filter(None, (each.strip() for each in text.split(","))):
@@ -61,7 +61,7 @@
         raise click.BadParameter(f"{listen!r}: write 127.0.0.1:PORT", param_hint="--listen")
     log, loop = make_log("json", log_level), Loop()
     try:
-        transaction_log = Log(folder, snapshot_every)
+        transaction_log = TransactionLog(folder, snapshot_every)
     except (CorruptLog, OSError) as error:
         text = f"{error}; restore the folder from a copy, or name an empty one"
         raise click.BadParameter(text, param_hint="--folder") from None
@@ -116,29 +116,29 @@
     except InvalidServerName as error:
         raise click.BadParameter(str(error), param_hint="--server") from None
     log, loop, code = make_log("json", log_level), Loop(), 0
-    node = Announced(server, zone, kind, "ready", time.time(), cell, weight, 0)
+    node = ServerAnnouncement(server, zone, kind, "ready", time.time(), cell, weight, 0)
 
-    def on_standing(standing: Standing) -> None:
+    def on_state_change(state: RegistrationState) -> None:
         nonlocal code
-        log("standing", state=standing.value, epoch=announcer.epoch)
-        if standing is Standing.LISTED:
+        log("standing", state=state.value, epoch=announcer.epoch)
+        if state is RegistrationState.LISTED:
             print(f"listed {server} epoch {announcer.epoch}", flush=True)
-        elif standing is Standing.FENCED:
+        elif state is RegistrationState.FENCED:
             code = 3
             loop.stop()
 
     seed = time.time_ns()
     announcer = Announcer(
-        loop, hosts_of(connect, "roster-connect"), check_root(root), node, session_timeout, seed, on_standing
+        loop, parse_hosts(connect, "roster-connect"), check_root(root), node, session_timeout, seed, on_state_change
     )
 
     def on_signal(number: int) -> None:
-        if announcer.standing is not Standing.LISTED:
+        if announcer.state is not RegistrationState.LISTED:
             announcer.stop()
             loop.stop()
             return
         log("draining", seconds=drain_for)
-        announcer.say("draining", lambda: loop.after(drain_for, lambda: announcer.leave(loop.stop)))
+        announcer.set_server_state("draining", lambda: loop.after(drain_for, lambda: announcer.leave(loop.stop)))
 
     loop.on_signals((signal.SIGTERM, signal.SIGINT), on_signal)
     loop.run()
--- a/driftshed/roster/follow.py
+++ b/driftshed/roster/follow.py
@@ -24,7 +24,7 @@
 )
 from driftshed.roster.membership import Membership
 from driftshed.roster.nodes import BadNode, read_node
-from driftshed.roster.session import State
+from driftshed.roster.session import SessionState
 
 BATCH_DELAY_S = 0.02  # changes within this time are published together
 MAX_PENDING_READS = 512  # nodes that are read at a time
@@ -71,17 +71,17 @@
             self.loop, self.hosts, self.timeout, self.random, self._on_session_state, self._on_event, self.dial
         )
 
-    def _on_session_state(self, state: State) -> None:
+    def _on_session_state(self, state: SessionState) -> None:
         now = self.loop.clock()
-        if state is State.ON:
+        if state is SessionState.CONNECTED:
             self.log("roster_session", state="on", session=f"{self.client.session.session:x}")
             # Also where the session was resumed: its watch reports children that were created or deleted while it was
             # disconnected, but only a new read of the list shows that no node is missing.
             self.loop.soon(self._read_list)
-        elif state in (State.AWAY, State.EXPIRED):
+        elif state in (SessionState.DISCONNECTED, SessionState.EXPIRED):
             self.membership.store_unreachable(now)
             self.log("roster_session", level="warning", state=state.value)
-            if state is State.EXPIRED and not self.stopped:
+            if state is SessionState.EXPIRED and not self.stopped:
                 self.loop.soon(self._open_session)
         self._schedule_publish()
 
@@ -105,12 +105,14 @@
             if client is not self.client:
                 return
             if error == NO_NODE:
-                client.ask(Exists(self.root, True), lambda error, _: self._read_list() if error == OK else None)
+                client.send_request(
+                    Exists(self.root, True), lambda error, _: self._read_list() if error == OK else None
+                )
                 self._update_names([])
             elif error == OK:
                 self._update_names(result[0])
 
-        client.ask(GetChildren(self.root, True), on_result)
+        client.send_request(GetChildren(self.root, True), on_result)
 
     def _update_names(self, names: list[str]) -> None:
         present = set(names)
@@ -160,7 +162,7 @@
             self._start_reads()
             self._finish_read()
 
-        client.ask(GetData(f"{self.root}/{name}", True), on_result)
+        client.send_request(GetData(f"{self.root}/{name}", True), on_result)
 
     def _apply_node(self, name: str, data: bytes) -> None:
         try:
@@ -176,16 +178,16 @@
 
     def _finish_read(self) -> None:
         """Passes the nodes on once all of them have been read."""
-        if self.pending_reads or self.unread or self.client.session.state is not State.ON:
+        if self.pending_reads or self.unread or self.client.session.state is not SessionState.CONNECTED:
             return
-        if self.full_read_due or self.membership.away_since is not None:
+        if self.full_read_due or self.membership.unreachable_since is not None:
             self.full_read_due = False
             self.membership.replace_nodes(dict(self.nodes), self.loop.clock())
             self._schedule_publish()
 
     # ---- publishing --------------------------------------------------------------------------------------------
 
-    def answered(self, server: str) -> None:
+    def record_answer(self, server: str) -> None:
         """Reports show that this server gave good answers."""
         self.membership.record_answer(server, self.loop.clock())
 
--- a/driftshed/roster/jute.py
+++ b/driftshed/roster/jute.py
@@ -175,7 +175,7 @@
 # ---- session handshake ------------------------------------------------------------------------------------------
 
 
-class Connect(NamedTuple):
+class ConnectRequest(NamedTuple):
     """A client's first message: `last_zxid` is the newest change that it has seen; session 0 requests a new session."""
 
     last_zxid: int
@@ -192,17 +192,17 @@
     password: bytes
 
 
-def write_connect(connect: Connect) -> bytes:
+def write_connect_request(connect: ConnectRequest) -> bytes:
     """Encodes as a frame, with the read-only byte that newer clients send."""
     header = struct.pack(">iqiq", 0, connect.last_zxid, connect.timeout, connect.session)
     return frame(header + buffer(connect.password) + b"\0")
 
 
-def read_connect(payload: bytes) -> Connect:
+def read_connect_request(payload: bytes) -> ConnectRequest:
     """Decodes a payload. Older clients omit the last byte (read-only)."""
     reader = Reader(payload)
     reader.int()
-    connect = Connect(reader.long(), reader.int(), reader.long(), reader.buffer() or b"")
+    connect = ConnectRequest(reader.long(), reader.int(), reader.long(), reader.buffer() or b"")
     if reader.remaining:
         reader.bool()
     reader.expect_end()
--- a/driftshed/roster/log.py
+++ b/driftshed/roster/log.py
@@ -44,7 +44,7 @@
     return rows, at
 
 
-def replay(tree: Tree, kind: str, session: int, time: int, body: bytes) -> None:
+def apply_record(tree: Tree, kind: str, session: int, time: int, body: bytes) -> None:
     """Applies a record to a tree in the state that it had when the record was written."""
     if kind == "open":
         timeout, password = msgspec.msgpack.decode(body)
@@ -85,7 +85,7 @@
     return tree
 
 
-class Log:
+class TransactionLog:
     """The files in a folder: `snapshot-N` holds the tree at zxid N, `log-N` the transactions after it."""
 
     def __init__(self, folder: Path, snapshot_interval: int = 10000) -> None:
@@ -127,7 +127,7 @@
                 with path.open("r+b") as file:
                     file.truncate(size)
             for row in rows:
-                replay(tree, *row)
+                apply_record(tree, *row)
         return tree, truncated_bytes
 
     def _open_log(self) -> None:
--- a/driftshed/roster/membership.py
+++ b/driftshed/roster/membership.py
@@ -16,7 +16,7 @@
 FIRST_LIST_QUIET_SHARE = 0.125  # of the hold without a new server, after which the first list counts as complete
 
 
-class Announced(NamedTuple):
+class ServerAnnouncement(NamedTuple):
     """The data of a server's node. `epoch` increases with each start of a server at one address."""
 
     server: str
@@ -43,15 +43,15 @@
         """`lapse_hold_s`: how long a server whose node was removed stays listed while it still answers requests;
         `max_list_hold_s`: how long the list is held at most after a mass lapse."""
         self.lapse_hold_s, self.max_list_hold_s = lapse_hold_s, max_list_hold_s
-        self.nodes: dict[str, Announced] = {}  # by path
+        self.nodes: dict[str, ServerAnnouncement] = {}  # by path
         self.index_of: dict[str, int] = {}  # by server: its position in the lists below
         self.servers: list[str] = []
-        self.announced: list[Announced | None] = []  # by server: the data with the highest epoch
+        self.announced: list[ServerAnnouncement | None] = []  # by server: the data with the highest epoch
         self.paths: list[str] = []  # node that holds this data; "" once it is removed
         self.lapsed_at: list[float] = []  # when that node was removed; inf while it exists
         self.answered_at: list[float] = []
         self.listed: list[ListedServer | None] = []
-        self.away_since: float | None = None  # since when the store is unreachable
+        self.unreachable_since: float | None = None  # since when the store is unreachable
         self.mass_lapse_since: float | None = None
         self.first_read_at: float | None = None  # when the nodes were first read completely
         self.last_new_server_at = 0.0  # when a server was last seen for the first time
@@ -59,7 +59,7 @@
 
     # ---- events ------------------------------------------------------------------------------------------------
 
-    def node_updated(self, path: str, node: Announced, now: float) -> None:
+    def node_updated(self, path: str, node: ServerAnnouncement, now: float) -> None:
         """A node was created, or its data changed."""
         self.nodes[path] = node
         i = self.index_of.get(node.server)
@@ -88,11 +88,11 @@
         self.paths[i] = ""
         self.lapsed_at[i] = now
 
-    def replace_nodes(self, nodes: dict[str, Announced], now: float) -> None:
+    def replace_nodes(self, nodes: dict[str, ServerAnnouncement], now: float) -> None:
         """Applies a complete read of the store's nodes, by path: nodes missing from it count as removed. Guards against
         a store that came back with fewer nodes than before: each missing node is a lapse like any other, and many at
         once are a mass lapse."""
-        self.away_since = None
+        self.unreachable_since = None
         self.first_read_at = now if self.first_read_at is None else self.first_read_at
         for path in [path for path in self.nodes if path not in nodes]:
             self.node_removed(path, now)
@@ -102,7 +102,7 @@
     def store_unreachable(self, now: float) -> None:
         """The store does not answer, or the session with it has expired: the list is held until the next complete
         read."""
-        self.away_since = now if self.away_since is None else self.away_since
+        self.unreachable_since = now if self.unreachable_since is None else self.unreachable_since
 
     def record_answer(self, server: str, now: float) -> None:
         """Reports show that this server gave good answers."""
@@ -162,7 +162,7 @@
                 rows.append((None, "it was draining, and its node was removed"))
             elif mass_lapse_held:
                 rows.append((self._entry(node), "held: many nodes vanished at once"))
-            elif self.away_since is not None:
+            elif self.unreachable_since is not None:
                 rows.append((self._entry(node), "held: the store is unreachable"))
             elif now - self.lapsed_at[i] < self.lapse_hold_s and self._is_answering(i, now):
                 rows.append((self._entry(node), "held: its node was removed, but it still answers"))
@@ -181,7 +181,7 @@
         )
 
     @staticmethod
-    def _entry(node: Announced) -> ListedServer:
+    def _entry(node: ServerAnnouncement) -> ListedServer:
         return ListedServer(node.server, node.zone, node.kind, node.state, node.started, node.cell, node.weight)
 
     def evaluate(self, now: float) -> list[ListChange]:
--- a/driftshed/roster/serve.py
+++ b/driftshed/roster/serve.py
@@ -6,8 +6,8 @@
 
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Listener, Stream
-from driftshed.roster.log import Log
-from driftshed.roster.store import MAX_OUTPUT_BYTES, Line, Store
+from driftshed.roster.log import TransactionLog
+from driftshed.roster.store import MAX_OUTPUT_BYTES, Connection, Store
 
 MAX_CONNECTIONS = 12000
 
@@ -18,11 +18,16 @@
     received bytes are dropped and nothing is answered; and the store's `events_to_drop`."""
 
     def __init__(
-        self, loop: Timers, address: tuple[str, int], log: Log, seed: int, listen: Callable[..., Listener] = Listener
+        self,
+        loop: Timers,
+        address: tuple[str, int],
+        log: TransactionLog,
+        seed: int,
+        listen: Callable[..., Listener] = Listener,
     ) -> None:
         """`address`: host and port, 0 for a free port; the attribute holds the actual one. `log`: closed by `close`."""
         self.loop, self.store = loop, Store(log, seed, loop.clock())
-        self.streams: dict[Stream, Line] = {}
+        self.streams: dict[Stream, Connection] = {}
         self.answer_delay, self.unresponsive = 0.0, False
         self.muted_sessions: set[int] = set()
         self.commit_due = False
@@ -37,14 +42,14 @@
             self.rejected_connections += 1
             stream.abort("too many connections")
             return
-        line = self.streams[stream] = Line()
-        stream.on_data = lambda data: self._on_data(line, data)
+        connection = self.streams[stream] = Connection()
+        stream.on_data = lambda data: self._on_data(connection, data)
         stream.on_end = lambda reason: self._on_end(stream)
 
-    def _on_data(self, line: Line, data: bytes) -> None:
+    def _on_data(self, connection: Connection, data: bytes) -> None:
         if self.unresponsive:
             return
-        self.store.take(line, data, self.loop.clock())
+        self.store.receive(connection, data, self.loop.clock())
         self._schedule_commit()
 
     def _on_end(self, stream: Stream) -> None:
@@ -65,11 +70,11 @@
         self._schedule_expiry()
 
     def _write_output(self) -> None:
-        for stream, line in list(self.streams.items()):
-            if line.out and line.session not in self.muted_sessions:
-                data, line.out = bytes(line.out), bytearray()
+        for stream, connection in list(self.streams.items()):
+            if connection.output and connection.session not in self.muted_sessions:
+                data, connection.output = bytes(connection.output), bytearray()
                 stream.write(data)
-            if line.close_reason:
+            if connection.close_reason:
                 stream.finish()
 
     def _schedule_expiry(self) -> None:
--- a/driftshed/roster/store.py
+++ b/driftshed/roster/store.py
@@ -25,32 +25,33 @@
     Reply,
     SetWatches,
 )
-from driftshed.roster.log import Log
+from driftshed.roster.log import TransactionLog
 
 MAX_SESSIONS = 10000
 MAX_OUTPUT_BYTES = 8 << 20  # not yet read by one client
 MIN_SESSION_TIMEOUT_S, MAX_SESSION_TIMEOUT_S = 0.1, 60.0
 
 
-class Line:
-    """One client connection. `close_reason`: why to close it once `out` has been written; empty while it stays open."""
+class Connection:
+    """One client connection. `close_reason`: why to close it once `output` has been written; empty while it stays
+    open."""
 
-    __slots__ = ("frames", "session", "out", "close_reason")
+    __slots__ = ("frames", "session", "output", "close_reason")
 
     def __init__(self) -> None:
         """`session` is 0 until the client has opened or resumed one."""
-        self.frames, self.session, self.out, self.close_reason = Frames(), 0, bytearray(), ""
+        self.frames, self.session, self.output, self.close_reason = Frames(), 0, bytearray(), ""
 
 
 class Store:
     """Sessions and their connections on one tree. Times are seconds on the caller's clock."""
 
-    def __init__(self, log: Log, seed: int, now: float) -> None:
+    def __init__(self, log: TransactionLog, seed: int, now: float) -> None:
         """`seed`: of session numbers and passwords."""
         # Guards against two sessions with one number: a store restarted with the same seed would otherwise draw the
         # numbers again that it assigned before.
         self.log, self.tree, self.random = log, log.tree, Random(f"store {seed} {log.tree.zxid}")
-        self.connections: dict[int, Line] = {}  # by session
+        self.connections: dict[int, Connection] = {}  # by session
         # After a restart every client has a full time-out to resume its session.
         self.expires_at = {
             session_id: now + session.timeout / 1000 for session_id, session in self.tree.sessions.items()
@@ -60,39 +61,41 @@
 
     # ---- connections ------------------------------------------------------------------------------------------
 
-    def take(self, line: Line, data: bytes, now: float) -> None:
+    def receive(self, connection: Connection, data: bytes, now: float) -> None:
         """Handles bytes received on a connection. Malformed bytes end this connection and affect no other."""
         try:
-            for payload in line.frames.feed(data):
-                if line.close_reason:
+            for payload in connection.frames.feed(data):
+                if connection.close_reason:
                     return
-                if not line.session:
-                    self._open_session(line, jute.read_connect(payload), now)
+                if not connection.session:
+                    self._open_session(connection, jute.read_connect_request(payload), now)
                 else:
-                    self._handle_request(line, payload, now)
+                    self._handle_request(connection, payload, now)
         except Malformed as error:
-            line.close_reason = f"malformed: {error}"
+            connection.close_reason = f"malformed: {error}"
 
-    def connection_lost(self, line: Line) -> None:
+    def connection_lost(self, connection: Connection) -> None:
         """A connection has ended; its session lives on until it is resumed or times out."""
-        if line.session and self.connections.get(line.session) is line:
-            del self.connections[line.session]
-            self.tree.forget_watches(line.session)
+        if connection.session and self.connections.get(connection.session) is connection:
+            del self.connections[connection.session]
+            self.tree.forget_watches(connection.session)
 
-    def _open_session(self, line: Line, request: jute.Connect, now: float) -> None:
+    def _open_session(self, connection: Connection, request: jute.ConnectRequest, now: float) -> None:
         timeout = round(1000 * min(MAX_SESSION_TIMEOUT_S, max(MIN_SESSION_TIMEOUT_S, request.timeout / 1000)))
         session_id, session = request.session, self.tree.sessions.get(request.session)
         # Guards against a client that has seen changes which this store lacks: it would accept older data as newer.
         if request.last_zxid > self.tree.zxid:
-            line.close_reason = f"the client has seen change {request.last_zxid}, the newest here is {self.tree.zxid}"
+            connection.close_reason = (
+                f"the client has seen change {request.last_zxid}, the newest here is {self.tree.zxid}"
+            )
             return
         if session_id and (session is None or session.password != request.password):
-            line.out += jute.write_connect_response(ConnectResponse(0, 0, bytes(16)))
-            line.close_reason = "its session has expired"
+            connection.output += jute.write_connect_response(ConnectResponse(0, 0, bytes(16)))
+            connection.close_reason = "its session has expired"
             return
         if not session_id:
             if len(self.tree.sessions) >= MAX_SESSIONS:
-                line.close_reason = f"{MAX_SESSIONS} sessions are open"
+                connection.close_reason = f"{MAX_SESSIONS} sessions are open"
                 return
             while not session_id or session_id in self.tree.sessions:
                 session_id = self.random.getrandbits(62)
@@ -104,26 +107,26 @@
         if previous is not None:
             previous.close_reason = "its session was resumed on another connection"
             self.connection_lost(previous)
-        line.session = session_id
-        self.connections[session_id] = line
+        connection.session = session_id
+        self.connections[session_id] = connection
         self.expires_at[session_id] = now + session.timeout / 1000
-        line.out += jute.write_connect_response(ConnectResponse(session.timeout, session_id, session.password))
+        connection.output += jute.write_connect_response(ConnectResponse(session.timeout, session_id, session.password))
 
-    def _handle_request(self, line: Line, payload: bytes, now: float) -> None:
-        session_id = line.session
+    def _handle_request(self, connection: Connection, payload: bytes, now: float) -> None:
+        session_id = connection.session
         if session_id not in self.tree.sessions:  # expired while the connection is open
-            line.close_reason = "its session has expired"
+            connection.close_reason = "its session has expired"
             return
         self.expires_at[session_id] = now + self.tree.sessions[session_id].timeout / 1000
         xid, request = jute.read_request(payload)
         if request is None:
-            self._reply(line, Reply(xid, self.tree.zxid, UNIMPLEMENTED))
+            self._reply(connection, Reply(xid, self.tree.zxid, UNIMPLEMENTED))
         elif isinstance(request, Ping):
-            self._reply(line, Reply(XID_PING, self.tree.zxid, OK))
+            self._reply(connection, Reply(XID_PING, self.tree.zxid, OK))
         elif isinstance(request, Close):
             self._end_session(session_id)
-            self._reply(line, Reply(xid, self.tree.zxid, OK))
-            line.close_reason = "closed"
+            self._reply(connection, Reply(xid, self.tree.zxid, OK))
+            connection.close_reason = "closed"
         else:
             time_ms = round(now * 1000)
             outcome = self.tree.execute(session_id, request, time_ms)
@@ -134,23 +137,23 @@
             if outcome.result is not None and (outcome.error == OK or isinstance(request, jute.Multi)):
                 body = jute.write_result(request, outcome.result)
             if not isinstance(request, SetWatches) or outcome.error == OK:
-                self._reply(line, Reply(xid, self.tree.zxid, outcome.error), body)
+                self._reply(connection, Reply(xid, self.tree.zxid, outcome.error), body)
 
-    def _reply(self, line: Line, reply: Reply, body: bytes = b"") -> None:
-        line.out += jute.write_reply(reply, body)
-        if len(line.out) > MAX_OUTPUT_BYTES:
-            line.close_reason = "the client does not read"
+    def _reply(self, connection: Connection, reply: Reply, body: bytes = b"") -> None:
+        connection.output += jute.write_reply(reply, body)
+        if len(connection.output) > MAX_OUTPUT_BYTES:
+            connection.close_reason = "the client does not read"
 
     def _send_events(self, events: list[tuple[int, Event]]) -> None:
         for session_id, event in events:
-            line = self.connections.get(session_id)
-            if line is not None and self.events_to_drop:
+            connection = self.connections.get(session_id)
+            if connection is not None and self.events_to_drop:
                 self.events_to_drop -= 1
-                line.close_reason = "broken on purpose"
-            elif line is not None:
-                line.out += jute.write_event(event._replace(state=CONNECTED))
-                if len(line.out) > MAX_OUTPUT_BYTES:
-                    line.close_reason = "the client does not read"
+                connection.close_reason = "broken on purpose"
+            elif connection is not None:
+                connection.output += jute.write_event(event._replace(state=CONNECTED))
+                if len(connection.output) > MAX_OUTPUT_BYTES:
+                    connection.close_reason = "the client does not read"
 
     # ---- sessions ---------------------------------------------------------------------------------------------
 
@@ -166,10 +169,10 @@
         if session_id not in self.tree.sessions:
             return
         self.expired_count += 1
-        line = self.connections.get(session_id)
+        connection = self.connections.get(session_id)
         self._end_session(session_id)
-        if line is not None:
-            line.close_reason = "its session has expired"
+        if connection is not None:
+            connection.close_reason = "its session has expired"
 
     def expire_sessions(self, now: float) -> None:
         """Expires the sessions whose time-out has passed."""
--- a/driftshed/roster/tree.py
+++ b/driftshed/roster/tree.py
@@ -85,14 +85,14 @@
 class Session:
     """One session: its time-out in milliseconds, its ephemeral nodes, and the paths that its connection watches."""
 
-    __slots__ = ("timeout", "password", "nodes", "data", "children")
+    __slots__ = ("timeout", "password", "nodes", "data_watches", "child_watches")
 
     def __init__(self, timeout: int, password: bytes) -> None:
         """`password`: a client must send it to resume the session."""
         self.timeout, self.password = timeout, password
         self.nodes: dict[str, None] = {}
-        self.data: set[str] = set()  # paths watched for creation, change and deletion
-        self.children: set[str] = set()
+        self.data_watches: set[str] = set()  # paths watched for creation, change and deletion
+        self.child_watches: set[str] = set()
 
 
 class Outcome(NamedTuple):
@@ -153,7 +153,7 @@
         session_state = self.sessions.get(session)
         if session_state is None:
             return
-        for kind, paths in (("data", session_state.data), ("children", session_state.children)):
+        for kind, paths in (("data", session_state.data_watches), ("children", session_state.child_watches)):
             for path in paths:
                 self._unwatch(kind, path, session)
             paths.clear()
@@ -167,8 +167,8 @@
 
     def _watch(self, kind: str, path: str, session: int) -> None:
         session_state = self.sessions[session]
-        paths = session_state.data if kind == "data" else session_state.children
-        if path not in paths and len(session_state.data) + len(session_state.children) >= MAX_WATCHES:
+        paths = session_state.data_watches if kind == "data" else session_state.child_watches
+        if path not in paths and len(session_state.data_watches) + len(session_state.child_watches) >= MAX_WATCHES:
             raise RequestError(BAD_ARGUMENTS)
         paths.add(path)
         self.watches.setdefault((kind, path), {})[session] = None
@@ -179,7 +179,7 @@
         for kind in kinds:
             for session in self.watches.pop((kind, event.path), ()):
                 session_state = self.sessions[session]
-                (session_state.data if kind == "data" else session_state.children).discard(event.path)
+                (session_state.data_watches if kind == "data" else session_state.child_watches).discard(event.path)
                 notified[session] = None
         return [(session, event) for session in notified]
 
@@ -384,4 +384,4 @@
                 tree.watches[kind, path] = sessions
             for session in sessions:
                 session_state = tree.sessions[session]
-                (session_state.data if kind == "data" else session_state.children).add(path)
+                (session_state.data_watches if kind == "data" else session_state.child_watches).add(path)
--- a/driftshed/standins/client.py
+++ b/driftshed/standins/client.py
@@ -13,8 +13,8 @@
 
 class ClientStandin:
     """The clients of one proxy. `work`: by operation, the range of the work of a request in seconds; `rate`: requests
-    per second; `surge`: factor on the rate. A client repeats a failed request once where that is safe; the parameter
-    `ask` of the query numbers its own attempts. `open` False ends the load."""
+    per second; `rate_factor`: factor on the rate. A client repeats a failed request once where that is safe; the
+    parameter `ask` of the query numbers its own attempts. `running` False ends the load."""
 
     def __init__(
         self,
@@ -31,16 +31,22 @@
         """Starts the load at once. `shares`: relative frequency of each operation; `repeats`: whether requests are
         repeated; `tap`: see `HttpClient`."""
         self.loop, self.operations, self.shares, self.work, self.rate = loop, operations, shares, work, rate
-        self.random, self.repeats, self.surge, self.request_count, self.open = Random(seed), repeats, 1.0, 0, True
+        self.random, self.repeats, self.rate_factor, self.request_count, self.running = (
+            Random(seed),
+            repeats,
+            1.0,
+            0,
+            True,
+        )
         self.name = f"{proxy[0]}"
         self.client = HttpClient(loop, proxy, max_idle=256, tap=tap)
         self._next()
 
     def _next(self) -> None:
-        self.loop.after(self.random.expovariate(self.rate * self.surge), self._arrive)
+        self.loop.after(self.random.expovariate(self.rate * self.rate_factor), self._arrive)
 
     def _arrive(self) -> None:
-        if not self.open:
+        if not self.running:
             return
         self._next()
         index = self.random.choices(range(len(self.operations)), self.shares)[0]
@@ -58,7 +64,7 @@
         started_at = self.loop.clock()
 
         def on_answer(answer: Answer) -> None:
-            if answer.status == 200 or attempt > 1 or not self.repeats or not self.open:
+            if answer.status == 200 or attempt > 1 or not self.repeats or not self.running:
                 return
             never_ran = answer.headers.get(b"x-never-ran") == b"1"
             within_window = operation.repeat_window and self.loop.clock() + 0.05 - started_at < operation.repeat_window
--- a/driftshed/standins/emulator.py
+++ b/driftshed/standins/emulator.py
@@ -17,7 +17,7 @@
 MAX_HELD_REQUESTS = 4096  # unanswered invocations on a hanging server
 
 
-class Machine(NamedTuple):
+class ServerProperties(NamedTuple):
     """The properties of a kind of server. `speed`: seconds of work that a core does per second. A cold server starts
     with `cold_share` of its capacity and reaches all of it `warm_within` seconds later; until then it fails when more
     than `tip_multiple` times its capacity arrives within `tip_span` seconds."""
@@ -39,23 +39,23 @@
     load_lag: float = 0.0  # delay in seconds of reported load
     load_noise: float = 0.0  # relative standard deviation of reported load
 
-    def grown(self, age: float) -> float:
+    def warm_share(self, age: float) -> float:
         """The available share of the capacity, `age` seconds after a cold start."""
         return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.warm_within)
 
 
-class Ill(NamedTuple):
+class ServerFault(NamedTuple):
     """One fault of one server; any number can be active at once. `operation`: the operation affected, or None for all;
     for a single one only `slower`, `errors`, `lost` and `hangs` have an effect."""
 
     slower: float = 1.0  # factor on the duration of work
     stolen: float = 0.0  # share of the cores used by other tenants
-    ages: float = 0.0  # relative increase of the duration of work per minute since the last start
+    slowdown_per_minute: float = 0.0  # relative increase of the duration of work per minute since the last start
     errors: float = 0.0  # share answered with status 500 immediately
     lost: float = 0.0  # share run but never answered
     hangs: bool = False
     refuses: bool = False  # resets new connections
-    squeezed: float = 1.0  # share of its connection limit that remains
+    connection_share: float = 1.0  # share of its connection limit that remains
     operation: str | None = None
 
 
@@ -80,7 +80,7 @@
         self,
         loop: Timers,
         address: tuple[str, int],
-        machine: Machine,
+        machine: ServerProperties,
         seed: int,
         tap=None,
         transport: Transport = SOCKETS,
@@ -91,9 +91,9 @@
         self.tap = tap
         self.http: HttpServer | None = None
         self.started = float("-inf")
-        self.ills: dict[object, Ill] = {}
+        self.faults: dict[object, ServerFault] = {}
         self.unreachable: set[str] = set()  # source addresses whose requests are ignored
-        self.served = self.rejected = self.dropped = self.fell = 0
+        self.served = self.rejected = self.dropped = self.overload_failures = 0
         self.busy_core_seconds = 0.0
         self._combine_faults()
         self._reset_state()
@@ -143,14 +143,14 @@
 
     # ---- faults -----------------------------------------------------------------------------------------------
 
-    def fall_ill(self, name: object, ill: Ill) -> None:
-        """Activates a fault in addition to the active ones; `name` identifies it for `recover`."""
-        self.ills[name] = ill
+    def add_fault(self, name: object, fault: ServerFault) -> None:
+        """Activates a fault in addition to the active ones; `name` identifies it for `remove_fault`."""
+        self.faults[name] = fault
         self._combine_faults()
 
-    def recover(self, name: object) -> None:
+    def remove_fault(self, name: object) -> None:
         """Ends a fault. Requests held while the server was hanging are reset."""
-        self.ills.pop(name, None)
+        self.faults.pop(name, None)
         self._combine_faults()
         if not self.hanging:
             held_requests, self.held_requests = self.held_requests, []
@@ -161,20 +161,20 @@
     def _combine_faults(self) -> None:
         """Computes the combined effect of all active faults from scratch, so that ending one fault cannot undo the
         effect of another."""
-        server_faults = [fault for fault in self.ills.values() if fault.operation is None]
+        server_faults = [fault for fault in self.faults.values() if fault.operation is None]
         self.hanging = any(fault.hangs for fault in server_faults)
         self.refusing = any(fault.refuses for fault in server_faults)
-        self.ageing_rate = sum(fault.ages for fault in server_faults)
+        self.ageing_rate = sum(fault.slowdown_per_minute for fault in server_faults)
         self.slowdown, self.available_share, success_share, answered_share, connection_share = 1.0, 1.0, 1.0, 1.0, 1.0
         for fault in server_faults:
             self.slowdown *= fault.slower
             self.available_share *= 1 - fault.stolen
             success_share *= 1 - fault.errors
             answered_share *= 1 - fault.lost
-            connection_share *= fault.squeezed
+            connection_share *= fault.connection_share
         self.error_share, self.lost_share = 1 - success_share, 1 - answered_share
         self.operation_faults = {}  # by operation, for faults that affect only one
-        for fault in self.ills.values():
+        for fault in self.faults.values():
             if fault.operation is not None:
                 slower, errors, lost, hangs = self.operation_faults.get(fault.operation, (1.0, 0.0, 0.0, False))
                 self.operation_faults[fault.operation] = (
@@ -196,7 +196,7 @@
             if self.ageing_rate
             else self.slowdown
         )
-        return machine.cores * machine.speed * machine.grown(now - self.started) * self.available_share / slowdown
+        return machine.cores * machine.speed * machine.warm_share(now - self.started) * self.available_share / slowdown
 
     # ---- invocations ------------------------------------------------------------------------------------------
 
@@ -216,7 +216,7 @@
             self._answer(request, 400)
             return
         if self._overloaded_while_cold(work):
-            self.fell += 1
+            self.overload_failures += 1
             self.stop()
             return
         if self.hanging or hangs:
@@ -321,11 +321,11 @@
         self._start_jobs()
 
     def _answer(self, request: Request, status: int, extra: str = "") -> None:
-        busy = self._load()
+        busy = self._reported_load()
         load = f"x-load: {busy},{min(1.0, busy / self.machine.cores):.2f}\r\n"
         request.answer(status, b"ok" if status == 200 else b"", "text/plain", load + extra)
 
-    def _load(self) -> int:
+    def _reported_load(self) -> int:
         """The reported load, running and queued jobs: delayed and noisy if its kind is."""
         machine, busy = self.machine, self.running_jobs + len(self.queue)
         if machine.load_lag:
--- a/driftshed/standins/roster.py
+++ b/driftshed/standins/roster.py
@@ -17,7 +17,7 @@
 from driftshed.roster.announce import Announcer
 from driftshed.roster.client import RosterClient
 from driftshed.roster.jute import Close
-from driftshed.roster.membership import Announced
+from driftshed.roster.membership import ServerAnnouncement
 
 TICK_S = 0.05
 RETRY_DELAY_S = 0.25  # after a failed push
@@ -29,7 +29,7 @@
     time."""
 
     def __init__(self, loop: Loop, client: HttpClient, lag: float) -> None:
-        """`client`: connected to the supervisor's API. Nothing is sent before `begin`."""
+        """`client`: connected to the supervisor's API. Nothing is sent before `publish_initial`."""
         self.loop, self.client, self.lag = loop, client, lag
         self.servers: dict[str, ListedServer] = {}  # the list as pushed
         self.delayed: deque[tuple[float, ListedServer]] = deque()  # with the time of the change
@@ -40,7 +40,7 @@
         """Reports a change of a server after the lag; state "gone" removes it."""
         self.delayed.append((self.loop.clock(), server))
 
-    def begin(self, servers: list[ListedServer]) -> None:
+    def publish_initial(self, servers: list[ListedServer]) -> None:
         """Pushes the initial list without delay and starts the timer."""
         self.servers = {each.server: each for each in servers}
         self._tick()
@@ -87,16 +87,17 @@
         self.in_flight = False
 
     @staticmethod
-    def unix(clock: float) -> float | None:
+    def unix_time(clock: float) -> float | None:
         """The unix time of a moment on the loop's clock; None for minus infinity."""
         return None if clock == float("-inf") else time.time() - time.monotonic() + clock
 
 
-ROOT = "/driftshed/servers"
+SERVERS_ROOT = "/driftshed/servers"
 
 
 class StoreRoster:
-    """Servers that announce themselves by nodes in a store. Has the same `begin` and `change` as `RosterStandin`."""
+    """Servers that announce themselves by nodes in a store. Has the same `publish_initial` and `change` as
+    `RosterStandin`."""
 
     def __init__(
         self, loop: Timers, store: tuple[str, int], timeout: float, seed: int, dial: Callable[..., Stream] = dial
@@ -106,7 +107,7 @@
         self.loop, self.store, self.timeout, self.random = loop, store, timeout, Random(f"roster {seed}")
         self.announcers: dict[str, Announcer] = {}
 
-    def begin(self, servers: list[ListedServer]) -> None:
+    def publish_initial(self, servers: list[ListedServer]) -> None:
         """Announces the initial servers."""
         for server in servers:
             self.change(server)
@@ -116,7 +117,7 @@
         crash."""
         announcer = self.announcers.get(server.server)
         if server.state == "draining":
-            announcer.say("draining")
+            announcer.set_server_state("draining")
         elif server.state == "gone":
             if announcer.node.state == "draining":
                 announcer.leave()
@@ -124,12 +125,12 @@
                 announcer.stop()
             del self.announcers[server.server]
         else:
-            node = Announced(
+            node = ServerAnnouncement(
                 server.server, server.zone, server.kind, "ready", server.started, server.cell, server.weight, 0
             )
             seed = self.random.getrandbits(32)
             self.announcers[server.server] = Announcer(
-                self.loop, [self.store], ROOT, node, self.timeout, seed, dial=self.dial
+                self.loop, [self.store], SERVERS_ROOT, node, self.timeout, seed, dial=self.dial
             )
 
     def end_session(self, server: str) -> None:
@@ -139,7 +140,7 @@
             self.loop, [self.store], self.timeout, self.random, lambda state: None, lambda event: None, self.dial
         )
         closer.session.session, closer.session.password, closer.session.zxid = session.session, session.password, 0
-        closer.ask(Close(), lambda error, result: closer.stop())
+        closer.send_request(Close(), lambda error, result: closer.stop())
 
     def stop(self) -> None:
         """Stops all announcers."""
--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -15,13 +15,13 @@
 from driftshed.core.instance import Instance
 from driftshed.net.http import Bounds
 from driftshed.net.loop import Loop
-from driftshed.roster.command import check_root, hosts_of
+from driftshed.roster.command import check_root, parse_hosts
 from driftshed.roster.follow import RosterFollower
 from driftshed.roster.membership import Membership
 from driftshed.supervisor.flags import fact_options, start_facts
 from driftshed.supervisor.service import Service
 from driftshed.trace.recording import Recording
-from driftshed.trace.writer import TraceWriter, tend_trace
+from driftshed.trace.writer import TraceWriter, schedule_trace_flush
 
 
 @click.command()
@@ -150,7 +150,7 @@
             raise click.BadParameter(text, param_hint="--lapse-hold-most")
         follower = RosterFollower(
             loop,
-            hosts_of(connect, "roster-connect"),
+            parse_hosts(connect, "roster-connect"),
             check_root(root),
             facts.zones,
             facts.kinds,
@@ -160,7 +160,7 @@
             seed,
             session_timeout,
         )
-        service.followed, instance.on_server_answered = connect, follower.answered
+        service.roster_source, instance.on_server_answered = connect, follower.record_answer
 
     agent = None
     if tiers is not None:  # Imported only here: a standalone supervisor does not need it.
@@ -177,7 +177,7 @@
         agent = take_part(
             loop,
             service,
-            hosts_of(fleet_connect, "fleet-connect"),
+            parse_hosts(fleet_connect, "fleet-connect"),
             check_root(fleet_root),
             name,
             expected,
@@ -224,10 +224,10 @@
         for name, blocks, bytes_cut_off in writer.recovered:
             log("trace_recovered", file=name, blocks=blocks, bytes_cut_off=bytes_cut_off)
         recording = Recording(instance, writer)
-        service.on_message = recording.message
+        service.on_message = recording.record_message
         if leave_zones:
-            agent.evacuation.on_decided = recording.decided
-        tend_trace(loop, writer, log)
+            agent.evacuation.on_decided = recording.record_decision
+        schedule_trace_flush(loop, writer, log)
 
     def stop(signal_number: int) -> None:
         log("stopping", signal=signal.Signals(signal_number).name)
--- a/driftshed/supervisor/flags.py
+++ b/driftshed/supervisor/flags.py
@@ -109,7 +109,7 @@
 
     name: str
     fact: str
-    kind: click.ParamType
+    param_type: click.ParamType
     default: object
     help: str
 
@@ -181,7 +181,7 @@
 def fact_options(command: Callable) -> Callable:
     """Decorator that adds the flags of the start facts to a click command."""
     for flag in reversed(FLAGS):
-        command = option(flag.name, flag.fact, type=flag.kind, default=flag.default, help=flag.help)(command)
+        command = option(flag.name, flag.fact, type=flag.param_type, default=flag.default, help=flag.help)(command)
     kind = OperationType()
     return option("operation", "operations", type=kind, multiple=True, required=True, help=OPERATION_HELP)(command)
 
@@ -210,17 +210,17 @@
     return face.StartFacts(**facts)
 
 
-def facts_of(flags: dict[str, str | int | float | bool], operations: list[str]) -> face.StartFacts:
+def facts_from_flags(flags: dict[str, str | int | float | bool], operations: list[str]) -> face.StartFacts:
     """Start facts of flags that a file gives by name, parsed like those of a command line.
 
     Raises click.ClickException, which names the invalid flag."""
-    values: dict[str, object] = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    values: dict[str, object] = {flag.fact: flag.param_type.convert(flag.default, None, None) for flag in FLAGS}
     by_name = {flag.name: flag for flag in FLAGS}
     for name, value in flags.items():
         if name not in by_name:
             raise click.BadParameter(f"flags: {name!r} is no flag of supervise")
         try:
-            values[by_name[name].fact] = by_name[name].kind.convert(value, None, None)
+            values[by_name[name].fact] = by_name[name].param_type.convert(value, None, None)
         except click.BadParameter as error:
             raise click.BadParameter(f"flags: {name}: {error.message}") from None
     values["operations"] = tuple(read_operation(text) for text in operations)
