--- a/driftshed/supervisor/service.py
+++ b/driftshed/supervisor/service.py
@@ -48,22 +48,22 @@
         address: tuple[str, int],
         log,
         max_poll_wait: float = 20.0,
-        silence: float = 3.0,
+        silence_timeout: float = 3.0,
         bounds: Bounds = Bounds(),
         transport: Transport = SOCKETS,
     ) -> None:
         """Listens at `address` at once; raises OSError where it cannot. `max_poll_wait`: longest time in seconds that
-        a poll is held; `silence`: seconds without a poll after which a stream ends; `log(event, **fields)` is called
-        once per event."""
+        a poll is held; `silence_timeout`: seconds without a poll after which a stream ends; `log(event, **fields)` is
+        called once per event."""
         self.loop, self.instance, self.log = loop, instance, log
-        self.max_poll_wait, self.silence, self.bounds = max_poll_wait, silence, bounds
-        self.polls: dict[int, ProxyStream] = {}
+        self.max_poll_wait, self.silence_timeout, self.bounds = max_poll_wait, silence_timeout, bounds
+        self.streams: dict[int, ProxyStream] = {}
         self.stream_by_connection: dict[ServerConnection, ProxyStream] = {}
         self.timer: Timer | None = None
         self.turn_scheduled = False
         self.refused_requests, self.handing_over = 0, False
         self.highest_terms: dict[int, int] = {}  # highest term of the joins of each proxy
-        self.living: Callable[[], list[str]] = lambda: []  # addresses of the live supervisors
+        self.live_supervisors: Callable[[], list[str]] = lambda: []  # addresses of the live supervisors
         self.views: dict[str, Callable[[], object]] = {
             "tables": self._view_tables,
             "servers": self._view_servers,
@@ -73,8 +73,8 @@
         }
         # POST /v1/NAME: type of the body and handler; the handler raises Refused with a reason.
         self.actions: dict[str, tuple[type, Callable[[object], object]]] = {}
-        self.waits: Callable[[], str] = lambda: ""  # reason why joins are not accepted yet; "" if they are
-        self.followed = ""  # source of the roster; "" if it is pushed
+        self.not_ready_reason: Callable[[], str] = lambda: ""  # reason why joins are not accepted yet; "" if they are
+        self.roster_source = ""  # source of the roster; "" if it is pushed
         self.started_at = loop.clock()
         # Called with each answer to a poll that carries changes, and with each poll, which acknowledges a version.
         self.on_message: Callable[[float, str, bool], object] | None = None
@@ -85,20 +85,20 @@
         instance.on_fault = self._log_module_fault
         self._schedule_next_turn()
 
-    def hear_overlaid(self, listing: face.Listing) -> None:
+    def apply_overlay(self, listing: face.Listing) -> None:
         """Applies a changed overlay of the roster."""
         self.instance.pending_events.append(listing)
-        self.soon()
+        self.schedule_turn()
 
     def apply_roster_update(self, news: RosterUpdate) -> None:
         """Applies an update of the roster, from any source. Raises Refused where the instance rejects it."""
         self.instance.apply_roster_update(news)
         self.log("roster", version=news.version, whole=news.whole, servers=len(news.servers))
-        self.soon()
+        self.schedule_turn()
 
     # ---- turns ------------------------------------------------------------------------------------------------
 
-    def soon(self) -> None:
+    def schedule_turn(self) -> None:
         """Schedules a turn within one tick, so that events that arrive together are handled in one turn."""
         if not self.turn_scheduled:
             self.turn_scheduled = True
@@ -107,7 +107,7 @@
     def _run_turn(self) -> None:
         self.turn_scheduled = False
         for record in self.instance.turn(self.loop.clock()):
-            stream = self.polls.get(record.proxy)
+            stream = self.streams.get(record.proxy)
             if stream is not None and stream.request is not None:
                 self._send_pending_changes(stream)
         self._schedule_next_turn()
@@ -156,8 +156,10 @@
             if parts[3] in ("changes", "report", "join", "leave"):
                 raise Refused(405, f"{method} is not a way to call {request.path}")
         if (method, parts) == ("POST", ["v1", "roster"]):
-            if self.followed:
-                raise Refused(409, f"the list is followed at {self.followed}; push none, or leave --roster-connect out")
+            if self.roster_source:
+                raise Refused(
+                    409, f"the list is followed at {self.roster_source}; push none, or leave --roster-connect out"
+                )
             news = self._decode_body(request, RosterUpdate)
             self.apply_roster_update(news)
             return request.answer(200, encode_json({"version": news.version}))
@@ -190,7 +192,7 @@
         join = self._decode_body(request, Join)
         if self.handing_over:
             raise Refused(503, "this supervisor leaves; join another")
-        if reason := self.waits():
+        if reason := self.not_ready_reason():
             raise Refused(503, reason)
         try:
             term = int(dict(parse_qsl(request.query)).get("term", "0"))
@@ -205,11 +207,11 @@
             return request.answer(409, encode_json({"error": reason, "term": self.highest_terms[proxy]}))
         record, replaced = self.instance.join(proxy, join, self.loop.now)
         self.highest_terms[proxy] = term
-        replaced_stream = self.polls.pop(proxy, None)
+        replaced_stream = self.streams.pop(proxy, None)
         if replaced_stream is not None:
             self._end_held_poll(replaced_stream, 409, "replaced by a newer stream of this proxy")
-        stream = self.polls[proxy] = ProxyStream(record)
-        stream.announced_supervisors = self.living()
+        stream = self.streams[proxy] = ProxyStream(record)
+        stream.announced_supervisors = self.live_supervisors()
         self._attach_connection(stream, request.connection)
         self._start_silence_timer(stream)
         self.log(
@@ -220,7 +222,7 @@
             resumed=join.run == self.instance.hub.run,
             replaced=replaced,
         )
-        self.soon()
+        self.schedule_turn()
         answer = JoinAnswer(
             self.instance.hub.run,
             record.stream,
@@ -243,7 +245,7 @@
 
     def _start_silence_timer(self, stream: ProxyStream) -> None:
         # Guards against a proxy that is cut off without a closed connection: its stream would never end.
-        stream.timer = self.loop.after(self.silence, lambda: self._end_stream(stream, "silent"))
+        stream.timer = self.loop.after(self.silence_timeout, lambda: self._end_stream(stream, "silent"))
 
     def _handle_poll(self, request: Request, proxy: int) -> None:
         query = dict(parse_qsl(request.query))
@@ -257,7 +259,7 @@
         self.instance.ack(record, after, self.loop.now)
         if self.on_message:
             self.on_message(self.loop.now, f"{record.stream}/{after}/applied", False)
-        stream = self.polls[proxy]
+        stream = self.streams[proxy]
         if stream.request is not None:
             self._answer_held_poll(stream, 409, error_body("another poll of this stream came"))
         if stream.timer:
@@ -265,7 +267,7 @@
         self._attach_connection(stream, request.connection)
         stream.request = request
         if self.instance.pending_events:
-            self.soon()
+            self.schedule_turn()
         body = self.instance.hub.update_body(record, self.loop.clock())
         if body is not None:
             self._send_changes(stream, body)
@@ -282,7 +284,7 @@
 
         Guards against proxies that joined before this supervisor knew the others: they would all connect to the same
         next supervisor when this one stops."""
-        living = self.living()
+        living = self.live_supervisors()
         if living and living != stream.announced_supervisors:
             stream.announced_supervisors = living
             body = body[:-1] + b',"supervisors":' + encode_json(living) + b"}"
@@ -323,7 +325,7 @@
 
     def _handle_leave(self, request: Request, proxy: int) -> None:
         self.instance.record(proxy, dict(parse_qsl(request.query)).get("stream", ""))
-        self._end_stream(self.polls[proxy], "said so")
+        self._end_stream(self.streams[proxy], "said so")
         request.answer(200, b"{}")
 
     def _connection_ended(self, connection: ServerConnection, reason: str) -> None:
@@ -333,11 +335,11 @@
 
     def _end_stream(self, stream: ProxyStream, reason: str) -> None:
         proxy = stream.record.proxy
-        del self.polls[proxy]
+        del self.streams[proxy]
         self._end_held_poll(stream, 409, f"the stream has ended: {reason}")
         self.instance.leave(proxy)
         self.log("left", proxy=proxy, reason=reason)
-        self.soon()
+        self.schedule_turn()
 
     # ---- views ------------------------------------------------------------------------------------------------
 
@@ -414,7 +416,7 @@
             "most_waiting": hub.channel.most_waiting,
             "cap": self.instance.facts.queue_cap,
             "messages": hub.messages_sent,
-            "joined": len(self.polls),
+            "joined": len(self.streams),
             "connections": len(self.http.connections),
             "faults": self.instance.faults,
             "refused": self.refused_requests,
@@ -427,13 +429,13 @@
         seconds until the next proxy, given the number of lines of the largest tables held. Calls `on_done()` once no
         proxy is left."""
         self.handing_over = True
-        largest = max((len(stream.record.held) for stream in self.polls.values()), default=0)
+        largest = max((len(stream.record.held) for stream in self.streams.values()), default=0)
 
         def hand_over_next() -> None:
-            if not self.polls:
+            if not self.streams:
                 on_done()
                 return
-            stream = next((stream for stream in self.polls.values() if stream.request is not None), None)
+            stream = next((stream for stream in self.streams.values() if stream.request is not None), None)
             if stream is not None:
                 self._answer_held_poll(
                     stream, 503, error_body("the supervisor leaves; dial another"), "retry-after: 0\r\n"
@@ -445,7 +447,7 @@
     def stop(self) -> None:
         """Answers every held poll with 503, then closes the server and stops the loop."""
         self.http.closing = True
-        for stream in list(self.polls.values()):
+        for stream in list(self.streams.values()):
             if stream.request is not None:
                 self._answer_held_poll(stream, 503, error_body("the supervisor stops; dial again"))
         self.loop.soon(lambda: (self.http.close(), self.loop.stop()))
--- a/driftshed/trace/command.py
+++ b/driftshed/trace/command.py
@@ -25,7 +25,7 @@
 OUT = click.Path(dir_okay=False, path_type=Path)
 # By the first part of a topic: repeats a recorded decision and returns how it differs, or "". Filled by
 # driftshed/cli.py.
-DECIDERS: dict[str, Callable[[dict], str]] = {}
+DECISION_CHECKERS: dict[str, Callable[[dict], str]] = {}
 
 
 class TraceGroup(click.Group):
@@ -202,7 +202,7 @@
 def replay(files, other_core) -> None:
     """Feeds recorded events to the module and reports where orders first differ. Pass all files of a recording, in
     order. Exit code 0: all the same; 1: some differ; 3: some are unknown, or there is nothing to replay."""
-    replayer = Replay(other_core, deciders=DECIDERS)
+    replayer = Replay(other_core, decision_checkers=DECISION_CHECKERS)
     for file in files:
         with TraceFile(file) as trace_file:
             for batch, row in trace_file.records_by_time({"start", "turn", "switch", "decision"}):
--- a/driftshed/trace/recording.py
+++ b/driftshed/trace/recording.py
@@ -10,7 +10,7 @@
 from driftshed.trace.writer import TraceWriter
 
 
-class Encoded:
+class LazyEncoded:
     """Events or orders whose encoding is deferred until they are written, on the writer's thread."""
 
     __slots__ = ("records",)
@@ -64,7 +64,7 @@
         )
 
     def _turn(self, now: float, events: list, orders: list) -> None:
-        self._add_turn(now, Encoded(events), Encoded(orders))
+        self._add_turn(now, LazyEncoded(events), LazyEncoded(orders))
 
     def _add_turn(self, now: float, events: object, orders: object) -> None:
         self.writer.add(
@@ -81,10 +81,10 @@
 
     def _fault(self, fault: Fault) -> None:
         now, events = fault.event_batches[-1]
-        self._add_turn(now, Encoded(events), ERROR_PREFIX + fault.error.encode())
+        self._add_turn(now, LazyEncoded(events), ERROR_PREFIX + fault.error.encode())
         self.previous_on_fault(fault)
 
-    def decided(self, now: float, what: str, topic: str, given: object, said: object) -> None:
+    def record_decision(self, now: float, what: str, topic: str, given: object, said: object) -> None:
         """Records a decision that the supervisors agree on (`said`), with all its inputs (`given`)."""
         self.writer.add(
             "decision",
@@ -96,6 +96,6 @@
             said=msgspec.json.encode(said),
         )
 
-    def message(self, now: float, name: str, sent: bool) -> None:
+    def record_message(self, now: float, name: str, sent: bool) -> None:
         """Records a message exchanged with a proxy, whose trace records it too; `sent`: from here to the proxy."""
         self.writer.add("message", self.unix_time(now), id=name, sent=int(sent))
--- a/driftshed/trace/replay.py
+++ b/driftshed/trace/replay.py
@@ -81,7 +81,7 @@
         other_core: bool = False,
         make_brain: Callable[..., Brain] = Brain,
         core: str | None = None,
-        deciders: dict[str, Callable[[dict], str]] | None = None,
+        decision_checkers: dict[str, Callable[[dict], str]] | None = None,
     ) -> None:
         """`other_core`: also replay instances that another version of the core recorded. `core`: the version to expect
         instead of this program's."""
@@ -90,7 +90,9 @@
         self.turns: dict[tuple[str, int], int] = {}
         self.facts: dict[tuple[str, int], face.StartFacts] = {}
         self.conclusions: dict[tuple[str, int], Verdict] = {}
-        self.deciders = deciders or {}  # by the first part of the topic; returns how a decision differs, or ""
+        self.decision_checkers = (
+            decision_checkers or {}
+        )  # by the first part of the topic; returns how a decision differs, or ""
 
     def _conclude(self, key: tuple[str, int], said: str, why: str) -> None:
         if key not in self.conclusions:
@@ -151,7 +153,7 @@
         key = row["run"], AGREED_DECISIONS
         if key in self.conclusions:
             return
-        decide = self.deciders.get(kind)
+        decide = self.decision_checkers.get(kind)
         if decide is None:
             self._conclude(key, "unknown", f"no decider for topics such as {row['topic']!r}")
         elif differs := decide(row):
--- a/driftshed/trace/writer.py
+++ b/driftshed/trace/writer.py
@@ -238,7 +238,7 @@
         return not self.thread.is_alive()
 
 
-def tend_trace(loop, writer: TraceWriter, log: Callable[..., object] = lambda *_, **__: None) -> None:
+def schedule_trace_flush(loop, writer: TraceWriter, log: Callable[..., object] = lambda *_, **__: None) -> None:
     """Flushes the writer once a second on a loop, and logs the number of records lost since the last report."""
     reported = 0
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -10,8 +10,8 @@
 from driftshed.coordination.agent import Agent
 from driftshed.coordination.lease import DRIFT
 from driftshed.coordination.members import Member
-from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
-from driftshed.roster.log import replay
+from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
+from driftshed.roster.log import apply_record
 from driftshed.roster.serve import StoreServer
 from driftshed.roster.tree import Tree
 
@@ -24,7 +24,7 @@
     def __init__(self, rows: list) -> None:
         self.rows, self.synced, self.tree = rows, len(rows), Tree()
         for row in rows:
-            replay(self.tree, *row)
+            apply_record(self.tree, *row)
 
     def add(self, kind: str, session: int, time: int, body: bytes) -> None:
         self.rows.append((kind, session, time, bytes(body)))
@@ -60,7 +60,7 @@
 
     def __init__(self, names=("a", "b", "c"), seed: int = 1, drift: float = DRIFT, agent=Agent, delay=0.002) -> None:
         self.loop, self.names, self.random, self.agent_class = VirtualLoop(), tuple(names), Random(seed), agent
-        self.network = Network(self.loop, seed, lambda here, there: Way(delay, delay / 2))
+        self.network = Network(self.loop, seed, lambda here, there: Route(delay, delay / 2))
         self.network.zones[STORE[0]] = "store"
         self.drift, self.seed, self.starts = drift, seed, 0
         self.actions: list[
@@ -132,22 +132,22 @@
     # ---- faults -------------------------------------------------------------------------------------------------
 
     def kill(self, name: str) -> None:
-        self.network.end(self.seats[name])
+        self.network.end_process(self.seats[name])
 
     def pause(self, name: str, seconds: float) -> None:
-        self.seats[name].hold_still(self.loop.now + seconds)
+        self.seats[name].pause_until(self.loop.now + seconds)
 
     def cut(self, name: str, seconds: float, forth: bool = True, back: bool = True) -> None:
         host = self.agents[name].host
         links = [(host, STORE[0])] * forth + [(STORE[0], host)] * back
         for link in links:
-            self.network.way(*link).cut = True
+            self.network.route(*link).cut = True
 
         def reconnect() -> None:
             for link in links:
-                self.network.way(*link).cut = False
+                self.network.route(*link).cut = False
 
-        self.network.loop_seat.after(seconds, reconnect)
+        self.network.own_seat.after(seconds, reconnect)
 
     def lose_answers(self, name: str) -> None:
         """Resets its connections from the store's side: pending requests may be executed, but stay unanswered."""
@@ -156,12 +156,12 @@
             stream.abort("reset", hard=True)
 
     def store_down(self, seconds: float) -> None:
-        self.network.end(self.store_seat)
+        self.network.end_process(self.store_seat)
         del self.rows[self.log.synced :]
-        self.network.loop_seat.after(seconds, self._serve)
+        self.network.own_seat.after(seconds, self._serve)
 
     def pause_store(self, seconds: float) -> None:
-        self.store_seat.hold_still(self.loop.now + seconds)
+        self.store_seat.pause_until(self.loop.now + seconds)
 
     # ---- proposals and records ----------------------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
         """Every record version ever written, in the store's order, from its log."""
         tree, found, versions = Tree(), [], {}
         for row in self.rows:
-            replay(tree, *row)
+            apply_record(tree, *row)
             folder = tree.nodes.get(f"{ROOT}/records")
             for name in folder.children if folder is not None else ():
                 node = tree.nodes[f"{ROOT}/records/{name}"]
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -16,7 +16,7 @@
 from driftshed.policy.change import TOPIC, Change, everywhere_within, read_change
 from driftshed.policy.keep import Keep
 from driftshed.policy.part import Asked, PolicyPart
-from driftshed.proxy.whole import Place, Proxy
+from driftshed.proxy.assembly import Proxy, ProxyOptions
 from driftshed.supervisor.service import Service
 from tests.fleets import ROOT, STORE, TIMEOUT, DriftingSeat, Fleet
 
@@ -63,7 +63,9 @@
         seat = DriftingSeat(loop, name, 1 + self.drift / 2 * self.random.uniform(-1, 1))
         log = lambda event, **fields: self.logs.append((loop.now, name, event, fields))  # noqa: E731
         instance = Instance(self.facts, self.starts, f"run{self.starts}", seat.clock(), 0.0)
-        service = Service(seat, instance, (host, 7000), log, silence=2.0, transport=self.network.transport(host))
+        service = Service(
+            seat, instance, (host, 7000), log, silence_timeout=2.0, transport=self.network.transport(host)
+        )
         agent = take_part(
             seat,
             service,
@@ -110,7 +112,7 @@
         host = f"127.0.2.{number + 1}"
         self.network.zones[host] = host
         order = [*self.names[number % len(self.names) :], *self.names[: number % len(self.names)]]
-        place = Place(
+        options = ProxyOptions(
             number,
             ("east", "west")[number % 2],
             5.0,
@@ -122,7 +124,7 @@
         )
         return Proxy(
             Seat(self.loop, f"proxy {number}"),
-            place,
+            options,
             self.facts,
             number,
             lambda event, **fields: None,
@@ -135,7 +137,7 @@
             rows, policy = self.proxy_policies[number], proxy.tables.policy
             if not rows or rows[-1][1] != policy:
                 rows.append((self.loop.now, policy))
-        self.network.loop_seat.after(0.02, self._record_proxy_policies)
+        self.network.own_seat.after(0.02, self._record_proxy_policies)
 
     def stop_store(self, seconds: float) -> None:
         if not self.store_seat.ended:
@@ -143,7 +145,7 @@
 
     def kill(self, name: str) -> None:
         super().kill(name)
-        self.network.fall((self.hosts[name], 7000))
+        self.network.reset_server((self.hosts[name], 7000))
         self.parts[name].keep.close()
 
     def ask(self, name: str, grace: float, **more) -> dict | str:
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -9,7 +9,7 @@
 from driftshed.coordination.agreement import Barred
 from driftshed.coordination.lease import Lease
 from driftshed.coordination.members import MAX_UNKNOWN_PEERS, Member, MemberError, Roll, read_member, write_member
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import ANY_VERSION, SetData
 from tests.fleets import ROOT, TIMEOUT, Fleet, check
 
@@ -22,7 +22,7 @@
     name, draw = random.choice(names), random.random()
     if draw < 0.35:
         topic = random.choice(TOPICS)
-        if fleet.agents[name].chair.standing is not Standing.FENCED and not fleet.seats[name].ended:
+        if fleet.agents[name].chair.state is not RegistrationState.FENCED and not fleet.seats[name].ended:
             quorum = random.choice([len(names), len(names) // 2 + 1])
             valid_for = random.choice([None, 2.0])
             fleet.propose(name, topic, random.random(), quorum, random.choice([0.5, 3.0]), valid_for=valid_for)
@@ -34,7 +34,7 @@
         fleet.lose_answers(name)
     elif draw < 0.7:
         fleet.kill(name)
-        fleet.network.loop_seat.after(random.choice([0.1, 1.0, 4.0]), lambda: fleet.start(name))
+        fleet.network.own_seat.after(random.choice([0.1, 1.0, 4.0]), lambda: fleet.start(name))
     elif draw < 0.74:
         fleet.start(name)  # a second process with the same name
     elif draw < 0.78 and not fleet.store_seat.ended:
@@ -62,7 +62,7 @@
     fleet.run(6)
     for name in fleet.names:
         if not any(
-            agent.name == name and agent.chair.standing is not Standing.FENCED and not agent.seat.ended
+            agent.name == name and agent.chair.state is not RegistrationState.FENCED and not agent.seat.ended
             for agent in fleet.all
         ):
             fleet.start(name)
@@ -96,7 +96,7 @@
     """Ignores the lease: acts until it learns of another start."""
 
     def holds(self) -> bool:
-        return self.chair.standing is Standing.LISTED and self.roll.highest.get(self.name, 0) == self.incarnation
+        return self.chair.state is RegistrationState.LISTED and self.roll.highest.get(self.name, 0) == self.incarnation
 
 
 class NoFence(Agent):
@@ -104,8 +104,8 @@
 
     def holds(self) -> bool:
         session = self.client.session
-        return self.chair.standing is Standing.LISTED and self.lease.holds(
-            self.loop.clock(), session.proved_at, session.timeout
+        return self.chair.state is RegistrationState.LISTED and self.lease.holds(
+            self.loop.clock(), session.confirmed_at, session.timeout
         )
 
     def _member_updated(self, node, data, stat) -> None:
@@ -275,7 +275,7 @@
     older.on_fenced = lambda: notifications.append(fleet.loop.now)
     fleet.start("a")
     fleet.until(lambda: fleet.agents["a"].holds())
-    assert notifications and older.chair.standing is Standing.FENCED and not older.holds()
+    assert notifications and older.chair.state is RegistrationState.FENCED and not older.holds()
     assert fleet.agents["a"].incarnation == 2
     rows = {row.name: row for row in fleet.agents["b"].roll.rows(fleet.loop.now)}
     assert (rows["a"].state, rows["a"].starts) == ("living", 1)
@@ -316,7 +316,7 @@
     fleet.propose("a", "policy", 1)
     fleet.run(2)
     fleet.rows[:] = rows
-    fleet.network.end(fleet.store_seat)
+    fleet.network.end_process(fleet.store_seat)
     fleet._serve()
     fleet.run(4 * TIMEOUT)
     assert not any(agent.holds() for agent in fleet.all)
--- a/tests/test_coordination_model.py
+++ b/tests/test_coordination_model.py
@@ -9,7 +9,7 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Barred, Vote
-from driftshed.lab.model import explore
+from driftshed.lab.state_search import explore
 
 # ---- leases and fencing: starts of one name, a store, drifting clocks -------------------------------------------
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -200,14 +200,14 @@
     model_proxy.poll(hub, 1e6)
     tables = Tables(3, "weighted", "share", 0, [], Random(1))
     tables.run = "run"
-    tables.take(Changes("run", 0, model_proxy.version, True, list(model_proxy.held.values())), 0.0)
+    tables.apply(Changes("run", 0, model_proxy.version, True, list(model_proxy.held.values())), 0.0)
     for k in range(3):  # more changes than lines held in the end
         hub.apply([face.SetLine(bytes([10, 0, 0, n, 31, 64]), 0.0 if k == 2 else 1 + k / 8, 0) for n in range(3)], 2e6)
     hub.release(3e6)
     update = CHANGES_DECODER.decode(hub.update_body(model_proxy.record))
     assert not update.whole
-    tables.take(update, 0.0)
-    assert tables.lines(0) == 0
+    tables.apply(update, 0.0)
+    assert tables.line_count(0) == 0
 
 
 def test_changes_lost_with_a_stream_are_not_sent_until_the_proxy_is_on_a_table_again():
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -34,11 +34,11 @@
     next_stage,
     read_limits,
 )
-from driftshed.lab.model import explore
 from driftshed.lab.run import run
-from driftshed.lab.scenario import BadScenario, Link, Sick, StoreDown, Whom, ZoneLost, bare_day, check
+from driftshed.lab.scenario import Link, ScenarioError, Sick, StoreDown, Whom, ZoneLost, check_scenario, fault_free_day
+from driftshed.lab.state_search import explore
 
-FACTS = bare_day("small").facts
+FACTS = fault_free_day("small").facts
 
 FINE, ILL, SLOW = TryStats(100, 0.0, 1.0), TryStats(100, 0.6, 1.0), TryStats(100, 0.0, 4.0)
 ZONES = range(3)
@@ -443,13 +443,13 @@
 
 
 def day(*troubles, leave: bool = True, seconds: float = 30.0, load=0.5, zones="", limits="rest=5", regions=""):
-    made = bare_day("small", seconds, load)
+    made = fault_free_day("small", seconds, load)
     made.flags |= {"zones": zones or made.flags["zones"]}
     made.fleet = msgspec.structs.replace(
         made.fleet, store=True, supervisors=3, leave_zones=leave, zone_limits=limits, regions=regions
     )
     made.troubles = list(troubles)
-    return check(made)
+    return check_scenario(made)
 
 
 def shares(outcome) -> list[float]:
@@ -468,14 +468,14 @@
 )
 def test_no_zone_is_left_in_similar_cases(troubles):
     outcome = run(day(*troubles), 1)
-    assert outcome.kept, outcome.breaks
+    assert outcome.rules_kept, outcome.breaks
     assert not shares(outcome)
 
 
 def test_a_zone_that_hangs_is_left_by_all_and_comes_back_in_steps():
     trouble = Sick(6.0, 12.0, "hang", 1.0, Whom(share=1.0, zone="east"))
     left, unchanged = run(day(trouble, seconds=60.0), 1), run(day(trouble, leave=False, seconds=60.0), 1)
-    assert left.kept and unchanged.kept, (left.breaks, unchanged.breaks)
+    assert left.rules_kept and unchanged.rules_kept, (left.breaks, unchanged.breaks)
     rows = [(row["by"], at, row["shares"]["east"]) for at, what, row in left.stages if what == "zones"]
     by = {number: [row[1:] for row in rows if row[0] == number] for number in range(3)}
     assert [share for _, share in by[0]] == [share for _, share in by[1]] == [share for _, share in by[2]]
@@ -486,17 +486,17 @@
 
 def test_a_dead_zone_is_left_at_once():
     outcome = run(day(ZoneLost(6.0, 10.0, "east")), 1)
-    assert outcome.kept and shares(outcome)[0] == 1.0, outcome.stages
+    assert outcome.rules_kept and shares(outcome)[0] == 1.0, outcome.stages
     # Cut off from everybody with its proxies: it is observed to be the same, and no report comes from inside.
     assert shares(run(day(Link(6.0, 10.0, "east", "", cut=True)), 1))[0] == 1.0
-    with pytest.raises(BadScenario, match="pace"):
+    with pytest.raises(ScenarioError, match="pace"):
         bad = day(ZoneLost(6.0, 10.0, "east"))
-        check(msgspec.structs.replace(bad, fleet=msgspec.structs.replace(bad.fleet, zone_limits="pace=0")))
+        check_scenario(msgspec.structs.replace(bad, fleet=msgspec.structs.replace(bad.fleet, zone_limits="pace=0")))
 
 
 def test_without_capacity_for_all_the_least_billed_value_is_admitted_less():
     outcome = run(day(Sick(6.0, 24.0, "hang", 1.0, Whom(share=1.0, zone="east")), seconds=40.0, load=0.8), 1)
-    assert outcome.kept and max(shares(outcome)) > 0.4, outcome.breaks
+    assert outcome.rules_kept and max(shares(outcome)) > 0.4, outcome.breaks
     served = outcome.operations  # billed value for each second of objective: lookup 2, post 3.75, purchase 12.5
     assert served["purchase"] > max(served["lookup"], served["post"]) + 0.05, served
 
@@ -506,7 +506,7 @@
 
 def test_a_region_is_left_by_one_record_and_its_zones_come_back_one_after_the_other():
     outcome = run(day(*COAST_LOST, seconds=45.0, load=0.3, zones=FOUR, regions="coast=east+west"), 1)
-    assert outcome.kept, outcome.breaks
+    assert outcome.rules_kept, outcome.breaks
     assert {row["zone"] for _, what, row in outcome.stages if what == "stage"} == {"coast"}
     rows = [row["shares"] for _, what, row in outcome.stages if what == "zones" and row["by"] == 0]
     assert rows[0]["west"] == 1.0 and rows[0]["east"] > 0.8  # limited by half of all servers
@@ -517,7 +517,7 @@
 def test_two_zones_proposed_at_once_stay_under_the_ceiling_together(monkeypatch):
     def most_left():
         outcome = run(day(*COAST_LOST, seconds=16.0, load=0.3, zones=FOUR, limits="ceiling=0.3"), 1)
-        assert outcome.kept, outcome.breaks
+        assert outcome.rules_kept, outcome.breaks
         per_zone = [7, 7, 6, 6]  # of 26 servers
         rows = [row["shares"] for _, what, row in outcome.stages if what == "zones"]
         return max(sum(n * share for n, share in zip(per_zone, row.values(), strict=True)) for row in rows)
@@ -539,7 +539,7 @@
         )
 
     monkeypatch.setattr(Evacuation, "__init__", hooked)
-    assert run(day(Sick(6.0, 12.0, "hang", 1.0, Whom(share=1.0, zone="east")), seconds=40.0), 2).kept
+    assert run(day(Sick(6.0, 12.0, "hang", 1.0, Whom(share=1.0, zone="east")), seconds=40.0), 2).rules_kept
     assert len(rows) > 10 and {row["what"] for row in rows} == {"next", "word"}
     assert [decided_again(row) for row in rows] == [""] * len(rows)
     other = rows[0] | {"said": b"null"}
@@ -567,7 +567,7 @@
 
     monkeypatch.setattr(Evacuation, "__init__", hooked)
     outcome = run(day(ZoneLost(6.0, 10.0, "east"), StoreDown(17.0, 12.0), limits="rest=40", seconds=40.0), 1)
-    assert outcome.kept, outcome.breaks
+    assert outcome.rules_kept, outcome.breaks
     assert "ask for `return`" in answers[0] and "from 0.90" in answers[1] and answers[2] == {"ready": 1, "left": 8}
     assert "from 0.80" in answers[3] and answers[4]["ready"] == 2  # as much again as is in use
     east = [(row["by"], at, row["shares"]["east"]) for at, what, row in outcome.stages if what == "zones" and at > 20]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,12 +17,10 @@
 
 from driftshed.cli import main
 from driftshed.lab.compare import bootstrap, compare
-from driftshed.lab.grounds import VirtualGround
-from driftshed.lab.hunt import mutate, same_failure_as, save_day, shrink
+from driftshed.lab.environments import VirtualEnvironment
 from driftshed.lab.load import Lag, generate_arrivals
 from driftshed.lab.run import run, worst_service
 from driftshed.lab.scenario import (
-    BadScenario,
     Crash,
     Deploy,
     Kill,
@@ -31,23 +29,25 @@
     Pause,
     Rejoin,
     Scenario,
+    ScenarioError,
     Sick,
     StoreDown,
     StorePause,
     Surge,
     Whom,
-    bare_day,
-    check,
-    drawn,
+    check_scenario,
+    fault_free_day,
     format_scenario,
     load_scenario,
     parse_scenario,
+    random_day,
     shipped_scenarios,
 )
+from driftshed.lab.search import mutate, same_failure_as, save_day, shrink
+from driftshed.lab.simulation import SimulatedDeployment
 from driftshed.lab.store import Job, RunRow, RunStore
-from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
-from driftshed.lab.world import World
-from driftshed.standins.emulator import Ill, Machine, ServerStandin
+from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
+from driftshed.standins.emulator import ServerFault, ServerProperties, ServerStandin
 
 # ---- virtual time and network ----------------------------------------------------------------------------------
 
@@ -57,7 +57,7 @@
 
     def __init__(self, seed=1, **route):
         self.loop = VirtualLoop()
-        self.route = Way(**{"delay": 0.01, "jitter": 0.0, **route})
+        self.route = Route(**{"delay": 0.01, "jitter": 0.0, **route})
         self.network = Network(self.loop, seed, lambda here, there: self.route)
         self.server_seat, self.client_seat = Seat(self.loop, "server"), Seat(self.loop, "client")
         self.received, self.abandoned = [], []
@@ -92,7 +92,7 @@
     net = EchoNetwork()
     net.call("/held")
     net.loop.run(0.5)
-    net.network.fall(("s", 1))
+    net.network.reset_server(("s", 1))
     net.loop.run(0.6)
     assert (net.answers[0][1].error, net.answers[0][1].sent) == ("reset", True)
     net.call()
@@ -124,7 +124,7 @@
     delivered = []
     from driftshed.lab.virtual import Pipe
 
-    pipe = Pipe(net.network, Way(0.01, 0.01, 0.3), net.client_seat)
+    pipe = Pipe(net.network, Route(0.01, 0.01, 0.3), net.client_seat)
     for k in range(200):
         pipe.send(lambda k=k: delivered.append(k))
     net.loop.run(120.0)
@@ -141,7 +141,7 @@
 def test_a_paused_process_gets_its_messages_afterwards_and_an_ended_one_none():
     net, ticks = EchoNetwork(), []
     net.server_seat.after(0.3, lambda: ticks.append(net.loop.now))
-    net.server_seat.hold_still(1.0)
+    net.server_seat.pause_until(1.0)
     net.call(within=5.0)
     net.loop.run(2.0)
     assert ticks == [1.0] and net.answers[0][0] == pytest.approx(1.01)
@@ -167,9 +167,9 @@
 def sojourn_times(cores, load, spread, seed, count=60000):
     """Time spent at a server without limits, by its answers on the network, in units of the mean work."""
     loop = VirtualLoop()
-    network = Network(loop, seed, lambda here, there: Way(0.0, 0.0))
+    network = Network(loop, seed, lambda here, there: Route(0.0, 0.0))
     seat, random = Seat(loop, "all"), Random(seed)
-    machine = Machine(cores, 1.0, room=10**6, connections=10**6)
+    machine = ServerProperties(cores, 1.0, room=10**6, connections=10**6)
     server = ServerStandin(seat, ("s", 1), machine, seed, transport=network.transport("s"))
     server.start(cold=False)
     client = network.transport("c").client(seat, ("s", 1), max_idle=10**6)
@@ -236,9 +236,9 @@
 class EmulatedServer:
     """One emulated server and calls to it."""
 
-    def __init__(self, machine=Machine(1, 1.0, room=2), cold=False):
+    def __init__(self, machine=ServerProperties(1, 1.0, room=2), cold=False):
         self.loop = VirtualLoop()
-        self.network = Network(self.loop, 1, lambda here, there: Way(0.0, 0.0))
+        self.network = Network(self.loop, 1, lambda here, there: Route(0.0, 0.0))
         self.seat = Seat(self.loop, "all")
         self.server = ServerStandin(self.seat, ("s", 1), machine, 1, transport=self.network.transport("s"))
         self.server.start(cold)
@@ -262,21 +262,21 @@
 
 
 def test_faults_overlap_and_each_ends_alone():
-    bench = EmulatedServer(Machine(1, 1.0))
-    bench.server.fall_ill("a", Ill(slower=2.0))
-    bench.server.fall_ill("b", Ill(slower=3.0, stolen=0.5))
+    bench = EmulatedServer(ServerProperties(1, 1.0))
+    bench.server.add_fault("a", ServerFault(slower=2.0))
+    bench.server.add_fault("b", ServerFault(slower=3.0, stolen=0.5))
     bench.call()
     assert bench.after(5.0) == [(1.2, 200)]
-    bench.server.recover("b")
+    bench.server.remove_fault("b")
     bench.call()
     assert bench.after(5.0)[-1] == (5.2, 200)
-    bench.server.recover("a")
+    bench.server.remove_fault("a")
     assert bench.server.capacity() == 1.0
 
 
 def test_a_fault_of_one_operation_leaves_the_others_alone():
-    bench = EmulatedServer(Machine(1, 1.0))
-    bench.server.fall_ill("a", Ill(errors=1.0, operation="x"))
+    bench = EmulatedServer(ServerProperties(1, 1.0))
+    bench.server.add_fault("a", ServerFault(errors=1.0, operation="x"))
     bench.call(operation="x")
     bench.call(operation="y")
     assert [status for _, status in bench.after(1.0)] == [500, 200]
@@ -284,7 +284,7 @@
 
 def test_cancelled_work_goes_on_or_is_dropped_by_kind():
     for stops, second in ((False, 1.1), (True, 0.2)):
-        bench = EmulatedServer(Machine(1, 1.0, stops_cancelled=stops))
+        bench = EmulatedServer(ServerProperties(1, 1.0, stops_cancelled=stops))
         bench.call("work=1.0", within=0.1)
         bench.after(0.1)
         bench.call("work=0.1")
@@ -292,14 +292,14 @@
 
 
 def test_time_outs_are_respected_or_ignored_by_kind():
-    bench = EmulatedServer(Machine(1, 1.0, heeds_timeouts=True))
+    bench = EmulatedServer(ServerProperties(1, 1.0, heeds_timeouts=True))
     bench.call("work=1.0")
     bench.call("work=0.5", extra="x-timeout: 1.2\r\n")
     assert sorted(bench.after(5.0)) == [(1.0, 200), (1.0, 503)] and bench.server.dropped == 1
 
 
 def test_recent_keys_are_cheaper_and_marked_work_is_not_repeated():
-    bench = EmulatedServer(Machine(1, 1.0, key_share=0.25, marks_for=5.0))
+    bench = EmulatedServer(ServerProperties(1, 1.0, key_share=0.25, marks_for=5.0))
     bench.call("work=0.4&key=a")
     bench.after(1.0)
     bench.call("work=0.4&key=a", extra="idempotency-key: m1\r\n")
@@ -309,7 +309,7 @@
 
 
 def test_a_cold_server_warms_up_and_falls_when_pushed():
-    machine = Machine(1, 1.0, cold_share=0.25, warm_within=4.0, tip_multiple=2.0, tip_span=1.0)
+    machine = ServerProperties(1, 1.0, cold_share=0.25, warm_within=4.0, tip_multiple=2.0, tip_span=1.0)
     bench = EmulatedServer(machine, cold=True)
     assert bench.server.capacity() == pytest.approx(0.25)
     bench.call("work=0.1")
@@ -318,39 +318,39 @@
     for _ in range(20):
         bench.call("work=0.1")
     bench.after(1.0)
-    assert bench.server.fell == 1 and not bench.server.up
+    assert bench.server.overload_failures == 1 and not bench.server.up
 
 
 def test_refused_squeezed_and_hung_connections():
-    bench = EmulatedServer(Machine(1, 1.0, connections=2))
-    bench.server.fall_ill("hang", Ill(hangs=True))
+    bench = EmulatedServer(ServerProperties(1, 1.0, connections=2))
+    bench.server.add_fault("hang", ServerFault(hangs=True))
     for _ in range(3):
         bench.call("work=0.01", within=20.0)
     bench.after(1.0)
     assert [status for _, status in bench.results] == [503]  # over the connection limit
-    bench.server.recover("hang")
+    bench.server.remove_fault("hang")
     assert sorted(str(status) for _, status in bench.after(1.0)) == ["503", "reset", "reset"]
-    bench.server.fall_ill("door", Ill(refuses=True))
+    bench.server.add_fault("door", ServerFault(refuses=True))
     bench.call()
     assert bench.after(1.0)[-1][1] == "reset"
 
 
 def test_load_reports_can_be_late_and_noisy():
-    bench = EmulatedServer(Machine(1, 1.0, load_lag=1.0))
+    bench = EmulatedServer(ServerProperties(1, 1.0, load_lag=1.0))
     bench.call("work=0.5")
     bench.after(0.1)
-    assert bench.server._load() == 0  # as of a second ago: none
+    assert bench.server._reported_load() == 0  # as of a second ago: none
     bench.after(0.2)
-    noisy = EmulatedServer(Machine(1, 1.0, load_noise=0.5, room=100))
+    noisy = EmulatedServer(ServerProperties(1, 1.0, load_noise=0.5, room=100))
     for _ in range(50):
         noisy.call("work=1.0")
     noisy.after(0.01)
-    assert len({noisy.server._load() for _ in range(20)}) > 3
+    assert len({noisy.server._reported_load() for _ in range(20)}) > 3
 
 
 # ---- load generator --------------------------------------------------------------------------------------------
 
-OPERATIONS = bare_day("tiny").facts.operations
+OPERATIONS = fault_free_day("tiny").facts.operations
 
 
 def drawn_arrivals(traffic, surges=(), seconds=90.0, seed=1, rates=(1.0, 3.0)):
@@ -359,7 +359,7 @@
 
 
 def test_arrivals_are_poisson_and_shares_and_keys_as_asked():
-    traffic = bare_day("tiny").traffic
+    traffic = fault_free_day("tiny").traffic
     traffic.rate = 400.0
     times, operations, proxies, work, keys, _ = drawn_arrivals(traffic)
     gaps = np.sort(np.diff(times) * traffic.rate)
@@ -374,7 +374,7 @@
 
 
 def test_surges_and_diurnal_days_shape_the_rate():
-    traffic = bare_day("tiny").traffic
+    traffic = fault_free_day("tiny").traffic
     traffic.rate, traffic.shape, traffic.swing, traffic.period = 300.0, "diurnal", 0.5, 40.0
     times = drawn_arrivals(traffic, [Surge(60.0, 10.0, 3.0)])[0]
     counts = np.histogram(times, [0, 10, 20, 30, 40, 50, 60, 70])[0] / 3000
@@ -385,9 +385,9 @@
 
 def test_arrivals_are_the_same_again_and_in_another_process():
     code = (
-        "import hashlib; from driftshed.lab.scenario import bare_day; "
+        "import hashlib; from driftshed.lab.scenario import fault_free_day; "
         "from driftshed.lab.load import generate_arrivals\n"
-        "d = bare_day('tiny'); h = hashlib.md5()\n"
+        "d = fault_free_day('tiny'); h = hashlib.md5()\n"
         "[h.update(c.tobytes()) "
         "for p in generate_arrivals(d.traffic, d.facts.operations, [1.0, 2.0], [], 40.0, 9) for c in p]\n"
         "print(h.hexdigest())"
@@ -408,12 +408,12 @@
 def test_a_trace_of_invocations_is_sent_as_written(tmp_path):
     path = tmp_path / "trace"
     path.write_text("0.5 lookup\n0.25 post\n31 purchase\n")
-    traffic = bare_day("tiny").traffic
+    traffic = fault_free_day("tiny").traffic
     traffic.trace = str(path)
     times, operations, *_ = drawn_arrivals(traffic)
     assert (times.tolist(), operations.tolist()) == ([0.25, 0.5, 31.0], [2, 0, 1])
     path.write_text("0.5 lookup\n0.6 nothing\n")
-    with pytest.raises(BadScenario, match="line 2"):
+    with pytest.raises(ScenarioError, match="line 2"):
         drawn_arrivals(traffic)
 
 
@@ -433,16 +433,16 @@
 
 
 def test_latency_counts_from_the_intended_send():
-    day = bare_day("tiny", 4.0)
-    environment = VirtualGround(day, 1)
-    world = World(day, 1, environment)
-    world.open()
+    day = fault_free_day("tiny", 4.0)
+    environment = VirtualEnvironment(day, 1)
+    deployment = SimulatedDeployment(day, 1, environment)
+    deployment.open()
     rows = []
-    world.load.on_result = lambda *row: rows.append(row)
-    environment.loop.hold_still(2.0)  # the generator itself is paused: coordinated omission would hide it
-    environment.whole.run(day.seconds + 2.5)
+    deployment.load.on_result = lambda *row: rows.append(row)
+    environment.loop.pause_until(2.0)  # the generator itself is paused: coordinated omission would hide it
+    environment.virtual_loop.run(day.seconds + 2.5)
     early = [latency for intended, _, latency, _ in rows if intended < 1.0 and latency is not None]
-    assert early and min(early) > 1.0 and not world.load.lag.kept_up
+    assert early and min(early) > 1.0 and not deployment.load.lag.kept_up
 
 
 # ---- whole days ------------------------------------------------------------------------------------------------
@@ -486,7 +486,7 @@
         real = run(day, 3, "real")
         if real.counts:  # a busy machine can hold up the generator: such a run is repeated once
             break
-    assert virtual.kept and real.kept, (virtual.breaks, real.breaks)
+    assert virtual.rules_kept and real.rules_kept, (virtual.breaks, real.breaks)
     assert {r: row["checked"] > 0 for r, row in virtual.rules.items()} == {
         r: row["checked"] > 0 for r, row in real.rules.items()
     }
@@ -504,8 +504,8 @@
 
 def test_a_day_is_the_same_bit_for_bit_in_any_process_and_another_with_another_seed():
     code = (
-        "from driftshed.lab.scenario import drawn; from driftshed.lab.run import run\n"
-        "print([run(drawn(4, 'tiny', 10.0), seed).digest for seed in (1, 2)])"
+        "from driftshed.lab.scenario import random_day; from driftshed.lab.run import run\n"
+        "print([run(random_day(4, 'tiny', 10.0), seed).digest for seed in (1, 2)])"
     )
     output = {
         subprocess.run(
@@ -524,8 +524,8 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_drawn_days_keep_the_rules(seed):
-    outcome = run(drawn(100 + seed, "tiny", 16.0), seed)
-    assert outcome.kept, (outcome.breaks, outcome.faults, outcome.bands)
+    outcome = run(random_day(100 + seed, "tiny", 16.0), seed)
+    assert outcome.rules_kept, (outcome.breaks, outcome.faults, outcome.bands)
     assert 0.0 < outcome.service <= outcome.bound + 0.02
 
 
@@ -538,30 +538,30 @@
 def test_a_day_on_which_nothing_is_asked():
     day = load_scenario("silent")
     outcome = run(day, 1)
-    assert outcome.kept and outcome.asked == 0 and outcome.service == 1.0 and outcome.counts
+    assert outcome.rules_kept and outcome.asked == 0 and outcome.service == 1.0 and outcome.counts
     assert outcome.rules["drains"]["checked"]
 
 
 def test_349_proxies_joining_at_once_and_again_keep_the_channel_within_its_cap():
     """Found in the lab: the channel was charged one line for each operation of a proxy that was put on a table,
     while the module counted one line in all."""
-    day = bare_day("full", 6.0)
+    day = fault_free_day("full", 6.0)
     day.traffic.rate = 50.0
     day.troubles = [Rejoin(3.0, 1.0)]
-    outcome = run(check(day), 1)
-    assert outcome.kept, outcome.breaks
+    outcome = run(check_scenario(day), 1)
+    assert outcome.rules_kept, outcome.breaks
     assert 0.45 < outcome.margins["queue"] <= 0.51  # joins fill half of it, and leave the rest to drains
 
 
 def test_the_module_runs_once_a_tick_however_many_messages_leave():
     """Found in the lab: the module ran again for each message that left the channel."""
-    day = bare_day("small", 5.0)
-    environment = VirtualGround(day, 1)
-    World(day, 1, environment).open()
+    day = fault_free_day("small", 5.0)
+    environment = VirtualEnvironment(day, 1)
+    SimulatedDeployment(day, 1, environment).open()
     brain, batches = environment.service.instance.brain, []
     handle = brain.handle
     brain.handle = lambda now, events: (batches.append((now, events)), handle(now, events))[1]
-    environment.whole.run(day.seconds)
+    environment.virtual_loop.run(day.seconds)
     tick = day.facts.tick
     untimed = [now for now, events in batches if not any(type(event).__name__ == "TimerDue" for event in events)]
     assert len(untimed) > 20 and min(b - a for a, b in pairwise(untimed)) >= tick - 1e-9
@@ -587,7 +587,7 @@
 
 
 def test_lost_links_a_killed_supervisor_and_one_sided_cuts_are_survived():
-    day = bare_day("tiny", 20.0)
+    day = fault_free_day("tiny", 20.0)
     day.troubles = [
         Kill(3.0, 2.0),
         Link(6.0, 4.0, "east", "west", cut=True, both=False),
@@ -596,13 +596,13 @@
         Sick(10.0, 5.0, "lost-answers", 0.5),
         Deploy(5.0, Whom(count=3), 1.0),
     ]
-    outcome = run(check(day), 2)
-    assert outcome.kept, outcome.breaks
+    outcome = run(check_scenario(day), 2)
+    assert outcome.rules_kept, outcome.breaks
     assert outcome.over_time[-1][0] > 0.8 * outcome.over_time[-1][1]  # recovered at the end
 
 
 def store_day(size: str, seconds: float):
-    day = bare_day(size, seconds)
+    day = fault_free_day(size, seconds)
     day.fleet.store = True
     day.troubles = [
         Deploy(2.0, Whom(share=0.4), 1.5),
@@ -613,12 +613,12 @@
         Lapse(19.0, Whom(share=1.0), 1.0),
         Kill(22.0, 1.5),
     ]
-    return check(day)
+    return check_scenario(day)
 
 
 def test_a_day_with_a_store_keeps_the_rules_in_virtual_time_and_repeats():
     first, second = (run(store_day("tiny", 25.0), 3) for _ in range(2))
-    assert first.kept, (first.breaks, first.faults)
+    assert first.rules_kept, (first.breaks, first.faults)
     assert first.rules["bare"]["checked"] and first.rules["drains"]["checked"] and first.service > 0.7
     assert first.digest == second.digest
 
@@ -681,7 +681,7 @@
 
 def test_an_experiment_killed_halfway_resumes(tmp_path):
     path = tmp_path / "small.toml"
-    path.write_text(format_scenario(bare_day("tiny", 6.0)))
+    path.write_text(format_scenario(fault_free_day("tiny", 6.0)))
     store = tmp_path / "lab.sqlite"
     command = [
         sys.executable,
@@ -719,7 +719,7 @@
 
 
 def test_a_stored_run_can_be_repeated(tmp_path):
-    day = format_scenario(drawn(3, "tiny", 6.0))
+    day = format_scenario(random_day(3, "tiny", 6.0))
     store = RunStore(tmp_path / "x.sqlite")
     store.add_jobs([Job("l", "s", day, "v", "driftshed", {"pick": "two"}, "", "virtual", 5)])
     from driftshed.lab.experiment import run_job, run_pending
@@ -734,7 +734,7 @@
 def test_a_report_is_one_page_with_its_pictures(tmp_path):
     from driftshed.lab.report import write_report
 
-    outcomes = [(name, run(drawn(seed, "tiny", 12.0), seed)) for name, seed in (("one", 5), ("two <b>", 6))]
+    outcomes = [(name, run(random_day(seed, "tiny", 12.0), seed)) for name, seed in (("one", 5), ("two <b>", 6))]
     write_report(outcomes, tmp_path / "lab.html", tmp_path / "pictures")
     page = (tmp_path / "lab.html").read_text()
     assert page.count("data:image/png") == 4 and "<b>" not in page.replace("two &lt;b&gt;", "")
@@ -747,7 +747,7 @@
 
 
 def test_a_failing_day_shrinks_to_what_makes_it_fail():
-    day = bare_day("tiny", 60.0)
+    day = fault_free_day("tiny", 60.0)
     cause = [Kill(20.0, 1.0), Sick(10.0, 5.0, "slow")]
     day.troubles = [Crash(5.0), cause[1], Surge(15.0, 5.0, 2.0), cause[0], Rejoin(30.0)]
     fails = lambda candidate: {t.at for t in candidate.troubles} >= {10.0, 20.0} and candidate.seconds >= 24.0  # noqa: E731
@@ -756,10 +756,10 @@
 
 
 def test_mutated_days_stay_valid_and_a_saved_day_replays(tmp_path):
-    random, day = Random(2), drawn(8, "tiny", 8.0)
+    random, day = Random(2), random_day(8, "tiny", 8.0)
     for _ in range(60):
         day = mutate(random, day)
-    from driftshed.lab.hunt import EvaluatedDay
+    from driftshed.lab.search import EvaluatedDay
 
     outcome = run(day, 4)
     path = save_day(EvaluatedDay(1.0, day, 4, outcome), tmp_path)
@@ -837,7 +837,7 @@
         more = [] if arguments[0] == "load" else ["--store", store]
         output = CliRunner().invoke(main, ["lab", *arguments, *more])
         assert output.exit_code == 2 and "Error" in output.output, arguments
-    with pytest.raises(BadScenario, match="with real processes"):
+    with pytest.raises(ScenarioError, match="with real processes"):
         day = parse_scenario(SMALL, "small")
         day.troubles = [Link(1.0, 1.0, "east", "west", loss=0.1)]
         run(day, 1, "real")
@@ -850,7 +850,7 @@
     from driftshed.net.loop import Loop
 
     loop = Loop()
-    server = ServerStandin(loop, ("127.0.0.1", 0), Machine(8, 1.0, room=1000), 1)
+    server = ServerStandin(loop, ("127.0.0.1", 0), ServerProperties(8, 1.0, room=1000), 1)
     server.start(cold=False)
     flags = [part for text in parse_scenario(SMALL, "x").operations for part in ("--operation", text)]
     name = f"127.0.0.1:{server.http.address[1]}"
@@ -898,7 +898,7 @@
 
 def supervisors_day(seconds: float) -> Scenario:
     """Three supervisors in virtual time, under every fault that may hit them."""
-    day = bare_day("small", seconds)
+    day = fault_free_day("small", seconds)
     day.fleet = replace(day.fleet, store=True, supervisors=3)
     day.troubles = [
         Kill(4.0, 3.0, 0),
@@ -907,16 +907,16 @@
         Link(14.0, 4.0, "control2", "roster", cut=True, both=False),
         Link(19.0, 4.0, "control", "", cut=True),
     ]
-    return check(day)
+    return check_scenario(day)
 
 
 def test_several_supervisors_share_a_day_in_virtual_time_bit_for_bit():
     one, two = run(supervisors_day(26.0), 1), run(supervisors_day(26.0), 1)
     assert one.digest == two.digest != run(supervisors_day(26.0), 2).digest
-    assert one.kept, one.breaks
+    assert one.rules_kept, one.breaks
     assert one.rules["owners"]["checked"] > 60 and one.service > 0.9  # proxies changed hands more than once
-    with pytest.raises(BadScenario, match="counted from 0"):
+    with pytest.raises(ScenarioError, match="counted from 0"):
         day = supervisors_day(26.0)
-        check(replace(day, troubles=[Kill(4.0, 3.0, 3)]))
-    with pytest.raises(BadScenario, match="fleet.store = true"):
-        check(replace(day, fleet=replace(day.fleet, store=False), troubles=[]))
+        check_scenario(replace(day, troubles=[Kill(4.0, 3.0, 3)]))
+    with pytest.raises(ScenarioError, match="fleet.store = true"):
+        check_scenario(replace(day, fleet=replace(day.fleet, store=False), troubles=[]))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -23,7 +23,7 @@
 from driftshed.policy.part import Asked
 from driftshed.proxy import follow
 from driftshed.proxy.tables import Tables
-from driftshed.trace.recording import Encoded, Recording
+from driftshed.trace.recording import LazyEncoded, Recording
 from driftshed.trace.replay import Replay
 from tests.fleets import check as check_records
 from tests.policies import PolicyFleet, check_policies, drawn_history
@@ -279,7 +279,7 @@
         self.rows = []
 
     def add(self, kind: str, at: float, **fields) -> None:
-        fields = {name: bytes(value) if isinstance(value, Encoded) else value for name, value in fields.items()}
+        fields = {name: bytes(value) if isinstance(value, LazyEncoded) else value for name, value in fields.items()}
         self.rows.append((kind, {"at": at, **fields}))
 
 
@@ -373,7 +373,7 @@
     assert fleet.ask("a", 2.7, despite=["c"])["version"] == 2
     fleet.until(lambda: fleet.runs()["b"] == 2, 6)
     fleet.run(12)  # it resumes, and finds itself fenced
-    assert fleet.agents["c"].chair.standing.value == "fenced" and fleet.runs()["c"] == 1
+    assert fleet.agents["c"].chair.state.value == "fenced" and fleet.runs()["c"] == 1
     fleet.kill("c")
     fleet.start("c")
     fleet.until(lambda: fleet.runs()["c"] == 2, 8)
@@ -390,7 +390,7 @@
     fleet.until(lambda: set(fleet.runs().values()) == {2}, 5)
     for name in fleet.names:
         fleet.kill(name)
-    fleet.network.end(fleet.store_seat)
+    fleet.network.end_process(fleet.store_seat)
     fleet.rows = old
     fleet._serve()
     for name in fleet.names:
@@ -457,7 +457,7 @@
 def test_a_proxy_never_goes_back_to_an_older_policy(fleet):
     left_with_one_behind(fleet)
     versions = [proxy.tables.policy for proxy in fleet.proxies]
-    assert 2 in versions and all(proxy.tables.held for proxy in fleet.proxies)  # they forward by the tables they have
+    assert 2 in versions and all(proxy.tables.state for proxy in fleet.proxies)  # they forward by the tables they have
     for rows in fleet.proxy_policies.values():
         assert [policy for _, policy in rows] == sorted(policy for _, policy in rows)
 
@@ -466,7 +466,7 @@
     monkeypatch.setattr(Tables, "check_policy", lambda self, policy: None)
     decoder = msgspec.json.Decoder(JoinAnswer)
     accepts_all = lambda body: msgspec.structs.replace(decoder.decode(body), policy=1 << 30)  # noqa: E731
-    monkeypatch.setattr(follow, "JOINED", SimpleNamespace(decode=accepts_all))
+    monkeypatch.setattr(follow, "JOIN_ANSWER_DECODER", SimpleNamespace(decode=accepts_all))
     left_with_one_behind(fleet)
     with pytest.raises(AssertionError, match="went back from policy 2 to 1"):
         check_policies(fleet)
--- a/tests/test_policy_model.py
+++ b/tests/test_policy_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from driftshed.lab.model import explore
+from driftshed.lab.state_search import explore
 from driftshed.policy.change import Known, may_change_tables, waited_out
 
 DESPITE_AFTER, DRIFT = 5.0, 0.02
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,7 +21,7 @@
 from driftshed.net.http import Bounds, HttpClient, HttpServer
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Listener
-from driftshed.proxy.follow import MAX_UNSENT_PERIODS, Follower, Sums
+from driftshed.proxy.follow import MAX_UNSENT_PERIODS, Follower, ReportCounts
 from driftshed.proxy.forward import Forwarder, Limits
 from driftshed.proxy.limits import BURST_S, Gate
 from driftshed.proxy.pick import PICKERS, Weights
@@ -248,14 +248,14 @@
 def test_tables_are_updated_line_by_line_and_exclude_withdrawn_servers():
     tables = make_tables(standing=[C])
     assert tables.pick(0, [], {}) == C and tables.try_mode(0) == 0
-    tables.take(
+    tables.apply(
         make_changes(0, 1, Use(0, 0), Use(1, 1), Line(0, A, 1.0), Line(0, B, 1.0), Line(1, B, 1.0), whole=True), 0.0
     )
     assert {tables.pick(0, [], {}) for _ in range(50)} == {A, B} and tables.pick(1, [], {}) == B
-    tables.take(make_changes(1, 2, Out(B), Level(0, 0, 0.5, 1)), 0.0)
+    tables.apply(make_changes(1, 2, Out(B), Level(0, 0, 0.5, 1)), 0.0)
     assert {tables.pick(0, [], {}) for _ in range(20)} == {A} and tables.pick(1, [], {}) is None
     assert tables.gates[0].level == 0.5 and tables.try_mode(0) == 1 and tables.servers() == {A}
-    tables.take(make_changes(2, 3, In(B), Line(0, A, 0.0), Level(face.EVERY_TABLE, 0, 0.2, 0)), 0.0)
+    tables.apply(make_changes(2, 3, In(B), Line(0, A, 0.0), Level(face.EVERY_TABLE, 0, 0.2, 0)), 0.0)
     assert {tables.pick(0, [], {}) for _ in range(20)} == {B} and tables.gates[0].level == 0.2
 
 
@@ -278,11 +278,11 @@
 )
 def test_invalid_changes_are_rejected_and_the_last_valid_tables_are_kept(bad):
     tables = make_tables()
-    tables.take(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
-    before = dict(tables.held)
+    tables.apply(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Line(0, B, 1.0), whole=True), 0.0)
+    before = dict(tables.state)
     with pytest.raises(ChangesRejected):
-        tables.take(bad, 0.0)
-    assert tables.held == before and tables.version == 1
+        tables.apply(bad, 0.0)
+    assert tables.state == before and tables.version == 1
     assert {tables.pick(0, [], {}) for _ in range(40)} == {A, B}
 
 
@@ -290,7 +290,7 @@
 
 
 def make_facts(tries: int = 1, full: bool = False, **more) -> face.StartFacts:
-    given = {flag.fact: flag.kind.convert(flag.default, None, None) for flag in FLAGS}
+    given = {flag.fact: flag.param_type.convert(flag.default, None, None) for flag in FLAGS}
     given |= {"default_tries": tries, "full_may_have_run": full, **more}
     given["operations"] = tuple(
         read_operation(text)
@@ -314,7 +314,7 @@
         self.names, facts = names, make_facts(tries, full)
         self.tables = Tables(3, "weighted", "share", tries, names, Random(1))
         self.forwarder = Forwarder(
-            self.loop, ("127.0.0.1", 0), 5, facts, self.tables, Sums(["look", "mark", "post"]), limits, **more
+            self.loop, ("127.0.0.1", 0), 5, facts, self.tables, ReportCounts(["look", "mark", "post"]), limits, **more
         )
         self.client = HttpClient(self.loop, self.forwarder.address)
 
@@ -420,7 +420,7 @@
     rig.servers[0].close()
     answers = [rig.get("post") for _ in range(12)]
     assert all(answer.status == 200 and answer.body == b"from 1 " for answer in answers)
-    assert rig.forwarder.sums.by_server[rig.names[0]][1] >= 1
+    assert rig.forwarder.report_counts.by_server[rig.names[0]][1] >= 1
 
 
 def test_a_connection_closed_while_idle_is_no_proof_for_what_is_side_effecting():
@@ -447,7 +447,7 @@
 
 def test_nothing_to_pick_is_refused_at_once_with_a_time_to_come_back(rig):
     rig.tables.run = "r"
-    rig.tables.take(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Out(A), whole=True), 0.0)
+    rig.tables.apply(make_changes(0, 1, Use(0, 0), Line(0, A, 1.0), Out(A), whole=True), 0.0)
     answer = rig.get("look")
     assert (answer.status, answer.headers[b"x-reason"], answer.headers[b"retry-after"]) == (503, b"bare", b"1")
     assert rig.get("unknown").status == 404
@@ -461,7 +461,7 @@
     run_until(rig.loop, lambda: len(rig.requests) == 6)
     gone = rig.requests[0][0]
     rig.tables.run = "r"
-    rig.tables.take(make_changes(0, 1, Use(0, 0), Line(0, rig.names[1 - gone], 1.0), whole=True), 0.0)
+    rig.tables.apply(make_changes(0, 1, Use(0, 0), Line(0, rig.names[1 - gone], 1.0), whole=True), 0.0)
     rig.forwarder.close_removed_servers()
     for _, request in list(rig.requests):
         request.answer(200)
@@ -541,7 +541,7 @@
     listener = Listener(loop, ("127.0.0.1", 0), answer_slowly)
     rig.tables.run = "r"
     line = Line(0, f"127.0.0.1:{listener.address[1]}", 1.0)
-    rig.tables.take(make_changes(0, 1, Use(0, 0), line, whole=True), 0.0)
+    rig.tables.apply(make_changes(0, 1, Use(0, 0), line, whole=True), 0.0)
     assert rig.get("look").body == b"slow"
     listener.close()
 
@@ -679,7 +679,7 @@
             5.0,
             [*before, self.service.address],
             self.tables,
-            Sums([operation.name for operation in self.instance.facts.operations]),
+            ReportCounts([operation.name for operation in self.instance.facts.operations]),
             Random(1),
             lambda event, **fields: self.log_events.append((event, fields)),
             report_period=0.1,
@@ -690,7 +690,7 @@
 
 @pytest.fixture
 def followed():
-    rig = FollowerRig(silence=0.5)
+    rig = FollowerRig(silence_timeout=0.5)
     yield rig
     rig.follower.stopped = True
     rig.close()
@@ -712,16 +712,16 @@
     followed.service.http.close()
     run_until(followed.loop, lambda: not follower.stream)
     for _ in range(MAX_UNSENT_PERIODS):
-        follower.sums.add_try("10.0.0.1:80", 0.1, None)
-    run_until(followed.loop, lambda: follower.sums.dropped_tries)
+        follower.report_counts.add_try("10.0.0.1:80", 0.1, None)
+    run_until(followed.loop, lambda: follower.report_counts.dropped_tries)
     assert len(followed.tables.servers()) == 3 and any(event == "reports_dropped" for event, _ in followed.log_events)
 
 
 def test_a_follower_takes_no_tables_of_other_operations(followed):
     followed.push_roster(1, True, 1, 2, 3)
-    followed.follow().sums.operations = ["look"]
+    followed.follow().report_counts.operations = ["look"]
     run_until(followed.loop, lambda: any(event == "turned_down" for event, _ in followed.log_events))
-    assert "--operation" in dict(followed.log_events)["turned_down"]["why"] and not followed.tables.held
+    assert "--operation" in dict(followed.log_events)["turned_down"]["why"] and not followed.tables.state
 
 
 def test_a_follower_goes_to_another_supervisor_when_the_first_does_not_answer(followed):
@@ -739,14 +739,14 @@
     followed.push_roster(1, True, 1, 2, 3)
     follower = followed.follow()
     run_until(followed.loop, lambda: len(followed.tables.servers()) == 3)
-    whole = dict(followed.tables.held)
+    whole = dict(followed.tables.state)
     answer = type("Answer", (), {"status": 200, "error": ""})()
     answer.body = msgspec.json.encode(Changes("run", 77, 78, False, [Line(0, A, 1.0)]))
     follower.control_client.close()
     follower._handle_poll_answer(answer)
-    assert followed.tables.held == whole and follower.rejected_changes == 1
+    assert followed.tables.state == whole and follower.rejected_changes == 1
     run_until(followed.loop, lambda: follower.stream and followed.tables.version)
-    assert followed.tables.held == whole
+    assert followed.tables.state == whole
 
 
 def test_a_restarted_follower_joins_above_the_terms_that_it_had(followed):
@@ -761,7 +761,7 @@
     followed.push_roster(1, True, 1, 2)
     silent = Listener(followed.loop, ("127.0.0.1", 0), lambda stream: None)
     name = "{}:{}".format(*silent.address)
-    followed.service.living = lambda: [name, "no address", "{}:{}".format(*followed.service.address)]
+    followed.service.live_supervisors = lambda: [name, "no address", "{}:{}".format(*followed.service.address)]
     follower, hung = followed.follow(), []
     follower.poll_wait, follower.poll_grace = 0.3, 0.1
     handle_poll = followed.service._handle_poll
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -15,7 +15,7 @@
 
 from driftshed.net.loop import Loop
 from driftshed.roster import jute
-from driftshed.roster.announce import Announcer, Standing
+from driftshed.roster.announce import Announcer, RegistrationState
 from driftshed.roster.client import RosterClient
 from driftshed.roster.follow import RosterFollower
 from driftshed.roster.jute import (
@@ -39,7 +39,7 @@
     SEQUENTIAL,
     Check,
     Close,
-    Connect,
+    ConnectRequest,
     ConnectResponse,
     Create,
     Delete,
@@ -58,12 +58,12 @@
     Stat,
     Sync,
 )
-from driftshed.roster.log import CorruptLog, Log, encode_record, encode_tree
-from driftshed.roster.membership import Announced, Membership
+from driftshed.roster.log import CorruptLog, TransactionLog, encode_record, encode_tree
+from driftshed.roster.membership import Membership, ServerAnnouncement
 from driftshed.roster.nodes import write_node
 from driftshed.roster.serve import StoreServer
-from driftshed.roster.session import ClientSession, State
-from driftshed.roster.store import Line, Store
+from driftshed.roster.session import ClientSession, SessionState
+from driftshed.roster.store import Connection, Store
 from driftshed.roster.tree import Tree
 
 # ---- wire format --------------------------------------------------------------------------------------------------
@@ -71,11 +71,11 @@
 # Written by hand from the published description of the records.
 VECTORS = [
     (
-        jute.write_connect(Connect(0x1122, 10000, 0, b"")),
+        jute.write_connect_request(ConnectRequest(0x1122, 10000, 0, b"")),
         "0000001d 00000000 0000000000001122 00002710 0000000000000000 00000000 00",
     ),
     (
-        jute.write_connect(Connect(1, 4000, 0x10A, bytes(16))),
+        jute.write_connect_request(ConnectRequest(1, 4000, 0x10A, bytes(16))),
         "0000002d 00000000 0000000000000001 00000fa0 000000000000010a 00000010 00000000000000000000000000000000 00",
     ),
     (
@@ -171,9 +171,9 @@
 
 @given(st.integers(0, 2**62), st.integers(0, 10**6), st.integers(0, 2**62), st.binary(max_size=16))
 def test_session_handshakes_decode_as_encoded(zxid, timeout, session, password):
-    opened = Connect(zxid, timeout, session, password)
-    assert jute.read_connect(jute.write_connect(opened)[4:]) == opened
-    assert jute.read_connect(jute.write_connect(opened)[4:-1]) == opened  # as older clients encode it
+    opened = ConnectRequest(zxid, timeout, session, password)
+    assert jute.read_connect_request(jute.write_connect_request(opened)[4:]) == opened
+    assert jute.read_connect_request(jute.write_connect_request(opened)[4:-1]) == opened  # as older clients encode it
     response = ConnectResponse(timeout, session, password)
     assert jute.read_connect_response(jute.write_connect_response(response)[4:]) == response
 
@@ -274,7 +274,7 @@
     )
     assert done.result == [OK, OK, BAD_VERSION, RUNTIME_INCONSISTENCY] and not done.events and not done.is_transaction
     assert (tree.zxid, tree.nodes["/a"].stat, tree.sessions[1].nodes) == (before, stat, {})
-    assert tree.sessions[2].data == {"/a"} and tree.watches == {("data", "/a"): {2: None}}
+    assert tree.sessions[2].data_watches == {"/a"} and tree.watches == {("data", "/a"): {2: None}}
     done = tree.execute(1, Multi((SetData("/a", b"1"), Create("/a/x", b"", EPHEMERAL), Delete("/a/x"))), 0)
     assert done.error == OK and tree.zxid == before + 1 and done.events == [(2, Event(CHANGED, CONNECTED, "/a"))]
     assert jute.read_result(
@@ -394,9 +394,9 @@
 # ---- log ---------------------------------------------------------------------------------------------------
 
 
-def log_with_history(folder, random: Random, steps: int, every: int = 40) -> Log:
+def log_with_history(folder, random: Random, steps: int, every: int = 40) -> TransactionLog:
     """A log with a random history, all of it synced."""
-    log = Log(folder, every)
+    log = TransactionLog(folder, every)
     tree = log.tree
     for step in range(steps):
         session, draw = random.choice([1, 2, 3]), random.random()
@@ -427,21 +427,21 @@
     random = Random(seed)
     log = log_with_history(tmp_path, random, 150)
     before = encode_tree(log.tree)  # the file is not closed: as after SIGKILL
-    assert encode_tree(Log(tmp_path, 40).tree) == before
+    assert encode_tree(TransactionLog(tmp_path, 40).tree) == before
     newest = max(tmp_path.glob("log-*"), key=lambda path: int(path.name[4:]))
     whole = newest.read_bytes()
     torn = encode_record("do", 1, 0, jute.write_request(1, Create("/torn", b""))[4:])
     newest.write_bytes(whole + torn[: random.randrange(1, 30)])
-    again = Log(tmp_path, 40)
+    again = TransactionLog(tmp_path, 40)
     assert encode_tree(again.tree) == before and again.truncated_bytes > 0
-    assert encode_tree(Log(tmp_path, 40).tree) == before
+    assert encode_tree(TransactionLog(tmp_path, 40).tree) == before
     (tmp_path / "snapshot-999999").write_bytes(b"half of a snapsh")
-    assert encode_tree(Log(tmp_path, 40).tree) == before
+    assert encode_tree(TransactionLog(tmp_path, 40).tree) == before
 
 
 def test_corruption_below_newer_logs_raises_an_error(tmp_path):
     log_with_history(tmp_path, Random(1), 60, every=10**6).close()
-    log = Log(tmp_path, 10**6)
+    log = TransactionLog(tmp_path, 10**6)
     log.tree.open_session(9, 4000, b"")
     log.file.close()
     (old,) = tmp_path.glob("log-0")
@@ -450,13 +450,13 @@
     data[len(data) // 2] ^= 1
     old.write_bytes(data)
     with pytest.raises(CorruptLog):
-        Log(tmp_path)
+        TransactionLog(tmp_path)
 
 
 def test_old_files_are_deleted_once_two_snapshots_cover_them(tmp_path):
     log = log_with_history(tmp_path, Random(3), 400, every=20)
     assert len(list(tmp_path.glob("snapshot-*"))) == 2 and len(list(tmp_path.iterdir())) <= 6
-    assert encode_tree(Log(tmp_path).tree) == encode_tree(log.tree)
+    assert encode_tree(TransactionLog(tmp_path).tree) == encode_tree(log.tree)
 
 
 # ---- sessions, client and store --------------------------------------------------------------------------------------
@@ -480,7 +480,7 @@
         else:
             self.read_data()
 
-    def ask(self, request, done):
+    def send_request(self, request, done):
         self.session.ask(request, done, self.simulation.now)
 
     def read_data(self) -> None:
@@ -490,7 +490,7 @@
             elif error == CONNECTION_LOSS:
                 self.read_data()
 
-        self.ask(GetData("/s", True), on_result)
+        self.send_request(GetData("/s", True), on_result)
 
     def read_children(self) -> None:
         def on_result(error, result):
@@ -499,7 +499,7 @@
             elif error == CONNECTION_LOSS:
                 self.read_children()
 
-        self.ask(GetChildren("/s", True), on_result)
+        self.send_request(GetChildren("/s", True), on_result)
 
 
 class Simulation:
@@ -507,7 +507,7 @@
 
     def __init__(self, folder, seed: int, clients: int = 3) -> None:
         self.folder, self.random, self.now, self.seed = folder, Random(seed), 100.0, seed
-        self.store = Store(Log(folder, 25), seed, self.now)
+        self.store = Store(TransactionLog(folder, 25), seed, self.now)
         self.store.tree.open_session(1, 60000, b"")
         self.store.log.add("open", 1, 0, msgspec.msgpack.encode((60000, b"")))
         request = Create("/s", b"0")
@@ -530,12 +530,12 @@
         for client in self.clients:
             self.disconnect(client)
         # Uncommitted changes are lost with the process: only those on disk remain.
-        self.store = Store(Log(self.folder, 25), self.seed + 1, self.now)
+        self.store = Store(TransactionLog(self.folder, 25), self.seed + 1, self.now)
 
     def step(self, client: Client) -> None:
         """Transfers some or all of the pending bytes in both directions."""
         session = client.session
-        if session.state is State.EXPIRED:
+        if session.state is SessionState.EXPIRED:
             client.expiries += 1
             self.disconnect(client)
             for name in [name for name, owner in client.acknowledged.items() if owner == session.session]:
@@ -545,7 +545,7 @@
             client.read_children()
             return
         if client.line is None:
-            client.line, client.unsent = Line(), b""
+            client.line, client.unsent = Connection(), b""
             session.connected(self.now)
         if not session.tick(self.now):
             self.disconnect(client)
@@ -554,15 +554,15 @@
         part = self.random.choice([len(client.unsent), self.random.randrange(len(client.unsent) + 1)])
         data, client.unsent = client.unsent[:part], client.unsent[part:]
         line = client.line
-        self.store.take(line, data, self.now)
+        self.store.receive(line, data, self.now)
         self.store.commit()
-        answers = bytes(line.out)
+        answers = bytes(line.output)
         part = (
             len(answers)
             if line.close_reason
             else self.random.choice([len(answers), self.random.randrange(len(answers) + 1)])
         )
-        del line.out[:part]
+        del line.output[:part]
         session.receive(answers[:part], self.now)
         if line.close_reason and client.line is line:
             self.disconnect(client)
@@ -588,9 +588,9 @@
                 if error == OK and client.session is session:
                     client.acknowledged[name] = session.session
 
-            client.ask(Create(name, b"", EPHEMERAL), created)
+            client.send_request(Create(name, b"", EPHEMERAL), created)
         elif draw < 0.25:
-            client.ask(SetData("/s", b"%d" % k), lambda error, result: None)
+            client.send_request(SetData("/s", b"%d" % k), lambda error, result: None)
         elif draw < 0.32:
             simulation.disconnect(client)
         elif draw < 0.34:
@@ -607,7 +607,7 @@
     simulation.run_until_settled()
     tree = simulation.store.tree
     for client in simulation.clients:
-        assert client.session.state is State.ON
+        assert client.session.state is SessionState.CONNECTED
         present = {path for path, owner in client.acknowledged.items() if owner == client.session.session}
         assert present <= set(tree.nodes), "an acknowledged create was lost"
         assert client.seen == tree.nodes["/s"].data, "a change of data was missed"
@@ -633,12 +633,14 @@
     errors = []
     session.ask(Create("/a", b""), lambda error, result: errors.append(error), 0.2)
     session.disconnected()
-    assert states == [State.OPENING, State.ON, State.AWAY] and errors == [CONNECTION_LOSS]
+    assert states == [SessionState.OPENING, SessionState.CONNECTED, SessionState.DISCONNECTED] and errors == [
+        CONNECTION_LOSS
+    ]
     session.ask(GetData("/a"), lambda error, result: errors.append(error), 0.3)  # queued
     session.connected(1.0)
-    assert jute.read_connect(session.take_output()[4:]).session == 7
+    assert jute.read_connect_request(session.take_output()[4:]).session == 7
     session.receive(jute.write_connect_response(ConnectResponse(0, 0, bytes(16))), 1.1)
-    assert states[-1] is State.EXPIRED and errors == [CONNECTION_LOSS, EXPIRED]
+    assert states[-1] is SessionState.EXPIRED and errors == [CONNECTION_LOSS, EXPIRED]
 
 
 def test_pings_are_sent_after_a_third_of_the_timeout_and_silence_ends_the_connection():
@@ -659,24 +661,24 @@
 
 
 def test_a_malformed_connection_affects_no_other(tmp_path):
-    store = Store(Log(tmp_path), 1, 0.0)
-    good, bad = Line(), Line()
-    store.take(good, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
+    store = Store(TransactionLog(tmp_path), 1, 0.0)
+    good, bad = Connection(), Connection()
+    store.receive(good, jute.write_connect_request(ConnectRequest(0, 4000, 0, b"")), 0.0)
     random = Random(4)
     for _ in range(300):
-        bad = Line()
-        store.take(bad, jute.write_connect(Connect(0, 4000, 0, b"")), 0.0)
-        store.take(bad, jute.frame(random.randbytes(random.randrange(40))), 0.0)
+        bad = Connection()
+        store.receive(bad, jute.write_connect_request(ConnectRequest(0, 4000, 0, b"")), 0.0)
+        store.receive(bad, jute.frame(random.randbytes(random.randrange(40))), 0.0)
         store.connection_lost(bad)
-    store.take(good, jute.write_request(1, Create("/a", b"")), 0.1)
+    store.receive(good, jute.write_request(1, Create("/a", b"")), 0.1)
     store.commit()
     assert not good.close_reason and good.session in store.tree.sessions and "/a" in store.tree.nodes
 
 
 def test_a_client_that_has_seen_newer_changes_than_the_store_is_rejected(tmp_path):
-    store, line = Store(Log(tmp_path), 1, 0.0), Line()
-    store.take(line, jute.write_connect(Connect(99, 4000, 0, b"")), 0.0)
-    assert "has seen change 99" in line.close_reason and not line.out
+    store, line = Store(TransactionLog(tmp_path), 1, 0.0), Connection()
+    store.receive(line, jute.write_connect_request(ConnectRequest(99, 4000, 0, b"")), 0.0)
+    assert "has seen change 99" in line.close_reason and not line.output
 
 
 # ---- real sockets -------------------------------------------------------------------------------------------
@@ -687,7 +689,7 @@
 
     def __init__(self, folder) -> None:
         self.loop, self.folder = Loop(), folder
-        self.server = StoreServer(self.loop, ("127.0.0.1", 0), Log(folder), 1)
+        self.server = StoreServer(self.loop, ("127.0.0.1", 0), TransactionLog(folder), 1)
         self.clients, self.received = [], []
 
     def client(self, timeout=1.0, hosts=None) -> RosterClient:
@@ -712,7 +714,7 @@
 
     def ask(self, client, request):
         results = []
-        client.ask(request, lambda error, result: results.append((error, result)))
+        client.send_request(request, lambda error, result: results.append((error, result)))
         self.until(lambda: results)
         return results[0]
 
@@ -735,8 +737,13 @@
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     assert served.ask(two, GetData("/x", True))[1][0] == b"1"
     served.server.reset_connections()
-    served.until(lambda: ("state", State.AWAY) in one.received and ("state", State.AWAY) in two.received)
-    served.until(lambda: one.received[-1] == two.received[-1] == ("state", State.ON))
+    served.until(
+        lambda: (
+            ("state", SessionState.DISCONNECTED) in one.received
+            and ("state", SessionState.DISCONNECTED) in two.received
+        )
+    )
+    served.until(lambda: one.received[-1] == two.received[-1] == ("state", SessionState.CONNECTED))
     assert served.ask(two, Exists("/x"))[0] == OK  # still exists
     one.stop()  # without closing its session
     served.until(lambda: ("event", Event(DELETED, CONNECTED, "/x")) in two.received)
@@ -747,11 +754,11 @@
     one = served.client(timeout=0.8)
     assert served.ask(one, Create("/x", b"", EPHEMERAL))[0] == OK
     served.server.unresponsive = True
-    served.until(lambda: ("state", State.AWAY) in one.received)  # silent for two thirds of the time-out
-    assert ("state", State.EXPIRED) not in one.received
+    served.until(lambda: ("state", SessionState.DISCONNECTED) in one.received)  # silent for two thirds of the time-out
+    assert ("state", SessionState.EXPIRED) not in one.received
     served.server.unresponsive = False
     served.server.expire(one.session.session)
-    served.until(lambda: one.received[-1] == ("state", State.EXPIRED))
+    served.until(lambda: one.received[-1] == ("state", SessionState.EXPIRED))
 
 
 def test_the_client_tries_the_next_host_and_a_restarted_store_has_all_acknowledged_changes(served):
@@ -760,18 +767,18 @@
     one = served.client(timeout=5.0, hosts=[closed_host.getsockname(), served.server.address])
     assert served.ask(one, Create("/x", b"1", EPHEMERAL))[0] == OK
     served.server.close()
-    served.until(lambda: one.received[-1] == ("state", State.AWAY))
-    served.server = StoreServer(served.loop, served.server.address, Log(served.folder), 1)
+    served.until(lambda: one.received[-1] == ("state", SessionState.DISCONNECTED))
+    served.server = StoreServer(served.loop, served.server.address, TransactionLog(served.folder), 1)
     assert served.ask(one, GetData("/x"))[1][0] == b"1"
-    assert ("state", State.EXPIRED) not in one.received
+    assert ("state", SessionState.EXPIRED) not in one.received
     closed_host.close()
 
 
 # ---- membership ------------------------------------------------------------------------------------------------
 
 
-def node(number: int, state: str = "ready", epoch: int = 1, started: float | None = None) -> Announced:
-    return Announced(f"10.0.0.{number}:80", "east", "standard", state, started, 0, 1.0, epoch)
+def node(number: int, state: str = "ready", epoch: int = 1, started: float | None = None) -> ServerAnnouncement:
+    return ServerAnnouncement(f"10.0.0.{number}:80", "east", "standard", state, started, 0, 1.0, epoch)
 
 
 def members(count: int = 10) -> Membership:
@@ -883,7 +890,7 @@
 def test_addresses_that_came_and_went_are_forgotten():
     membership = members(4)
     for k in range(2000):
-        each = Announced(f"10.1.{k // 250}.{k % 250}:80", "east", "standard", "ready", None, 0, 1.0, 1)
+        each = ServerAnnouncement(f"10.1.{k // 250}.{k % 250}:80", "east", "standard", "ready", None, 0, 1.0, 1)
         membership.node_updated(f"/n/{k}", each, 10.0 * k)
         membership.evaluate(10.0 * k)
         membership.node_removed(f"/n/{k}", 10.0 * k + 5)
@@ -926,7 +933,7 @@
                 self.listed_states[each.server] = each.state
 
     def announce(self, number: int, timeout: float = 1.0) -> Announcer:
-        who = Announced(f"127.0.0.1:{number}", "east", "standard", "ready", 1.0, 0, 1.0, 0)
+        who = ServerAnnouncement(f"127.0.0.1:{number}", "east", "standard", "ready", 1.0, 0, 1.0, 0)
         announcer = Announcer(self.loop, [self.server.address], ROOT, who, timeout, number)
         self.announcers.append(announcer)
         return announcer
@@ -953,25 +960,25 @@
     one, two, three = (fleet.announce(k) for k in (1, 2, 3))
     fleet.wait_for_ready(1, 2, 3)
     reads = fleet.follower.reads
-    one.say("draining")
+    one.set_server_state("draining")
     fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
     assert fleet.follower.reads == reads + 1  # only the changed node
     one.leave()
     fleet.until(lambda: "127.0.0.1:1" not in fleet.listed_states)
     two.stop()  # as if it died; no report shows an answer of it
     fleet.wait_for_ready(3)
-    assert three.standing is Standing.LISTED
+    assert three.state is RegistrationState.LISTED
 
 
 def test_a_lapsed_server_that_answers_is_held_and_then_goes(fleet):
     one, _ = fleet.announce(1), fleet.announce(2)
     fleet.wait_for_ready(1, 2)
-    fleet.follower.answered("127.0.0.1:1")
+    fleet.follower.record_answer("127.0.0.1:1")
     lapsed = fleet.loop.clock()
-    one.standing = Standing.LEFT  # it does not register again
+    one.state = RegistrationState.LEFT  # it does not register again
     fleet.server.expire(one.client.session.session)
     while fleet.loop.clock() < lapsed + 0.45:
-        fleet.follower.answered("127.0.0.1:1")
+        fleet.follower.record_answer("127.0.0.1:1")
         fleet.loop.turn(fleet.loop.clock() + 0.02)
         assert "127.0.0.1:1" in fleet.listed_states
     fleet.wait_for_ready(2)
@@ -989,7 +996,7 @@
     def all_back():
         sizes.append(len(fleet.listed_states))
         there = fleet.server.store.tree.sessions
-        return all(a.standing is Standing.LISTED and a.client.session.session in there for a in announcers)
+        return all(a.state is RegistrationState.LISTED and a.client.session.session in there for a in announcers)
 
     fleet.until(all_back)
     fleet.wait_for_ready(*range(1, 9))
@@ -1002,10 +1009,10 @@
     fleet.wait_for_ready(*range(1, 6))
     update_count = len(fleet.updates)
     fleet.server.close()
-    fleet.until(lambda: fleet.follower.membership.away_since is not None)
+    fleet.until(lambda: fleet.follower.membership.unreachable_since is not None)
     assert len(fleet.updates) == update_count
-    fleet.server = StoreServer(fleet.loop, fleet.server.address, Log(fleet.folder), 1)
-    fleet.until(lambda: fleet.follower.membership.away_since is None)
+    fleet.server = StoreServer(fleet.loop, fleet.server.address, TransactionLog(fleet.folder), 1)
+    fleet.until(lambda: fleet.follower.membership.unreachable_since is None)
     assert len(fleet.updates) == update_count
     fleet.announce(6)
     fleet.wait_for_ready(*range(1, 7))
@@ -1017,7 +1024,7 @@
     fleet.wait_for_ready(1, 2)
     first = fleet.follower.client
     fleet.server.expire(first.session.session)
-    fleet.until(lambda: fleet.follower.client is not first and fleet.follower.membership.away_since is None)
+    fleet.until(lambda: fleet.follower.client is not first and fleet.follower.membership.unreachable_since is None)
     assert set(fleet.listed_states) == {"127.0.0.1:1", "127.0.0.1:2"}
     two.leave()
     fleet.wait_for_ready(1)
@@ -1027,7 +1034,7 @@
     one = fleet.announce(1, timeout=5.0)
     fleet.wait_for_ready(1)
     fleet.server.store.events_to_drop = 1
-    one.say("draining")
+    one.set_server_state("draining")
     fleet.until(lambda: fleet.listed_states["127.0.0.1:1"] == "draining")
     assert fleet.server.store.events_to_drop == 0
     states = [fields.get("state") for event, fields in fleet.logs if event == "roster_session"]
@@ -1045,12 +1052,12 @@
     else:
         client = fleet.client(5.0)
         assert fleet.ask(client, Delete(one.path))[0] == OK
-    one.say("draining", lambda: one.leave(lambda: gone.append(1)))
+    one.set_server_state("draining", lambda: one.leave(lambda: gone.append(1)))
     if lost == "session":
         one.client.stream.pause(False)
     fleet.until(lambda: gone)
     fleet.wait_for_ready(2)
-    assert one.standing is Standing.LEFT
+    assert one.state is RegistrationState.LEFT
 
 
 def test_delayed_or_withheld_answers_change_nothing(fleet):
@@ -1064,7 +1071,7 @@
     fleet.server.muted_sessions = {fleet.follower.client.session.session}
     fleet.until(lambda: ("roster_session", "no connection") in [(e, f.get("state")) for e, f in fleet.logs])
     fleet.server.muted_sessions = set()
-    fleet.until(lambda: fleet.follower.membership.away_since is None)
+    fleet.until(lambda: fleet.follower.membership.unreachable_since is None)
     assert set(fleet.listed_states) == {f"127.0.0.1:{k}" for k in range(1, 5)}
 
 
@@ -1075,9 +1082,9 @@
     fleet.server.expire(paused.session.session)
     paused.stream.pause(True)  # it receives no message of the expiry
     new = fleet.announce(1)
-    fleet.until(lambda: new.standing is Standing.LISTED and new.epoch == 2)
+    fleet.until(lambda: new.state is RegistrationState.LISTED and new.epoch == 2)
     paused.stream.pause(False)
-    fleet.until(lambda: old.standing is Standing.FENCED)
+    fleet.until(lambda: old.state is RegistrationState.FENCED)
     fleet.wait_for_ready(1)
     assert [name for name in fleet.server.store.tree.nodes if name.startswith(ROOT + "/")] == [f"{ROOT}/127.0.0.1:1~2"]
 
@@ -1270,7 +1277,7 @@
     tree.execute(7, jute.Create(ROOT, b""), 0)
     for k in range(count):
         name = f"10.1.{k // 250}.{k % 250}:80"
-        data = write_node(Announced(name, "east", "standard", "ready", None, 0, 1.0, 1))
+        data = write_node(ServerAnnouncement(name, "east", "standard", "ready", None, 0, 1.0, 1))
         assert tree.execute(7, jute.Create(f"{ROOT}/{name}~1", data, jute.EPHEMERAL), 0).error == jute.OK
     agents.network.zones["127.0.9.9"] = "follower"
     follower = RosterFollower(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -153,7 +153,7 @@
     body = body.replace(b"STREAM", joined["stream"].encode()) if body else body
     actual_status, answer = rig.call(method, path, body, content_type=content_type)
     assert actual_status == status and len(answer["error"]) > 10
-    assert not held and rig.instance.hub.records[3].joined and list(rig.service.polls) == [3]
+    assert not held and rig.instance.hub.records[3].joined and list(rig.service.streams) == [3]
     rig.push_roster(2, False, 3, state="draining")
     run_until(rig.loop, lambda: held)
     assert CHANGES_DECODER.decode(held[0].body).changes == [Line(0, "10.0.0.3:80", 0.0)]
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("ending", ["ended", "reset", "silent", "leave"])
 def test_a_stream_that_ends_is_left_and_the_proxy_resumes_by_version(ending):
-    rig = ServiceRig(silence=0.3)
+    rig = ServiceRig(silence_timeout=0.3)
     rig.push_roster(1, True, 1, 2, 3)
     client, joined = rig.join()
     first = rig.poll(client, joined["stream"], 0)
@@ -344,7 +344,7 @@
 
 
 def test_answers_to_joins_name_the_live_supervisors(rig):
-    rig.service.living = lambda: ["127.0.0.1:7001", "127.0.0.1:7002"]
+    rig.service.live_supervisors = lambda: ["127.0.0.1:7001", "127.0.0.1:7002"]
     assert rig.join()[1]["supervisors"] == ["127.0.0.1:7001", "127.0.0.1:7002"]
 
 
@@ -353,7 +353,7 @@
     polled = rig.poll(client, joined["stream"], 0, wait=0.05)
     run_until(rig.loop, lambda: polled)
     assert "supervisors" not in msgspec.json.decode(polled[0].body)
-    rig.service.living = lambda: ["127.0.0.1:7001"]
+    rig.service.live_supervisors = lambda: ["127.0.0.1:7001"]
     for expected in (["127.0.0.1:7001"], None):  # sent only once
         polled = rig.poll(client, joined["stream"], 0, wait=0.05)
         run_until(rig.loop, lambda polled=polled: polled)
@@ -366,7 +366,7 @@
         client, joined = rig.join(number)
         answers = rig.poll(client, joined["stream"], 0, number)
         clients.append((client, answers))
-    run_until(rig.loop, lambda: all(poll.request for poll in rig.service.polls.values()))
+    run_until(rig.loop, lambda: all(poll.request for poll in rig.service.streams.values()))
     pauses = []
     rig.service.hand_over(lambda lines: pauses.append(lines) or 0.05, lambda: done.append(1))
     assert rig.call("POST", "/v1/proxies/9/join", {"zone": "east", "rate": 5.0})[0] == 503
@@ -378,7 +378,7 @@
                 disconnected.append(client)
                 client.close()
         rig.loop.turn(rig.loop.clock() + 0.01)
-    assert len(disconnected) == 3 <= len(pauses) and not rig.service.polls
+    assert len(disconnected) == 3 <= len(pauses) and not rig.service.streams
 
 
 def test_the_pace_of_a_hand_over_leaves_each_channel_time_for_one_proxys_tables():
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -9,7 +9,7 @@
 from driftshed.coordination.tiers import HierarchyError, read_tiers
 from driftshed.policy.change import waited_out
 from driftshed.policy.part import PolicyPart
-from driftshed.roster.announce import Standing
+from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import SetData
 from tests.tiers import (
     DESPITE_AFTER,
@@ -220,7 +220,7 @@
 def test_all_start_within_thirty_seconds_and_none_reads_all_others(tmp_path):
     fleet = TieredFleet(tmp_path, 2, 3, 4, start=False)
     for name in fleet.names:
-        fleet.network.loop_seat.after(fleet.random.uniform(0, 30), lambda name=name: fleet.start(name))
+        fleet.network.own_seat.after(fleet.random.uniform(0, 30), lambda name=name: fleet.start(name))
     fleet.run(31)
     fleet.until(lambda: all(not fleet.parts[name].instance.tables_frozen() for name in fleet.living()), 30)
     fleet.run(10)
@@ -347,7 +347,7 @@
 
 
 def test_a_build_that_acts_without_a_lease_is_detected(tmp_path, monkeypatch):
-    monkeypatch.setattr(Tiered, "holds", lambda self: self.chair.standing is Standing.LISTED)
+    monkeypatch.setattr(Tiered, "holds", lambda self: self.chair.state is RegistrationState.LISTED)
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut("r1c1s2", "r1", 20)
     fleet.run(10)
--- a/tests/test_tiers_model.py
+++ b/tests/test_tiers_model.py
@@ -10,7 +10,7 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Record, Vote
-from driftshed.lab.model import explore
+from driftshed.lab.state_search import explore
 from driftshed.policy.change import Known, may_change_tables, waited_out
 
 DESPITE_AFTER_S, CLOCK_DRIFT = 5.0, 0.02
--- a/tests/tiers.py
+++ b/tests/tiers.py
@@ -13,12 +13,12 @@
 from driftshed.coordination.taking_part import take_part
 from driftshed.coordination.tiers import Hierarchy, absence_margin, read_tiers
 from driftshed.core.hub import Refused
-from driftshed.lab.virtual import Network, Seat, VirtualLoop, Way
+from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
 from driftshed.policy.change import TOPIC, everywhere_within, read_change
 from driftshed.policy.keep import Keep
 from driftshed.policy.part import Asked, PolicyPart
 from driftshed.roster.client import RosterClient
-from driftshed.roster.log import replay
+from driftshed.roster.log import apply_record
 from driftshed.roster.serve import StoreServer
 from driftshed.roster.tree import Tree
 from tests.fleets import DriftingSeat, MemoryLog
@@ -63,10 +63,10 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address, self.instance = address, StubInstance()
-        self.polls, self.views, self.actions = {}, {}, {}
-        self.waits, self.living = (lambda: ""), (lambda: [])
+        self.streams, self.views, self.actions = {}, {}, {}
+        self.not_ready_reason, self.live_supervisors = (lambda: ""), (lambda: [])
 
-    def soon(self) -> None:
+    def schedule_turn(self) -> None:
         pass
 
 
@@ -103,9 +103,9 @@
         if self.down:
             return
         self.down = True
-        self.fleet.network.end(self.seat)
+        self.fleet.network.end_process(self.seat)
         del self.rows[self.log.synced :], self.times[self.log.synced :]
-        self.fleet.network.loop_seat.after(seconds, self.start)
+        self.fleet.network.own_seat.after(seconds, self.start)
 
     @property
     def tree(self) -> Tree:
@@ -119,7 +119,7 @@
         """Every write below a records folder: time, path and data, in the store's order, from its log."""
         tree, found, seen = Tree(), [], {}
         for row, at in zip(self.rows, self.times, strict=True):
-            replay(tree, *row)
+            apply_record(tree, *row)
             for path, node in tree.nodes.items():
                 if "/records/" in path and seen.get(path) != (node.czxid, node.mzxid):
                     seen[path] = node.czxid, node.mzxid
@@ -187,10 +187,10 @@
             for name in self.names:
                 self.start(name)
 
-    def _way(self, here: str, there: str) -> Way:
+    def _way(self, here: str, there: str) -> Route:
         regions = {self.region_of.get(name, name.removeprefix("store ")) for name in (here, there)}
         delay = self.near if len(regions) == 1 else self.far
-        return Way(delay, delay / 10)
+        return Route(delay, delay / 10)
 
     # ---- supervisors --------------------------------------------------------------------------------------------
 
@@ -249,16 +249,16 @@
         if name in self.dead:
             return
         self.dead.add(name)
-        self.network.end(self.seats[name])
+        self.network.end_process(self.seats[name])
         self.parts[name].keep.close()
 
     def pause(self, name: str, seconds: float) -> None:
-        self.seats[name].hold_still(self.loop.now + seconds)
+        self.seats[name].pause_until(self.loop.now + seconds)
 
     def cut(self, name: str, store: str, seconds: float, forth: bool = True, back: bool = True) -> None:
         """Cuts the connection between one supervisor and one store."""
         host, store_host = self.hosts[name], self.stores[store].address[0]
-        links = [self.network.way(host, store_host)] * forth + [self.network.way(store_host, host)] * back
+        links = [self.network.route(host, store_host)] * forth + [self.network.route(store_host, host)] * back
         for link in links:
             link.cut = True
 
@@ -266,7 +266,7 @@
             for link in links:
                 link.cut = False
 
-        self.network.loop_seat.after(seconds, reconnect)
+        self.network.own_seat.after(seconds, reconnect)
 
     def disconnect(self, name: str, seconds: float) -> None:
         for store in self.stores:
@@ -342,7 +342,7 @@
             lambda event: None,
             self.network.dial(host),
         )
-        client.ask(request, lambda error, result: errors.append(error))
+        client.send_request(request, lambda error, result: errors.append(error))
         self.until(lambda: errors, 5, 0.01)
         assert errors == [0], errors
 
@@ -411,7 +411,7 @@
                 if line.session:
                     self.session_owners[store.name, line.session] = self.by_host.get(stream.peer[0], "")
             self.registered_at.update(dict.fromkeys(self._registered_members(store), now))
-        self.network.loop_seat.after(CHECK_INTERVAL_S, self._record_sessions)
+        self.network.own_seat.after(CHECK_INTERVAL_S, self._record_sessions)
 
     def settled(self) -> list[tuple[float, int, str]]:
         """Time, version and digest of each commit in the top-level fleet, in the order of its store."""
@@ -547,7 +547,7 @@
             inject_fault(fleet, random)
     for service in fleet.services.values():
         service.instance.refusal = ""
-    for link in fleet.network.ways.values():
+    for link in fleet.network.routes.values():
         link.cut = False
     stay_absent = random.random() < 0.3  # some supervisors stay absent to the end
     for name in sorted(fleet.dead):
@@ -566,7 +566,7 @@
     duration = fleet.timeout * random.choice([0.3, 0.7, 0.95, 1.2, 2.0, 3.5, 5.0])
     if draw < 0.10:
         fleet.kill(name)
-        fleet.network.loop_seat.after(duration, lambda: name in fleet.dead and fleet.start(name))
+        fleet.network.own_seat.after(duration, lambda: name in fleet.dead and fleet.start(name))
     elif draw < 0.15:
         fleet.kill(name)  # until a later fault restarts it
     elif draw < 0.25:
@@ -586,11 +586,11 @@
         fleet.stores[random.choice([WHOLE, region])].crash(random.choice([0.2, 1.0, 3.0]))
     elif draw < 0.88:
         store = fleet.stores[random.choice([WHOLE, region])]
-        store.seat.hold_still(fleet.loop.now + random.choice([0.3, fleet.timeout, 2 * fleet.timeout]))
+        store.seat.pause_until(fleet.loop.now + random.choice([0.3, fleet.timeout, 2 * fleet.timeout]))
     elif draw < 0.92:
         for each in fleet.cells[cell]:
             fleet.pause(each, duration) if random.random() < 0.5 else fleet.disconnect(each, duration)
     else:
         instance = fleet.services[name].instance
         instance.refusal = "it objects"
-        fleet.network.loop_seat.after(2 * duration, lambda: setattr(instance, "refusal", ""))
+        fleet.network.own_seat.after(2 * duration, lambda: setattr(instance, "refusal", ""))
