--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -629,7 +629,7 @@
         rows = pool.map(_burst, BURSTS, chunksize=1)
     return {
         "rows": rows,
-        "timeout": flat.TIMEOUT,
+        "timeout": flat.SESSION_TIMEOUT_S,
         "seeds": [1],
         "time": "virtual",
         "command": "python -m benchmarks.capacity bursts",
--- a/benchmarks/capacity_flat.py
+++ b/benchmarks/capacity_flat.py
@@ -11,8 +11,8 @@
 from statistics import median
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Barred
-from driftshed.coordination.members import Member, write_member
+from driftshed.coordination.agreement import RecordError
+from driftshed.coordination.members import Member, encode_member
 from driftshed.lab.virtual import Seat
 from driftshed.policy import document as policies
 from driftshed.policy.change import next_change
@@ -21,7 +21,7 @@
 from driftshed.roster.jute import EPHEMERAL, Create, Delete, Frames, SetData
 from driftshed.roster.membership import Membership, ServerAnnouncement
 from driftshed.roster.nodes import write_node
-from tests.fleets import ROOT, STORE, TIMEOUT, Fleet
+from tests.fleets import ROOT, SESSION_TIMEOUT_S, STORE, Fleet
 
 BUCKET_S = 0.1  # resolution of Meter.by_time
 SEED = 1
@@ -106,11 +106,11 @@
     def views_complete(self) -> bool:
         """Whether each living agent holds its lease and has read exactly the living members."""
         living = [agent for agent in self.agents.values() if not agent.seat.ended]
-        return all(a.holds() and a.members.whole and len(a.roll.nodes) == len(living) for a in living)
+        return all(a.holds_lease() and a.members.complete and len(a.membership.nodes) == len(living) for a in living)
 
-    def up(self) -> None:
+    def run_until_up(self) -> None:
         """Runs until `views_complete`, for 120 s of virtual time at most."""
-        self.until(self.views_complete, 120.0)
+        self.run_until(self.views_complete, 120.0)
 
     def total_by_name(self, what: str = "bytes", pings: bool = False) -> dict[str, int]:
         """Totals of `what` by agent name."""
@@ -134,7 +134,7 @@
 def ready_fleet(count: int, seed: int = SEED) -> MeteredFleet:
     """A fleet of `count` agents whose views are complete."""
     fleet = MeteredFleet(member_names(count), seed)
-    fleet.up()
+    fleet.run_until_up()
     return fleet
 
 
@@ -165,8 +165,8 @@
     fleet.run(2)
     rest = fleet.increase(lambda: None, 20.0, pings=True)
     first, last = fleet.names[0], fleet.names[-1]
-    update = fleet.increase(lambda: fleet.agents[first].say(proxies=1), 3.0)
-    death = fleet.increase(lambda: fleet.kill(last), 2 * TIMEOUT + 1)
+    update = fleet.increase(lambda: fleet.agents[first].publish(proxies=1), 3.0)
+    death = fleet.increase(lambda: fleet.kill(last), 2 * SESSION_TIMEOUT_S + 1)
     others = [name for name in fleet.names if name not in (first, last)]
     return {
         "rest_bytes_a_second": rounded_mean(value / 20 for value in rest["bytes"].values()),
@@ -187,7 +187,7 @@
         for k in range(operations)
     )
     text = f'ahead = 0.3\n{rows}[settings]\nzones = "east,west"\nproxies = 350\nqueue-cap = 4000\ndrain-grace = 5.5\n'
-    change = next_change(None, policies.read(text), "operator", "measured")
+    change = next_change(None, policies.read_toml(text), "operator", "measured")
     return {"version": 1, "digest": change.digest, "text": change.text, "who": change.who, "why": change.why}
 
 
@@ -207,7 +207,7 @@
 
 
 def _record_after(fleet: MeteredFleet, last: int):
-    record = fleet.stored("policy")
+    record = fleet.stored_record("policy")
     return record if record is not None and record.epoch > last else None
 
 
@@ -218,7 +218,7 @@
 
 
 def _all_read(fleet: MeteredFleet, last: int) -> bool:
-    records = [agent.topics["policy"].record for agent in fleet.all]
+    records = [agent.topics["policy"].record for agent in fleet.all_agents]
     return all(record.epoch > last and record.state == "settled" for record in records)
 
 
@@ -238,8 +238,8 @@
     seconds = 10
 
     def publish(k: int) -> None:
-        for agent in fleet.all:
-            agent.say(proxies=10 + k)
+        for agent in fleet.all_agents:
+            agent.publish(proxies=10 + k)
         if k < seconds + 1:
             fleet.network.own_seat.after(1.0, lambda: publish(k + 1))
 
@@ -252,12 +252,12 @@
 def measure_phases(count: int, seed: int = SEED, delay: float = 0.02, rounds: int = 8) -> dict[str, float]:
     """Seconds from a proposal until each condition of PHASES holds: median and maximum over `rounds` changes."""
     fleet = MeteredFleet(member_names(count), seed, delay=delay)
-    fleet.up()
+    fleet.run_until_up()
     durations: dict[str, list[float]] = defaultdict(list)
     body = policy_body()
     for k in range(rounds):
         fleet.run(1.0 + 0.137 * k)
-        last = max((record.epoch for record in (fleet.stored("policy"),) if record), default=0)
+        last = max((record.epoch for record in (fleet.stored_record("policy"),) if record), default=0)
         started_at = fleet.loop.now
         fleet.propose(fleet.names[(7 * k) % count], "policy", {**body, "version": k + 1}, patience=10.0)
         for what, reached in PHASES.items():
@@ -275,8 +275,8 @@
     """The smallest number of voters' names that a record may not have."""
     for count in range(1, 10_000):
         try:
-            agreement.check("policy", member_names(count), count, 10.0)
-        except Barred:
+            agreement.check_proposal("policy", member_names(count), count, 10.0)
+        except RecordError:
             return count
     raise AssertionError("records accept any number of names")
 
@@ -304,7 +304,7 @@
         started_at, before = fleet.loop.now, fleet.total_by_name()
         action()
         fleet.run(0.01)
-        fleet.until(lambda: fleet.views_complete(), 60.0)
+        fleet.run_until(lambda: fleet.views_complete(), 60.0)
         duration = fleet.loop.now - started_at
         after = fleet.total_by_name()
         return {
@@ -328,7 +328,7 @@
         results |= {f"lost_{key}": value for key, value in measure_after(kill).items()}
     else:
         kill()
-        fleet.run(2 * TIMEOUT)
+        fleet.run(2 * SESSION_TIMEOUT_S)
     return results | {f"back_{key}": value for key, value in measure_after(restart).items()}
 
 
@@ -362,7 +362,7 @@
     @staticmethod
     def member_data(name: str, proxies: int = 0) -> bytes:
         """The content of a member's node."""
-        return write_member(Member(name, "127.0.1.100:7000", "test", incarnation=1, proxies=proxies))
+        return encode_member(Member(name, "127.0.1.100:7000", "test", incarnation=1, proxies=proxies))
 
     def send(self, requests: list) -> None:
         """Sends requests from the client that owns the other members' nodes, 1000 per half second."""
@@ -380,10 +380,10 @@
             self.fleet.run(3.0)
         return {
             "one_join_bytes": bytes_read,
-            "knows": len(agent.roll.nodes),
-            "whole": agent.members.whole,
-            "records_whole": agent.records.whole,
-            "holds": agent.holds(),
+            "knows": len(agent.membership.nodes),
+            "whole": agent.members.complete,
+            "records_whole": agent.records.complete,
+            "holds": agent.holds_lease(),
         }
 
     def bytes_read_for(self, request) -> int:
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -23,13 +23,13 @@
 )
 from benchmarks.capacity import load_results as load_file
 from benchmarks.capacity_fit import first_above, value_at
-from driftshed.coordination.lease import DRIFT
-from driftshed.policy.change import waited_out
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
+from driftshed.policy.change import despite_silence_s
 
 PAGE = RESULTS_FILE.parent.parent / "docs" / "CAPACITY.md"
 HOLLOW_FILE = RESULTS_FILE.with_name("hollow.json")
 BLOCK_PATTERN = re.compile(r"(<!-- capacity: (?P<name>[a-z ]+) -->\n).*?(<!-- end -->)", re.S)
-TIERS_FILE = "`driftshed/coordination/tiers.py`"
+TIERS_FILE = "`driftshed/coordination/hierarchy.py`"
 TABLE_PARTS_FILE = "parts of a table (`driftshed/brain.py`)"
 MINUTE_S, DAY_S = 60.0, 86400.0
 AHEAD_S, PEAK_HOUR_RATIO = 0.5, 5  # the second: changes in the busiest hour / the mean
@@ -499,9 +499,12 @@
     tier = find_row(results, "tier_regions.tier_read_worst")
     if tier is None:
         return text
-    until_read = SESSION_TIMEOUT_S * (1 + DRIFT) + value_at_size(tier, DESIGN["regions"]) + AHEAD_S
+    until_read = SESSION_TIMEOUT_S * (1 + MAX_CLOCK_DRIFT) + value_at_size(tier, DESIGN["regions"]) + AHEAD_S
     restarting = DESIGN["restarts_a_day"] * OUTAGE_S / DAY_S
-    totals = "; ".join(f"{despite:g} s: {until_read + waited_out(despite, DRIFT):.1f} s" for despite in DESPITE_AFTER_S)
+    totals = "; ".join(
+        f"{despite:g} s: {until_read + despite_silence_s(despite, MAX_CLOCK_DRIFT):.1f} s"
+        for despite in DESPITE_AFTER_S
+    )
     return text + (
         f"\n**Tiers alone do not mend this.** A change in tiers still waits for the word of each of 5,200 that has not "
         f"been silent for `despite_after` (60 s unless given); at {OUTAGE_S:g} s a restart, {restarting:.1f} are away "
--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -24,9 +24,9 @@
 from driftshed import interface as face
 from driftshed.brain import Brain
 from driftshed.coordination import agreement, command
-from driftshed.coordination.agreement import Barred
-from driftshed.coordination.members import Member, Roll, read_member, write_member
-from driftshed.coordination.view import plain
+from driftshed.coordination.agreement import RecordError
+from driftshed.coordination.members import Member, MembershipView, decode_member, encode_member
+from driftshed.coordination.view import to_plain_values
 from driftshed.core.hub import Hub
 from driftshed.core.messages import Changes, Level, Line, Use
 from driftshed.policy import command as policy_command
@@ -147,29 +147,29 @@
     return {"core_memory": memory.bytes, "core_memory_a_proxy": memory.bytes / proxies}
 
 
-def make_view(count: int) -> Roll:
+def make_view(count: int) -> MembershipView:
     """A membership view of `count` members that are present."""
-    view = Roll(tuple(member_names(count)), 0.0)
+    view = MembershipView(tuple(member_names(count)), 0.0)
     for k, name in enumerate(view.expected):
         view.nodes[f"{name}~1"] = _make_member(name, k)
-        view.highest[name] = 1
+        view.highest_incarnation[name] = 1
     return view
 
 
 def _make_member(name: str, k: int):
-    from driftshed.coordination.members import Present
+    from driftshed.coordination.members import MemberNode
 
-    return Present(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1), k, 0.0)
+    return MemberNode(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1), k, 0.0)
 
 
 def roll(count: int, seconds: float = 0.4) -> dict:
     """Processor time to process one update of a peer as `Agent` does: decode it, add it to the membership view, rebuild
     the addresses. `cores_of_words`: share of a core when each other supervisor sends one update per second."""
     view = make_view(count)
-    data = write_member(Member(view.expected[0], "127.0.0.1:7000", "test", proxies=351, incarnation=1))
+    data = encode_member(Member(view.expected[0], "127.0.0.1:7000", "test", proxies=351, incarnation=1))
     node, rounds, started_at = f"{view.expected[0]}~1", 0, time.process_time()
     while time.process_time() - started_at < seconds or rounds < 3:
-        view.appeared(node, read_member(node, data), 0, 1.0)
+        view.update_node(node, decode_member(node, data), 0, 1.0)
         view.addresses()
         rounds += 1
     seconds_per_update = (time.process_time() - started_at) / rounds
@@ -179,11 +179,11 @@
 def roll_memory(count: int) -> dict:
     """Memory of a membership view of `count` members that are present."""
     with MemoryUse() as memory:
-        view = Roll(tuple(f"s{k:04}" for k in range(count)), 0.0)
+        view = MembershipView(tuple(f"s{k:04}" for k in range(count)), 0.0)
         for k, name in enumerate(list(view.expected)):
-            data = write_member(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1))
-            view.nodes[f"{name}~1"] = _make_member(name, k)._replace(member=read_member(f"{name}~1", data))
-            view.highest[name] = 1
+            data = encode_member(Member(name, f"127.0.{k >> 8}.{k & 255}:7000", "test", proxies=350, incarnation=1))
+            view.nodes[f"{name}~1"] = _make_member(name, k)._replace(member=decode_member(f"{name}~1", data))
+            view.highest_incarnation[name] = 1
     return {"roll_memory": memory.bytes}
 
 
@@ -261,7 +261,7 @@
     _execute(store, lines[0], jute.Create("/m", b""))
     with MemoryUse() as memory:
         for k in range(count):
-            data = write_member(Member(f"s{k:04}", "127.0.0.1:7000", "test", proxies=350, incarnation=1))
+            data = encode_member(Member(f"s{k:04}", "127.0.0.1:7000", "test", proxies=350, incarnation=1))
             _execute(store, lines[0], jute.Create(f"/m/s{k:04}~1", data, jute.EPHEMERAL))
     assert len(store.tree.nodes) == count + 2
     return {"store_node_memory": memory.bytes}
@@ -329,10 +329,10 @@
 def document(operations: int) -> dict:
     """A policy of this many operations: bytes of its canonical text, and the time to parse and check it."""
     rows = [f"operation-{k:02}:objective=0.5,timeout=1.5,value=1,effect=idempotent" for k in range(operations)]
-    policy = policies.of_flags({"zones": "east,west", "proxies": 350, "queue-cap": 4000}, rows)
+    policy = policies.from_flags({"zones": "east,west", "proxies": 350, "queue-cap": 4000}, rows)
     text, rounds, started_at = policies.canonical(policy), 0, time.process_time()
     while time.process_time() - started_at < 0.3 or rounds < 3:
-        policies.never_met(policies.parse(text))
+        policies.unsatisfiable_requirements(policies.parse_canonical(text))
         rounds += 1
     return {"document_bytes": len(text), "document_ms": (time.process_time() - started_at) / rounds * 1e3}
 
@@ -341,7 +341,7 @@
     """The smallest number of operations that a document may not have."""
     for count in range(1, 1000):
         try:
-            policies.of_flags({}, [f"o{k:03}:objective=0.5,timeout=1.5,value=1" for k in range(count)])
+            policies.from_flags({}, [f"o{k:03}:objective=0.5,timeout=1.5,value=1" for k in range(count)])
         except policies.BadDocument:
             return count
     raise AssertionError("documents accept any number of operations")
@@ -354,7 +354,7 @@
 
     def record(size: int) -> agreement.Record:
         text = (policy_text * (size // len(policy_text) + 1))[:size]
-        return agreement.proposed(
+        return agreement.proposed_record(
             None,
             "policy",
             1,
@@ -368,14 +368,14 @@
 
     def refuses(transition, size: int) -> bool:
         try:
-            agreement.write(transition(record(size)))
-        except Barred:
+            agreement.encode(transition(record(size)))
+        except RecordError:
             return True
         return False
 
     limits = {}
-    for name, transition in (("open", lambda opened: opened), ("settled", agreement.settled)):
-        low, high = 1, 10 * agreement.MOST_BYTES
+    for name, transition in (("open", lambda opened: opened), ("settled", agreement.committed)):
+        low, high = 1, 10 * agreement.MAX_RECORD_BYTES
         while high - low > 1:
             middle = (low + high) // 2
             low, high = (low, middle) if refuses(transition, middle) else (middle, high)
@@ -395,7 +395,7 @@
     """`driftshed fleet --supervisor`: bytes of the API's answer and of the printed text, and the time to print it."""
     membership = make_view(count)
     rows = [row._asdict() for row in membership.rows(600.0)]
-    view = plain(
+    view = to_plain_values(
         {
             "by": "s0000",
             "incarnation": 1,
@@ -408,11 +408,11 @@
             "not_believed": 0,
         }
     )
-    body, text = msgspec.json.encode(view), _captured_output(lambda: command._print(view))
+    body, text = msgspec.json.encode(view), _captured_output(lambda: command._print_fleet(view))
     return {
         "fleet_api_bytes": len(body),
         "fleet_text_bytes": len(text),
-        "fleet_print_ms": _seconds_per_call(lambda: _captured_output(lambda: command._print(view))) * 1e3,
+        "fleet_print_ms": _seconds_per_call(lambda: _captured_output(lambda: command._print_fleet(view))) * 1e3,
     }
 
 
@@ -429,7 +429,7 @@
     """`driftshed policy show`: bytes of the API's answer and of the output; an open change lacks half its votes."""
     body = policy_body()
     missing = member_names(count)[: count // 2]
-    view = plain(
+    view = to_plain_values(
         {
             "by": "s0000",
             "runs": 1,
@@ -445,11 +445,11 @@
             "history": [],
         }
     )
-    original_ask, policy_command.ask = policy_command.ask, lambda *_: view
+    original_ask, policy_command.query = policy_command.query, lambda *_: view
     try:
         text = CliRunner().invoke(policy_command.show, ["--supervisor", "127.0.0.1:7001"]).output
     finally:
-        policy_command.ask = original_ask
+        policy_command.query = original_ask
     return {"policy_api_bytes": len(msgspec.json.encode(view)), "policy_text_bytes": len(text)}
 
 
--- a/benchmarks/capacity_tiers.py
+++ b/benchmarks/capacity_tiers.py
@@ -7,13 +7,13 @@
 from statistics import median
 
 from benchmarks.capacity_flat import Meter, policy_body, rounded_mean
-from driftshed.coordination.lease import DRIFT
+from driftshed.coordination.hierarchical_agent import HierarchicalAgent
+from driftshed.coordination.hierarchy import read_hierarchy
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.coordination.members import Member
-from driftshed.coordination.tiered import Tiered
-from driftshed.coordination.tiers import read_tiers
 from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
 from driftshed.roster.serve import StoreServer
-from tests.fleets import TIMEOUT, DriftingSeat, MemoryLog
+from tests.fleets import SESSION_TIMEOUT_S, DriftingSeat, MemoryLog
 
 DELAY_S = 0.02  # one way
 CHANGES = 5
@@ -37,7 +37,7 @@
         """Starts all stores and agents. `delay`: seconds, one way between any two hosts."""
         self.loop, random = VirtualLoop(), Random(f"tiered {seed}")
         self.network = Network(self.loop, seed, lambda here, there: Route(delay, delay / 2))
-        self.tiers = read_tiers(make_tiers_file(regions, cells, members))
+        self.tiers = read_hierarchy(make_tiers_file(regions, cells, members))
         self.stores = [
             StoreServer(
                 Seat(self.loop, f"store {k}"), (f"127.0.2.{1 + k}", 2181), MemoryLog([]), seed + k, self.network.listen
@@ -46,23 +46,23 @@
         ]
         for k in range(regions + 1):
             self.network.zones[f"127.0.2.{1 + k}"] = f"store {k}"
-        self.agents: dict[str, Tiered] = {}
+        self.agents: dict[str, HierarchicalAgent] = {}
         self.meters: dict[str, Meter] = {}
         names = [name for region in self.tiers.regions for cell in region.cells for name in cell.members]
         for k, name in enumerate(names):
             host = f"127.1.{k >> 8}.{k & 255}"
             self.network.zones[host] = host
-            seat = DriftingSeat(self.loop, name, 1 + DRIFT / 2 * random.uniform(-1, 1))
+            seat = DriftingSeat(self.loop, name, 1 + MAX_CLOCK_DRIFT / 2 * random.uniform(-1, 1))
             meter = self.meters[name] = Meter(lambda: self.loop.now)
-            agent = self.agents[name] = Tiered(
+            agent = self.agents[name] = HierarchicalAgent(
                 seat,
                 self.tiers,
                 Member(name, f"{host}:7000", "test"),
-                TIMEOUT,
+                SESSION_TIMEOUT_S,
                 random.getrandbits(30),
                 dial=self.network.dial(host, meter.open_tap),
             )
-            agent.judge = lambda record: (True, "")
+            agent.vote_on = lambda record: (True, "")
 
     def run(self, seconds: float) -> None:
         """Advances the virtual time."""
@@ -78,7 +78,7 @@
 
     def up(self) -> None:
         """Runs until all agents may act."""
-        self.until(lambda: all(agent.acts() for agent in self.agents.values()), step=0.1)
+        self.until(lambda: all(agent.may_act() for agent in self.agents.values()), step=0.1)
 
     def bytes(self) -> dict[str, int]:
         """Bytes of each supervisor so far, pings included."""
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -14,8 +14,8 @@
 from statistics import median
 
 from driftshed.lab.state_search import explore
-from tests.fleets import TIMEOUT, Fleet, check
-from tests.test_coordination import all_ended, history
+from tests.fleets import SESSION_TIMEOUT_S, Fleet, check_history
+from tests.test_coordination import check_all_ended, history
 from tests.test_coordination_model import Leases, Start, lease_moves, lease_wrong, record_moves, record_wrong, records
 
 NAMES = [f"s{k:02}" for k in range(25)]
@@ -24,7 +24,7 @@
 def measure_commit(supervisors: int, delay: float, rounds: int = 20) -> dict:
     """Time from a proposal until each supervisor has read it as committed; `delay`: seconds to the store, one way."""
     fleet = Fleet(NAMES[:supervisors], 1, delay=delay)
-    fleet.up()
+    fleet.run_until_up()
     proposer_seconds, everywhere_seconds, writes = [], [], []
     for k in range(rounds):
         before, started_at = fleet.store.store.tree.zxid, fleet.loop.now
@@ -36,7 +36,7 @@
             agent.topics["policy"].record.standing.epoch < proposal.epoch
             if agent.topics["policy"].record.standing
             else True
-            for agent in fleet.all
+            for agent in fleet.all_agents
         ):
             fleet.run(0.001)
         everywhere_seconds.append(fleet.loop.now - started_at)
@@ -57,13 +57,13 @@
     durations = []
     for seed in range(rounds):
         fleet = Fleet(NAMES[:supervisors], seed)
-        fleet.up()
+        fleet.run_until_up()
         fleet.run(0.1 * seed)
         fleet.kill(NAMES[0])
         started_at = fleet.loop.now
-        while any(NAMES[0] in agent.roll.order() for agent in fleet.all[1:]):
+        while any(NAMES[0] in agent.membership.order() for agent in fleet.all_agents[1:]):
             fleet.run(0.01)
-        durations.append((fleet.loop.now - started_at) / TIMEOUT)
+        durations.append((fleet.loop.now - started_at) / SESSION_TIMEOUT_S)
     return {
         "supervisors": supervisors,
         "timeouts": [round(min(durations), 2), round(median(durations), 2), round(max(durations), 2)],
@@ -73,7 +73,7 @@
 def measure_rest(supervisors: int, seconds: float = 120.0) -> dict:
     """Writes, messages and bytes at rest, with the votes of an earlier change deleted; and with a change a second."""
     fleet = Fleet(NAMES[:supervisors], 1)
-    fleet.up()
+    fleet.run_until_up()
     fleet.propose(NAMES[0], "policy", 0)
     fleet.run(30)
     figures: dict = {"supervisors": supervisors}
@@ -112,8 +112,8 @@
     """The violated invariant, or an empty string; the events of the run; the number of records written."""
     try:
         fleet = history(seed)
-        check(fleet)
-        all_ended(fleet)
+        check_history(fleet)
+        check_all_ended(fleet)
     except AssertionError as error:
         return f"{seed}: {error}"[:300], 0, 0
     return "", fleet.loop.events, len(fleet.history())
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -39,7 +39,7 @@
 from driftshed.day.stage import Launched, free_net
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Stream
-from driftshed.policy.part import LOOK_EVERY
+from driftshed.policy.participant import CHECK_INTERVAL_S
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = ROOT / "benchmarks" / "hollow.json"
@@ -229,7 +229,7 @@
         real: int = 0,
         timeout: float = SESSION_TIMEOUT_S,
         between: float = CHANGE_INTERVAL_S,
-        look_every: float = LOOK_EVERY,
+        look_every: float = CHECK_INTERVAL_S,
         patience: float = PROPOSAL_TIMEOUT_S,
     ) -> None:
         """Reserves a network and a folder. `cells`: per region; `real`: complete supervisors among `size`;
@@ -601,7 +601,7 @@
     max_seconds: float = MAX_RUN_S,
     real: int = 0,
     between: float = CHANGE_INTERVAL_S,
-    look_every: float = LOOK_EVERY,
+    look_every: float = CHECK_INTERVAL_S,
     timeout: float = SESSION_TIMEOUT_S,
     patience: float = PROPOSAL_TIMEOUT_S,
 ) -> dict:
@@ -716,7 +716,7 @@
     parser.add_argument("--restarts", type=float, default=100.0)
     parser.add_argument("--real", type=int, default=0)
     parser.add_argument("--between", type=float, default=CHANGE_INTERVAL_S)
-    parser.add_argument("--look-every", type=float, default=LOOK_EVERY)
+    parser.add_argument("--look-every", type=float, default=CHECK_INTERVAL_S)
     parser.add_argument("--timeout", type=float, default=SESSION_TIMEOUT_S)
     parser.add_argument("--patience", type=float, default=PROPOSAL_TIMEOUT_S)
     parser.add_argument("--out", type=Path, default=RESULTS)
--- a/benchmarks/hollow_worker.py
+++ b/benchmarks/hollow_worker.py
@@ -18,14 +18,14 @@
 
 import msgspec
 
-from driftshed.coordination.taking_part import take_part
+from driftshed.coordination.participation import join_fleet
 from driftshed.core.hub import Refused
 from driftshed.net.loop import Loop, Timer
 from driftshed.net.stream import Stream, dial
 from driftshed.policy import document as policies
-from driftshed.policy import part
-from driftshed.policy.keep import Keep
-from driftshed.policy.part import Asked, PolicyPart
+from driftshed.policy import participant
+from driftshed.policy.participant import PolicyParticipant, PolicyRequest
+from driftshed.policy.store import PolicyStore
 from driftshed.roster.announce import RegistrationState
 
 POLICY_TEXT = """
@@ -44,7 +44,9 @@
 lines-per-second = 2000
 """
 AHEAD_S, DESPITE_AFTER_S = 0.3, 3.0
-FACTS = policies.facts(policies.read(POLICY_TEXT.format(ahead=AHEAD_S, despite_after=DESPITE_AFTER_S, grace=2.5)))
+FACTS = policies.start_facts(
+    policies.read_toml(POLICY_TEXT.format(ahead=AHEAD_S, despite_after=DESPITE_AFTER_S, grace=2.5))
+)
 POLL_PERIOD_S = 0.1  # between polls of readiness and of the loop's lateness
 MAX_UNREAD_BYTES = 64 << 20  # of answers, by the driver
 MAX_ERRORS = 20  # kept per process
@@ -64,7 +66,7 @@
     seed: int
     timeout: float
     policy: bool = True
-    look_every: float = part.LOOK_EVERY
+    look_every: float = participant.CHECK_INTERVAL_S
     tiers: str = ""
     hosts: list[tuple[str, int]] = []
     root: str = "/driftshed"
@@ -269,7 +271,7 @@
         )
         plan, tiers = worker.plan, {} if worker.tiers is None else {"tiers": worker.tiers}
         log = worker.count_log
-        self.agent = take_part(
+        self.agent = join_fleet(
             seat,
             service,
             plan.hosts,
@@ -282,17 +284,19 @@
             dial=seat.dial,
             **tiers,
         )
-        self.policy_store = self.policy_part = None
+        self.policy_store = self.policy_participant = None
         if plan.policy:
-            self.policy_store = Keep(Path(plan.folder) / name, "fleet", name)
-            self.policy_part = PolicyPart(seat, service, self.agent, self.policy_store, log)
+            self.policy_store = PolicyStore(Path(plan.folder) / name, "fleet", name)
+            self.policy_participant = PolicyParticipant(seat, service, self.agent, self.policy_store, log)
 
     def is_ready(self) -> bool:
         """Whether it may act, has read members and records, and follows a policy in force."""
-        acts = getattr(self.agent, "acts", self.agent.holds)
-        if not acts() or not self.agent.records.whole or not self.agent.members.whole:
+        acts = getattr(self.agent, "may_act", self.agent.holds_lease)
+        if not acts() or not self.agent.records.complete or not self.agent.members.complete:
             return False
-        return self.policy_part is None or (self.policy_part.known and not self.policy_part._holds_still())
+        return self.policy_participant is None or (
+            self.policy_participant.initial_read_complete and not self.policy_participant._tables_frozen()
+        )
 
     def _traffic_so_far(self) -> tuple[int, int]:
         """Bytes and messages of all stores so far."""
@@ -303,7 +307,7 @@
 
     def poll(self) -> None:
         """Records when the supervisor has read members and records, and when it became ready."""
-        if not self.read_bytes and self.agent.members.whole and self.agent.records.whole:
+        if not self.read_bytes and self.agent.members.complete and self.agent.records.complete:
             self.read_bytes, self.read_messages = self._traffic_so_far()
         if self.ready_at is None and self.is_ready():
             self.ready_at = time.monotonic()
@@ -340,7 +344,7 @@
             sum(traffic.messages_in for traffic in traffic_by_store),
             watches,
             sum(len(agent.topics) for agent in agents),
-            sum(len(agent.roll.nodes) for agent in agents),
+            sum(len(agent.membership.nodes) for agent in agents),
             self.active_version(),
             round(self.seat.cpu, 6),
             ready_after,
@@ -357,13 +361,13 @@
     def __init__(self, plan: Plan, loop: Loop, sock: socket.socket) -> None:
         """Reads commands from `sock` and polls the supervisors every POLL_PERIOD_S."""
         self.plan, self.loop = plan, loop
-        part.LOOK_EVERY = plan.look_every
+        participant.CHECK_INTERVAL_S = plan.look_every
         self.random = Random(f"hollow worker {plan.seed}")
         self.tiers = None
         if plan.tiers:
-            from driftshed.coordination.tiers import read_tiers
+            from driftshed.coordination.hierarchy import read_hierarchy
 
-            self.tiers = read_tiers(plan.tiers)
+            self.tiers = read_hierarchy(plan.tiers)
         self.living: dict[str, HollowSupervisor] = {}
         self.starts: Counter = Counter()
         # Of ended starts, by store: bytes out and in, messages out and in.
@@ -447,11 +451,13 @@
     def do_propose(self, name: str, text: str, patience: float) -> dict:
         """Proposes a policy at a supervisor; answers its version and the time, or why it was refused."""
         supervisor = self.living.get(name)
-        if supervisor is None or supervisor.policy_part is None:
+        if supervisor is None or supervisor.policy_participant is None:
             return {"refused": "it is not there"}
         proposed_at = time.monotonic()
         try:
-            answer = supervisor.policy_part.ask(Asked("propose", "benchmark", text, patience=patience))
+            answer = supervisor.policy_participant.handle_request(
+                PolicyRequest("propose", "benchmark", text, patience=patience)
+            )
         except Refused as error:
             return {"refused": str(error)}
         return {"version": answer["version"], "at": proposed_at}
@@ -463,11 +469,14 @@
         `by`: the proposer, whose proposal's state is added as `mine`. Times are on the monotonic clock."""
         stayed = [supervisor for supervisor in self.living.values() if supervisor.started_at < asked]
         switched = sum(supervisor.active_version() >= version for supervisor in stayed)
-        # `ready` ignores `_holds_still`: a supervisor stays counted as ready; paused updates are counted as `still`.
+        # `ready` ignores `_tables_frozen`: a supervisor stays counted as ready; paused updates are counted as `still`.
         frozen = sum(
-            bool(supervisor.policy_part and supervisor.policy_part.was_still) for supervisor in self.living.values()
+            bool(supervisor.policy_participant and supervisor.policy_participant.was_frozen)
+            for supervisor in self.living.values()
+        )
+        fenced = sum(
+            supervisor.agent.registration.state is RegistrationState.FENCED for supervisor in self.living.values()
         )
-        fenced = sum(supervisor.agent.chair.state is RegistrationState.FENCED for supervisor in self.living.values())
         ready = sum(supervisor.ready_at is not None for supervisor in self.living.values())
         answer = {
             "living": len(self.living),
@@ -479,7 +488,7 @@
             "errors": len(self.errors),
         }
         if by in self.living:
-            proposal = self.living[by].policy_part.mine
+            proposal = self.living[by].policy_participant.proposal
             answer["mine"] = None if proposal is None else [proposal.state, proposal.why]
         return answer
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -17,24 +17,24 @@
 from pathlib import Path
 from statistics import median
 
-from tests.fleets import check
-from tests.policies import PolicyFleet, check_policies, drawn_history
-from tests.test_policy_processes import cut_short
+from tests.fleets import check_history
+from tests.policies import PolicyFleet, check_policy_invariants, run_random_history
+from tests.test_policy_processes import kill_writer
 
 
 def run_history(seed: int) -> tuple[int, str, int, int, Counter]:
     """Runs one history: seed, violated invariant, versions committed, proposals, and how these ended."""
     folder = Path(tempfile.mkdtemp())
     try:
-        fleet = drawn_history(folder, seed)
+        fleet = run_random_history(folder, seed)
         violation = ""
         try:
-            check_policies(fleet)
-            check(fleet)
+            check_policy_invariants(fleet)
+            check_history(fleet)
         except AssertionError as error:
             violation = str(error)
         outcomes = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
-        return seed, violation, len(fleet.settled()), len(fleet.orders), outcomes
+        return seed, violation, len(fleet.committed_changes()), len(fleet.orders), outcomes
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
@@ -71,19 +71,19 @@
     Medians and maxima leave out the first change."""
     folder, durations, spreads = Path(tempfile.mkdtemp()), [], []
     fleet = PolicyFleet(folder, tuple(f"s{k}" for k in range(supervisors)), proxies=8)
-    fleet.up()
+    fleet.run_until_up()
     fleet.run(2)
     for k in range(10):
         started_at = fleet.loop.now
-        fleet.ask("s0", 2.5 + k / 10)
-        fleet.until(lambda k=k: set(fleet.runs().values()) == {k + 1}, 20)
+        fleet.propose_policy("s0", 2.5 + k / 10)
+        fleet.run_until(lambda k=k: set(fleet.active_versions().values()) == {k + 1}, 20)
         switch_times = [at for at, _, event, fields in fleet.logs if event == "policy" and fields["version"] == k + 1]
         durations.append(max(switch_times) - started_at)
         spreads.append(max(switch_times) - min(switch_times))
         fleet.run(2)
-    written_before = sum(agent.written for agent in fleet.agents.values())
+    written_before = sum(agent.write_count for agent in fleet.agents.values())
     fleet.run(10)
-    written = sum(agent.written for agent in fleet.agents.values()) - written_before
+    written = sum(agent.write_count for agent in fleet.agents.values()) - written_before
     shutil.rmtree(folder, ignore_errors=True)
     return {
         "supervisors": supervisors,
@@ -98,7 +98,7 @@
     last acknowledged version nor the one after it."""
     folder, failures = Path(tempfile.mkdtemp()), []
     for seed in seeds:
-        acknowledged, stored = cut_short(folder, seed)
+        acknowledged, stored = kill_writer(folder, seed)
         if stored not in (acknowledged, acknowledged + 1):
             failures.append([seed, acknowledged, stored])
     shutil.rmtree(folder, ignore_errors=True)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -14,7 +14,7 @@
 
 from msgspec.structs import replace
 
-from driftshed.coordination.taking_part import leave
+from driftshed.coordination.participation import leave_fleet
 from driftshed.core.messages import Changes
 from driftshed.day.judge import CHANGES
 from driftshed.lab.environments import VirtualEnvironment
@@ -41,7 +41,7 @@
         environment.pause_supervisor(END_S, 0)
     else:
         service = environment.services[0]
-        leave(environment.agents[0], service, lambda: environment.network.end_process(environment.supervisors[0]))
+        leave_fleet(environment.agents[0], service, lambda: environment.network.end_process(environment.supervisors[0]))
     environment.virtual_loop.run(END_S)
     last_answers: dict[int, float] = {}  # by proxy: time of the last answer of the lost supervisor
     # By proxy: time, owner and number of lines of the first tables of another supervisor.
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -20,8 +20,8 @@
 
 from driftshed.coordination import agreement
 from driftshed.policy.change import TOPIC
-from tests.test_tiers_model import BROKEN, Guards, fleet, search
-from tests.tiers import ROOT, TieredFleet, check, check_ends, drawn_history
+from tests.hierarchies import ROOT, HierarchicalFleet, check, check_convergence, drawn_history
+from tests.test_tiers_model import FAULTY, Guards, fleet, search
 
 WORKERS = 8
 SHAPES = ["2x2x3", "2x4x16", "4x4x4"]
@@ -60,13 +60,13 @@
     try:
         fleet = drawn_history(folder, seed)
         violation = ""
-        for check_invariants in (check, check_ends):
+        for check_invariants in (check, check_convergence):
             try:
                 check_invariants(fleet)
             except AssertionError as error:
                 violation = violation or str(error)
         outcomes = Counter(fields["state"] for _, _, event, fields in fleet.logs if event == "policy_ended")
-        return seed, violation, len(fleet.settled()), len(fleet.acts), fleet.asked, outcomes
+        return seed, violation, len(fleet.committed()), len(fleet.actions), fleet.proposal_counts, outcomes
     except Exception as error:
         return seed, f"{type(error).__name__}: {error}", 0, 0, Counter(), Counter()
     finally:
@@ -106,21 +106,21 @@
     )
 
 
-def stage_times(fleet: TieredFleet, version: int, started_at: float) -> list[float]:
+def stage_times(fleet: HierarchicalFleet, version: int, started_at: float) -> list[float]:
     """When the last supervisor completed each stage of the current change, in the order of STAGES, in seconds since
     `started_at`, the time of its proposal."""
     times_by_stage: dict[str, list[float]] = {stage: [] for stage in STAGES}
-    epoch = fleet.above().epoch
+    epoch = fleet.top_record().epoch
     for store in fleet.stores.values():
         for when, path, data in store.written():
             folder, _, node = path.partition("/records/")
             tier = "whole" if folder == f"{ROOT}/whole" else folder.split("/")[2]
             if "/" in node:
-                vote = agreement.read_ballot(node.rpartition("/")[2], data)
+                vote = agreement.read_vote(node.rpartition("/")[2], data)
                 if vote.epoch == epoch:
                     times_by_stage[VOTE_STAGES[tier]].append(when)
                 continue
-            record = agreement.read_record(node, data)
+            record = agreement.decode_record(node, data)
             if record.topic != TOPIC or record.epoch != epoch:
                 continue
             stage = RECORD_STAGES.get((tier, record.state))
@@ -136,7 +136,7 @@
     """Time from a proposal until all have switched, without faults; each change is proposed at another supervisor."""
     regions, cells, members = map(int, shape.split("x"))
     folder = Path(tempfile.mkdtemp())
-    fleet = TieredFleet(folder, regions, cells, members)
+    fleet = HierarchicalFleet(folder, regions, cells, members)
     ready_after = fleet.until(lambda: all(not part.instance.tables_frozen() for part in fleet.parts.values()), 120)
     fleet.run(5)
     rows = []
@@ -144,7 +144,7 @@
         started_at = fleet.loop.now
         answer = fleet.ask(fleet.names[7 * k % len(fleet.names)], 2.5 + k / 10)
         assert not isinstance(answer, str), answer
-        fleet.until(lambda k=k: fleet.everywhere(k + 1), 60, 0.01)
+        fleet.until(lambda k=k: fleet.all_run(k + 1), 60, 0.01)
         fleet.run(1.0)
         rows.append(stage_times(fleet, k + 1, started_at))
         fleet.run(fleet.random.uniform(1, 3))
@@ -176,7 +176,7 @@
     """Searches the model of one link, without one guard unless ""; returns a row of results."""
     link, guard, counts, epochs, states = job
     guards = Guards(link)._replace(**({guard: False} if guard else {}))
-    result = search(BROKEN[guard] if guard else fleet(*counts), guards, epochs, states)
+    result = search(FAULTY[guard] if guard else fleet(*counts), guards, epochs, states)
     return {"link": link, "without": guard, "members": counts, "proposals": epochs, **result._asdict()}
 
 
@@ -184,7 +184,7 @@
     """Searches intact models of several shapes and models without one guard, up to `states` states each."""
     shapes = [((1,), 1), ((1,), 2), ((2,), 1), ((1, 1), 1), ((2,), 2), ((2, 1), 1), ((2, 2), 1)]
     jobs = [(link, "", counts, epochs, states) for counts, epochs in reversed(shapes) for link in ("beats", "roll")]
-    jobs += [(link, guard, (), 1, states) for link in ("beats", "roll") for guard in BROKEN]
+    jobs += [(link, guard, (), 1, states) for link in ("beats", "roll") for guard in FAULTY]
     with Pool(WORKERS) as pool:
         for row in pool.imap_unordered(search_model, jobs):
             print(json.dumps(row), flush=True)
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -25,8 +25,8 @@
 from driftshed.day.drawn import with_drawn
 from driftshed.day.judge import judge
 from driftshed.day.stage import play
-from driftshed.evacuation import part, stages
-from driftshed.evacuation.stages import follows, next_stage
+from driftshed.evacuation import controller, stages
+from driftshed.evacuation.stages import check_succession, next_stage
 from driftshed.lab import scenario as lab_scenario
 from driftshed.lab.run import Outcome, run
 
@@ -189,8 +189,8 @@
             return following
         return replace(following, share=round(max(0.0, stage.share - step), 6))
 
-    part.next_stage = stage_with_fixed_step
-    stages.follows = follows if step is None else lambda old, new, limits: None
+    controller.next_stage = stage_with_fixed_step
+    stages.check_succession = check_succession if step is None else lambda old, new, limits: None
 
 
 def run_paced(job: tuple[int, float | None, str]) -> dict:
--- a/driftshed/cli.py
+++ b/driftshed/cli.py
@@ -7,7 +7,7 @@
 from driftshed.coordination.command import fleet
 from driftshed.day.command import day
 from driftshed.evacuation.command import zone
-from driftshed.evacuation.retrace import decided_again as zone_decided_again
+from driftshed.evacuation.replay import replay_decision as zone_decided_again
 from driftshed.lab.command import lab
 from driftshed.policy.command import policy
 from driftshed.proxy.command import proxy
--- a/driftshed/coordination/agent.py
+++ b/driftshed/coordination/agent.py
@@ -16,10 +16,10 @@
 from msgspec.structs import replace
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Barred, Record, Vote
+from driftshed.coordination.agreement import Record, RecordError, Vote
 from driftshed.coordination.folder import ChildNames, Folder
-from driftshed.coordination.lease import DRIFT, Lease
-from driftshed.coordination.members import Member, MemberError, Roll, read_member, write_member
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT, Lease
+from driftshed.coordination.members import Member, MemberError, MembershipView, decode_member, encode_member
 from driftshed.net.loop import Timer, Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.announce import Announcer, RegistrationState
@@ -65,7 +65,7 @@
 
     def data(self) -> bytes:
         """Encoded member data with the current incarnation."""
-        return write_member(replace(self.node, incarnation=self.epoch))
+        return encode_member(replace(self.node, incarnation=self.epoch))
 
     def _open_session(self) -> None:
         super()._open_session()
@@ -106,8 +106,8 @@
         self.record: Record | None = None
         self.stat: Stat | None = None
         self.observed_since = 0.0  # when the record was first read in its present state
-        self.opened = 0.0  # when its epoch was first read
-        self.ballots: dict[str, Vote] = {}
+        self.opened_at = 0.0  # when its epoch was first read
+        self.votes: dict[str, Vote] = {}
         self.vote_folder: Folder | None = None
         self.voted_epoch = 0  # last epoch for which the own vote is known to be stored
         self.write_pending = self.read_pending = self.swept = False
@@ -120,7 +120,7 @@
 class Agent:
     """Takes part in one fleet on behalf of a supervisor.
 
-    Callbacks that the owner may replace: `judge(record)` returns the vote (assent, why) on an open record, or None to
+    Callbacks that the owner may replace: `vote_on(record)` returns the vote (assent, why) on an open record, or None to
     be asked again; `on_record(record)` after a record changed; `on_membership_change()` after the living changed;
     `on_fenced()` once another start of the same name has taken over."""
 
@@ -135,7 +135,7 @@
         seed: int,
         log: Callable[..., object] = lambda event, **fields: None,
         dial: Callable[..., Stream] = dial,
-        drift: float = DRIFT,
+        drift: float = MAX_CLOCK_DRIFT,
         max_pause: float | None = None,
         absence_margin: float = 0.0,
     ) -> None:
@@ -143,18 +143,18 @@
         `seed` must differ at each start. `drift`, `max_pause`: see `Lease`. `absence_margin`: seconds added to a
         record's limit before an absent voter is skipped, in a fleet whose members are delegates of other fleets."""
         self.loop, self.root, self.log, self.timeout, self.absence_margin = loop, root, log, timeout, absence_margin
-        self.tiers = 1
-        self.lease, self.roll = Lease(timeout, drift, max_pause), Roll(expected, loop.clock())
+        self.levels = 1
+        self.lease, self.membership = Lease(timeout, drift, max_pause), MembershipView(expected, loop.clock())
         self.addresses: list[str] = []  # that proxies may dial, by the current membership view
         self.topics: dict[str, TopicState] = {}
         self.swept_epochs: dict[str, int] = {}  # by topic: epoch of the record when it was swept
         # The run id distinguishes the proposals of two processes of one name when records are read again.
-        self.run, self.proposal_count = f"{Random(f'run {seed}').getrandbits(48):x}", 0
-        self.judge: VoteFunction = lambda record: None
+        self.run_id, self.proposal_count = f"{Random(f'run {seed}').getrandbits(48):x}", 0
+        self.vote_on: VoteFunction = lambda record: None
         self.on_record: Callable[[Record], object] = lambda record: None
         self.on_membership_change: Callable[[], object] = lambda: None
         self.on_fenced: Callable[[], object] = lambda: None
-        self.written = self.stale_reads = 0
+        self.write_count = self.stale_reads = 0
         self.client, self.zxid = None, 0
         self.members = Folder(
             self._send, f"{root}/members", self._member_updated, self._member_removed, self._members_complete
@@ -171,7 +171,7 @@
         self.stopped = False
         self.publish_timer: Timer | None = None
         self.wake_timer: Timer | None = None
-        self.chair = MemberRegistration(
+        self.registration = MemberRegistration(
             self, loop, hosts, f"{root}/members", member, timeout, seed, self._registration_changed, dial
         )
 
@@ -180,12 +180,12 @@
     @property
     def name(self) -> str:
         """Name of this agent in its fleet."""
-        return self.chair.name
+        return self.registration.name
 
     @property
     def incarnation(self) -> int:
         """Number of this start of the name; 0 before one is assigned."""
-        return self.chair.epoch
+        return self.registration.epoch
 
     def attach_session(self, client: object) -> None:
         """Continues with the client of a new session; all folders are read again."""
@@ -195,7 +195,7 @@
             self.zxid = max(self.zxid, self.client.session.zxid)
         client.session.zxid = self.zxid
         self.client = client
-        self.roll.complete_since = None
+        self.membership.complete_since = None
         for folder in (self.members, self.records, *self.other_folders):
             folder.reset()
         for topic in self.topics.values():
@@ -207,7 +207,7 @@
         if state is SessionState.CONNECTED:
             self.loop.soon(self._begin)
         else:
-            self.roll.complete_since = None
+            self.membership.complete_since = None
             for folder in (self.members, self.records, *self.other_folders):
                 folder.mark_disconnected()
 
@@ -220,7 +220,7 @@
                     topic.vote_folder.refresh()
 
     def _registration_changed(self, state: RegistrationState) -> None:
-        self.log("fleet_standing", state=state.value, incarnation=self.chair.epoch)
+        self.log("fleet_standing", state=state.value, incarnation=self.registration.epoch)
         if state is RegistrationState.FENCED:
             self.on_fenced()
         elif state is RegistrationState.LISTED:
@@ -245,44 +245,44 @@
 
     # ---- lease and values in force ------------------------------------------------------------------------------
 
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this start of the supervisor may act on agreed records now: its session is proven valid, and no other
         start of its name is registered."""
         session = self.client.session
         return (
-            self.chair.state is RegistrationState.LISTED
+            self.registration.state is RegistrationState.LISTED
             and not self.stopped
-            and not self.roll.has_earlier_incarnation(self.name, self.incarnation)
-            and self.roll.highest.get(self.name, 0) == self.incarnation
+            and not self.membership.has_earlier_incarnation(self.name, self.incarnation)
+            and self.membership.highest_incarnation.get(self.name, 0) == self.incarnation
             and self.lease.holds(self.loop.clock(), session.confirmed_at, session.timeout)
         )
 
-    def lease_until(self) -> float:
+    def lease_expires_at(self) -> float:
         """When the lease ends unless it is renewed, in seconds on the local monotonic clock."""
         return self.lease.expires_at(self.client.session.confirmed_at, self.client.session.timeout)
 
-    def acts(self) -> bool:
+    def may_act(self) -> bool:
         """Whether records agreed for the entire fleet, across all levels of a hierarchy, may be acted on now."""
-        return self.holds()
+        return self.holds_lease()
 
-    def acts_until(self) -> float:
-        """When the permission of `acts` ends unless it is renewed, in seconds on the local monotonic clock."""
-        return self.lease_until()
+    def may_act_until(self) -> float:
+        """When the permission of `may_act` ends unless it is renewed, in seconds on the local monotonic clock."""
+        return self.lease_expires_at()
 
-    def herd_wait(self, most: float) -> float:
+    def proposal_backoff(self, most: float) -> float:
         """Proposal backoff in seconds, at most `most`: a delay before a proposal that all agents may make at once."""
         return 0.0
 
-    def undecided(self, topic: str) -> bool:
+    def is_undecided(self, topic: str) -> bool:
         """Whether a replica of a parent fleet's record is undecided; the parent may already have decided it."""
         record = self.topics[topic].record if topic in self.topics else None
         return agreement.pending(record) and record.copied is not UNSET
 
-    def agreed(self, topic: str) -> agreement.Standing | None:
+    def value_in_force(self, topic: str) -> agreement.CommittedValue | None:
         """The committed value of a topic, for acting on it now; None without a lease or without a value in force."""
-        return self.standing(topic) if self.holds() else None
+        return self.committed_value(topic) if self.holds_lease() else None
 
-    def standing(self, topic: str) -> agreement.Standing | None:
+    def committed_value(self, topic: str) -> agreement.CommittedValue | None:
         """The committed value of a topic as last read, with or without a lease: for display, not for new actions."""
         topic_state = self.topics.get(topic)
         return topic_state.record.standing if topic_state is not None and topic_state.record is not None else None
@@ -296,42 +296,42 @@
 
     def _member_updated(self, node: str, data: bytes, stat: Stat) -> None:
         try:
-            member = read_member(node, data)
+            member = decode_member(node, data)
         except MemberError as error:
             self.log("bad_member", level="warning", why=str(error))
             return
         if member.name == self.name and self.incarnation and member.incarnation > self.incarnation:
             # Of two processes with one name the older one logs this and stops acting.
             self.log("fenced", level="error", by=member.incarnation, own=self.incarnation)
-            self.chair.fence()
+            self.registration.fence()
             return
-        self.roll.appeared(node, member, stat.czxid, self.loop.clock())
+        self.membership.update_node(node, member, stat.czxid, self.loop.clock())
         self._membership_changed()
 
     def _member_removed(self, node: str) -> None:
-        self.roll.remove_node(node, self.loop.clock())
+        self.membership.remove_node(node, self.loop.clock())
         self._membership_changed()
 
     def _members_complete(self) -> None:
         # After a new session no watch reports the nodes that were removed before it.
-        for node in [node for node in self.roll.nodes if node not in self.members.names]:
-            self.roll.remove_node(node, self.loop.clock())
-        if self.roll.complete_since is None:
-            self.roll.complete_since = self.loop.clock()
+        for node in [node for node in self.membership.nodes if node not in self.members.names]:
+            self.membership.remove_node(node, self.loop.clock())
+        if self.membership.complete_since is None:
+            self.membership.complete_since = self.loop.clock()
         self._membership_changed()
 
     def _membership_changed(self) -> None:
-        self.addresses = self.roll.addresses()
+        self.addresses = self.membership.addresses()
         self.on_membership_change()
         self._evaluate_all()
 
-    def say(self, **changes: object) -> None:
+    def publish(self, **changes: object) -> None:
         """Publishes changed fields of the own member data; rate-limited, and written only if something differs."""
-        node = replace(self.chair.node, **changes)
-        if node == self.chair.node:
+        node = replace(self.registration.node, **changes)
+        if node == self.registration.node:
             return
         delay = PUBLISH_INTERVAL_S if changes.keys() & {"state", "digest"} else self._publish_delay()
-        self.chair.node = node
+        self.registration.node = node
         if self.publish_timer is not None and self.publish_timer.at > self.loop.clock() + delay:
             self.publish_timer.cancel()
             self.publish_timer = None
@@ -341,15 +341,15 @@
     def _publish_delay(self) -> float:
         return PUBLISH_INTERVAL_S
 
-    def fence_out(self, name: str) -> None:
+    def fence_name(self, name: str) -> None:
         """Consumes an incarnation of another supervisor's name, so that a start of it that is only suspended finds
         itself fenced when it resumes. A new start uses the next incarnation."""
         self._write(SetData(f"{self.root}/members-epochs/{name}", b"", ANY_VERSION), lambda error, result: None)
 
     def _publish(self) -> None:
         self.publish_timer = None
-        if self.chair.state is RegistrationState.LISTED:
-            self._write(SetData(self.chair.path, self.chair.data()), lambda error, result: None)
+        if self.registration.state is RegistrationState.LISTED:
+            self._write(SetData(self.registration.path, self.registration.data()), lambda error, result: None)
 
     # ---- reading records ----------------------------------------------------------------------------------------
 
@@ -370,8 +370,8 @@
         topic, now = self._topic(name), self.loop.clock()
         topic.read_pending = False
         try:
-            record = agreement.read_record(name, data)
-        except Barred as error:
+            record = agreement.decode_record(name, data)
+        except RecordError as error:
             self.log("bad_record", level="warning", why=str(error))
             return
         old = topic.record
@@ -383,7 +383,7 @@
             return
         topic.record, topic.stat = record, stat
         if old is None or old.epoch != record.epoch:
-            topic.opened, topic.ballots, topic.vote_folder = now, {}, None
+            topic.opened_at, topic.votes, topic.vote_folder = now, {}, None
         if old != record:
             topic.observed_since, topic.swept = now, False
             self.log("record", topic=name, epoch=record.epoch, state=record.state, by=record.by, why=record.why)
@@ -451,27 +451,27 @@
         proposal_timeout: float,
         on_done: Callable[[Proposal], object] = lambda proposal: None,
         valid_for: float | None = None,
-        waits: float | UnsetType = UNSET,
+        absence_timeout: float | UnsetType = UNSET,
     ) -> Proposal:
         """Proposes a value for a topic; `quorum` of `voters` must assent within `proposal_timeout` seconds.
 
         `done(proposal)` is called with the outcome, also after a temporary loss of contact. `valid_for`: validity of
-        the value in seconds, unlimited unless given. `waits`: seconds of silence after which an absent voter is
-        skipped; never unless given. Raises Barred where the proposal could never be committed."""
-        agreement.check(topic, voters, quorum, proposal_timeout)
+        the value in seconds, unlimited unless given. `absence_timeout`: seconds of silence after which an absent voter
+        is skipped; never unless given. Raises RecordError where the proposal could never be committed."""
+        agreement.check_proposal(topic, voters, quorum, proposal_timeout)
         self.proposal_count += 1
-        token = f"{self.name}~{self.run}#{self.proposal_count}"
+        token = f"{self.name}~{self.run_id}#{self.proposal_count}"
 
         def build_record(old: Record | None, epoch: int) -> Record:
-            parameters = voters, quorum, proposal_timeout, valid_for, waits
-            return agreement.proposed(old, topic, epoch, self.name, token, body, *parameters)
+            parameters = voters, quorum, proposal_timeout, valid_for, absence_timeout
+            return agreement.proposed_record(old, topic, epoch, self.name, token, body, *parameters)
 
         # A committed record holds the body twice, as the proposal and as the value in force. One too large for that
         # could be opened, but never committed.
-        agreement.write(agreement.settled(build_record(None, 1)))  # raises Barred
+        agreement.encode(agreement.committed(build_record(None, 1)))  # raises RecordError
         proposal = Proposal(token, build_record, on_done)
         if topic not in self.topics and len(self.topics) >= agreement.MAX_TOPICS:
-            raise Barred(f"{len(self.topics)} topics exist: end some first")
+            raise RecordError(f"{len(self.topics)} topics exist: end some first")
         topic_state = self._topic(topic)
         topic_state.proposals.append(proposal)
         self._evaluate(topic_state)
@@ -497,7 +497,7 @@
         """The record that a replica must become to match the parent fleet's; None if it matches or is no replica."""
         if topic.parent_record is None:
             return None
-        return agreement.replicated(topic.record, topic.parent_record, self.name, self.roll.expected)
+        return agreement.replicated(topic.record, topic.parent_record, self.name, self.membership.expected)
 
     def end(
         self, topic: str, epoch: int, why: str, on_done: Callable[[bool, str], object] = lambda ok, why: None
@@ -508,8 +508,8 @@
         topic_state.pending_end = epoch, why, on_done
         self._evaluate(topic_state)
 
-    def look(self) -> None:
-        """Evaluates all topics, and so calls `judge` again where it has returned None."""
+    def evaluate(self) -> None:
+        """Evaluates all topics, and so calls `vote_on` again where it has returned None."""
         self._evaluate_all()
 
     def _evaluate_all(self) -> None:
@@ -518,10 +518,10 @@
 
     def _evaluate(self, topic: TopicState) -> None:
         """Requests the difference between the desired and the stored state of a topic, if there is one."""
-        if topic.write_pending or topic.read_pending or not self.records.whole:
+        if topic.write_pending or topic.read_pending or not self.records.complete:
             return
         record = topic.record
-        if not self.holds():
+        if not self.holds_lease():
             # No vote or write without a valid lease; the topic is evaluated again until it is valid.
             if self._has_work(topic):
                 self._schedule_wake()
@@ -557,13 +557,13 @@
         topic.timer = self.loop.at(at, callback)
 
     def _is_leader(self) -> bool:
-        order = self.roll.order()
+        order = self.membership.order()
         return bool(order) and order[0] == self.name
 
     def _evaluate_open(self, topic: TopicState, record: Record) -> None:
         now = self.loop.clock()
         if self.name in record.needs and topic.voted_epoch < record.epoch:
-            vote = self._hierarchy_mismatch(record) or self.judge(record)
+            vote = self._hierarchy_mismatch(record) or self.vote_on(record)
             if vote is not None:
                 self._cast_vote(topic, record, *vote)
                 return
@@ -573,10 +573,10 @@
             return
         # Any supervisor can decide the record alike. To save work the proposer is first while it lives, then the others
         # in turn.
-        order = self.roll.order()
+        order = self.membership.order()
         order = [record.by] * (record.by in order) + [name for name in order if name != record.by]
         rank = order.index(self.name) if self.name in order else len(order)
-        turn_at = topic.opened + rank * STAGGER_FRACTION * self.timeout + (record.patience if rank else 0.0)
+        turn_at = topic.opened_at + rank * STAGGER_FRACTION * self.timeout + (record.patience if rank else 0.0)
         if now < turn_at:
             self._set_timer(topic, turn_at, lambda: self._evaluate(topic))
             return
@@ -591,25 +591,25 @@
                 watch_data=False,
             )
             vote_folder.refresh()
-        elif topic.vote_folder.whole:
+        elif topic.vote_folder.complete:
             self._decide(topic, topic.vote_folder)
 
     def _hierarchy_mismatch(self, record: Record) -> tuple[bool, str] | None:
         """An objection where the proposer was configured with another hierarchy, and so with other voters; else
         None."""
-        if record.waits is UNSET or frozenset(record.needs) == self.roll.expected_set:
+        if record.waits is UNSET or frozenset(record.needs) == self.membership.expected_set:
             return None
-        differing = sorted(self.roll.expected_set ^ frozenset(record.needs))[:4]
+        differing = sorted(self.membership.expected_set ^ frozenset(record.needs))[:4]
         return False, f"its tiers are not those of {record.by}, by {', '.join(differing)}: give all the same --tiers"
 
     def _vote_read(self, topic: TopicState, node: str, data: bytes) -> None:
         try:
-            vote = agreement.read_ballot(node, data)
-        except Barred as error:
+            vote = agreement.read_vote(node, data)
+        except RecordError as error:
             self.log("bad_ballot", level="warning", why=str(error))
             return
         if topic.record is not None and vote.epoch == topic.record.epoch:
-            topic.ballots[vote.name] = vote
+            topic.votes[vote.name] = vote
 
     def _decide(self, topic: TopicState, vote_folder: Folder) -> None:
         """Decides an open record once all stored votes have been read, or sets a timer for the next check."""
@@ -619,14 +619,14 @@
             or topic.write_pending
             or record is None
             or record.state != "open"
-            or not self.holds()
+            or not self.holds_lease()
         ):
             return
-        absent, next_at = self._absent_voters(record, topic.ballots)
-        result = agreement.outcome(record, topic.ballots, absent)
-        deadline = topic.opened + record.patience
+        absent, next_at = self._absent_voters(record, topic.votes)
+        result = agreement.outcome(record, topic.votes, absent)
+        deadline = topic.opened_at + record.patience
         if result is UNSET and self.loop.clock() >= deadline:
-            result = agreement.timed_out(record, topic.ballots)
+            result = agreement.timed_out(record, topic.votes)
         if result is UNSET:
             self._set_timer(topic, min(deadline, next_at), lambda: self._evaluate(topic))
         else:
@@ -642,8 +642,8 @@
         now, after = self.loop.clock(), record.waits + self.absence_margin
         if not self.members.current:
             return frozenset(), now + RETRY_DELAY_S
-        silent = self.roll.away(now)
-        silent_voters = {name: silent[name] for name in agreement.missing(record, votes) if name in silent}
+        silent = self.membership.absent_for(now)
+        silent_voters = {name: silent[name] for name in agreement.missing_votes(record, votes) if name in silent}
         absent = frozenset(name for name, seconds in silent_voters.items() if seconds >= after)
         # 10 ms later: rounding could otherwise fire the timer just too early, again and again.
         return absent, min(
@@ -654,7 +654,7 @@
     # ---- writing ------------------------------------------------------------------------------------------------
 
     def _write(self, request: Request, then: Callable[[int, object], object]) -> None:
-        self.written += 1
+        self.write_count += 1
         self._send(request, then)
 
     def _reread(self, topic: TopicState) -> None:
@@ -688,12 +688,12 @@
             else:
                 self._reread(topic)
 
-        self._write(Create(path, agreement.write(vote)), on_reply)
+        self._write(Create(path, agreement.encode(vote)), on_reply)
 
     def _write_replica(self, topic: TopicState, record: Record) -> None:
         try:
-            data = agreement.write(record)
-        except Barred as error:
+            data = agreement.encode(record)
+        except RecordError as error:
             self.log("copy_too_large", level="error", topic=topic.name, why=str(error))
             return
         topic.write_pending = True
@@ -706,16 +706,16 @@
         topic.write_pending = True
         path = f"{self.records.path}/{topic.name}"
         self._write(
-            SetData(path, agreement.write(record), topic.stat.version), lambda error, result: self._reread(topic)
+            SetData(path, agreement.encode(record), topic.stat.version), lambda error, result: self._reread(topic)
         )
 
     def _write_end(self, topic: TopicState) -> None:
         epoch, why, on_done = topic.pending_end
         try:
             if topic.record is None:
-                raise Barred(f"{topic.name}: no value is in force")
+                raise RecordError(f"{topic.name}: no value is in force")
             record = agreement.ended(topic.record, epoch, why)
-        except Barred as error:
+        except RecordError as error:
             topic.pending_end = None
             standing = topic.record.standing if topic.record is not None else None
             already_ended = standing is None or standing.epoch > epoch
@@ -749,13 +749,13 @@
                 return
             try:
                 record = proposal.build_record(topic.record, version + 1)
-            except Barred as error:
+            except RecordError as error:
                 topic.write_pending = False
                 proposal.finish("refused", str(error))
                 self._notify_proposers(topic)
                 self._evaluate(topic)
                 return
-            data = agreement.write(record)
+            data = agreement.encode(record)
             proposal.attempted_epoch = version + 1
             write_request = Create(path, data) if topic.record is None else SetData(path, data, topic.stat.version)
             self._write(Multi((SetData(self.records.path, b"", version), write_request)), on_written)
@@ -763,7 +763,7 @@
         def on_written(error: int, result: object) -> None:
             if error in (BAD_VERSION, NODE_EXISTS, NO_NODE):
                 proposal.attempted_epoch = 0  # certainly not written
-                self.loop.after(RETRY_DELAY_S * self.chair.random.random(), lambda: self._reread(topic))
+                self.loop.after(RETRY_DELAY_S * self.registration.random.random(), lambda: self._reread(topic))
             else:
                 self._reread(topic)
 
@@ -778,7 +778,7 @@
             topic.write_pending
             or record is None
             or agreement.pending(record)
-            or not self.holds()
+            or not self.holds_lease()
             or not self._is_leader()
         ):
             return
@@ -816,7 +816,7 @@
 
     def leave(self, then: Callable[[], object] = lambda: None) -> None:
         """Leaves the fleet gracefully: closes the session, which removes the member node at once; then calls `then`."""
-        if self.chair.state is not RegistrationState.LISTED:
+        if self.registration.state is not RegistrationState.LISTED:
             self.stop()
             then()
             return
@@ -826,34 +826,34 @@
             self.stop()
             then()
 
-        self.chair.close(on_closed)
+        self.registration.close(on_closed)
 
     def stop(self) -> None:
         """Stops without closing the session, as a crashed process would."""
         self.stopped = True
-        self.chair.stop()
+        self.registration.stop()
 
-    def view_whole(self) -> dict:
+    def fleet_summary(self) -> dict:
         """Summary of the entire hierarchy, as keys of the view; empty in a flat fleet."""
         return {}
 
     def view(self) -> dict:
         """The fleet as seen by this supervisor, as `driftshed fleet` shows it."""
         now = self.loop.clock()
-        rows = [row._asdict() for row in self.roll.rows(now)]
+        rows = [row._asdict() for row in self.membership.rows(now)]
         records = [
-            {"record": topic.record, "age": now - topic.observed_since, "words": list(topic.ballots.values())}
+            {"record": topic.record, "age": now - topic.observed_since, "words": list(topic.votes.values())}
             for topic in self.topics.values()
             if topic.record is not None
         ]
         return {
             "by": self.name,
             "incarnation": self.incarnation,
-            "standing": self.chair.state.value,
-            "lease": round(self.lease_until() - now, 3) if self.holds() else None,
-            "order": self.roll.order(),
+            "standing": self.registration.state.value,
+            "lease": round(self.lease_expires_at() - now, 3) if self.holds_lease() else None,
+            "order": self.membership.order(),
             "members": rows,
             "records": records,
-            "written": self.written,
+            "written": self.write_count,
             "not_believed": self.stale_reads,
         }
--- a/driftshed/coordination/agreement.py
+++ b/driftshed/coordination/agreement.py
@@ -14,18 +14,18 @@
 from msgspec import UNSET, Meta, Struct, UnsetType
 from msgspec.structs import replace
 
-MOST_BYTES = 65536  # of a record
+MAX_RECORD_BYTES = 65536  # of a record
 MAX_TOPICS = 1024  # topics, each with one record
 MAX_VOTERS = 64
 TOPIC_NAME = re.compile(r"[A-Za-z0-9_.:-]{1,96}")
 Reason = Annotated[str, Meta(max_length=1024)]
 
 
-class Barred(ValueError):
+class RecordError(ValueError):
     """An operation that the state of a record does not allow, or malformed data; the message gives the reason."""
 
 
-class Standing(Struct, frozen=True):
+class CommittedValue(Struct, frozen=True):
     """The value committed last. `binds_for`: validity in seconds, None for unlimited."""
 
     epoch: int
@@ -50,7 +50,7 @@
     quorum: Annotated[int, Meta(ge=1)]
     patience: Annotated[float, Meta(gt=0, le=86400)]
     binds_for: float | None = None
-    standing: Standing | None = None
+    standing: CommittedValue | None = None
     why: Reason = ""
     passed: bool = False  # its own proposal was committed; stays set after the committed value is ended
     # Hierarchies only. `copied`: replicated from the parent fleet, whose decision ends it; `waits`: seconds of silence
@@ -73,22 +73,22 @@
 RECORD_DECODER, VOTE_DECODER = msgspec.json.Decoder(Record), msgspec.json.Decoder(Vote)
 
 
-def write(message: Record | Vote) -> bytes:
-    """Encodes a record or a vote as JSON. Raises Barred above MOST_BYTES."""
+def encode(message: Record | Vote) -> bytes:
+    """Encodes a record or a vote as JSON. Raises RecordError above MAX_RECORD_BYTES."""
     data = msgspec.json.encode(message)
-    if len(data) > MOST_BYTES:
-        raise Barred(f"{len(data)} bytes, {MOST_BYTES} at the most: put less into it")
+    if len(data) > MAX_RECORD_BYTES:
+        raise RecordError(f"{len(data)} bytes, {MAX_RECORD_BYTES} at the most: put less into it")
     return data
 
 
-def read_record(topic: str, data: bytes) -> Record:
-    """Decodes the record of a topic. Raises Barred for malformed data and for a record of another topic."""
+def decode_record(topic: str, data: bytes) -> Record:
+    """Decodes the record of a topic. Raises RecordError for malformed data and for a record of another topic."""
     try:
-        record = RECORD_DECODER.decode(data[: MOST_BYTES + 1])
+        record = RECORD_DECODER.decode(data[: MAX_RECORD_BYTES + 1])
     except msgspec.DecodeError as error:
-        raise Barred(f"{topic}: {error}") from None
+        raise RecordError(f"{topic}: {error}") from None
     if record.topic != topic:
-        raise Barred(f"{topic}: the node holds a record of {record.topic[:80]!r}")
+        raise RecordError(f"{topic}: the node holds a record of {record.topic[:80]!r}")
     return record
 
 
@@ -97,14 +97,14 @@
     return f"{epoch}.{name}"
 
 
-def read_ballot(node: str, data: bytes) -> Vote:
-    """Decodes a vote. Raises Barred for malformed data and where the vote does not match its node name."""
+def read_vote(node: str, data: bytes) -> Vote:
+    """Decodes a vote. Raises RecordError for malformed data and where the vote does not match its node name."""
     try:
-        vote = VOTE_DECODER.decode(data[: MOST_BYTES + 1])
+        vote = VOTE_DECODER.decode(data[: MAX_RECORD_BYTES + 1])
     except msgspec.DecodeError as error:
-        raise Barred(f"{node}: {error}") from None
+        raise RecordError(f"{node}: {error}") from None
     if vote_node_name(vote.epoch, vote.name) != node:
-        raise Barred(f"{node}: the node holds the vote of {vote.name[:64]} on epoch {vote.epoch}")
+        raise RecordError(f"{node}: the node holds the vote of {vote.name[:64]} on epoch {vote.epoch}")
     return vote
 
 
@@ -113,19 +113,19 @@
     return record is not None and record.state in ("open", "ready", "refused")
 
 
-def check(topic: str, voters: tuple[str, ...], quorum: int, proposal_timeout: float) -> None:
-    """Validates the parameters of a proposal; raises Barred where it could never be committed."""
+def check_proposal(topic: str, voters: tuple[str, ...], quorum: int, proposal_timeout: float) -> None:
+    """Validates the parameters of a proposal; raises RecordError where it could never be committed."""
     if not TOPIC_NAME.fullmatch(topic):
-        raise Barred(f"{topic[:100]!r}: a topic must be 1 to 96 letters, digits, . : - or _")
+        raise RecordError(f"{topic[:100]!r}: a topic must be 1 to 96 letters, digits, . : - or _")
     if not voters or len(set(voters)) < len(voters) or len(voters) > MAX_VOTERS:
-        raise Barred(f"{len(voters)} voters: name 1 to {MAX_VOTERS}, each once")
+        raise RecordError(f"{len(voters)} voters: name 1 to {MAX_VOTERS}, each once")
     if not 1 <= quorum <= len(voters):
-        raise Barred(f"{quorum} of {len(voters)} cannot assent")
+        raise RecordError(f"{quorum} of {len(voters)} cannot assent")
     if not 0 < proposal_timeout <= 86400:
-        raise Barred(f"{proposal_timeout} s of patience: must be above 0 and at most 86400")
+        raise RecordError(f"{proposal_timeout} s of patience: must be above 0 and at most 86400")
 
 
-def proposed(
+def proposed_record(
     old: Record | None,
     topic: str,
     epoch: int,
@@ -138,13 +138,13 @@
     valid_for: float | None = None,
     absence_timeout: float | UnsetType = UNSET,
 ) -> Record:
-    """Returns the record that a proposal writes over `old`. Raises Barred while another proposal is open, or where the
-    epoch would not rise."""
-    check(topic, voters, quorum, proposal_timeout)
+    """Returns the record that a proposal writes over `old`. Raises RecordError while another proposal is open, or where
+    the epoch would not rise."""
+    check_proposal(topic, voters, quorum, proposal_timeout)
     if pending(old):
-        raise Barred(f"{topic}: epoch {old.epoch} of {old.by} is open")
+        raise RecordError(f"{topic}: epoch {old.epoch} of {old.by} is open")
     if old is not None and epoch <= old.epoch:
-        raise Barred(f"{topic}: epoch {epoch} is not higher than {old.epoch}")
+        raise RecordError(f"{topic}: epoch {epoch} is not higher than {old.epoch}")
     committed = old.standing if old is not None else None
     return Record(
         topic,
@@ -216,15 +216,15 @@
     return record.state not in ("refused", "void"), record.why
 
 
-def settled(record: Record) -> Record:
-    """Returns the record committed, with its own body as the value in force. Raises Barred unless it is open."""
+def committed(record: Record) -> Record:
+    """Returns the record committed, with its own body as the value in force. Raises RecordError unless it is open."""
     _require_open(record)
-    committed = Standing(record.epoch, record.token, record.by, record.body, record.binds_for)
+    committed = CommittedValue(record.epoch, record.token, record.by, record.body, record.binds_for)
     return replace(record, state="settled", standing=committed, passed=True)
 
 
 def aborted(record: Record, why: str) -> Record:
-    """Returns the record aborted; the value in force before stays. Raises Barred unless it is open.
+    """Returns the record aborted; the value in force before stays. Raises RecordError unless it is open.
 
     A replica becomes refused instead, until the parent's decision is known: the parent may have decided without this
     fleet's vote, so an objection here does not end the record."""
@@ -233,19 +233,19 @@
 
 
 def ended(record: Record, epoch: int, why: str) -> Record:
-    """Returns the record with the value committed under this epoch revoked. Raises Barred where another value or none
-    is in force, and while a proposal is open."""
+    """Returns the record with the value committed under this epoch revoked. Raises RecordError where another value or
+    none is in force, and while a proposal is open."""
     if record.standing is None or record.standing.epoch != epoch:
         in_force = "nothing" if record.standing is None else f"epoch {record.standing.epoch}"
-        raise Barred(f"{record.topic}: {in_force} is in force, not epoch {epoch}")
+        raise RecordError(f"{record.topic}: {in_force} is in force, not epoch {epoch}")
     if pending(record):
-        raise Barred(f"{record.topic}: epoch {record.epoch} of {record.by} is open")
+        raise RecordError(f"{record.topic}: epoch {record.epoch} of {record.by} is open")
     return replace(record, state="ended", standing=None, why=why[:1024])
 
 
 def _require_open(record: Record) -> None:
     if record.state != "open":
-        raise Barred(f"{record.topic}: epoch {record.epoch} is {record.state}")
+        raise RecordError(f"{record.topic}: epoch {record.epoch} is {record.state}")
 
 
 def outcome(record: Record, votes: dict[str, Vote], absent: frozenset[str] = frozenset()) -> Record | UnsetType:
@@ -254,24 +254,24 @@
     A replica that all assent to becomes ready: the parent fleet decides."""
     cast = [votes[name] for name in record.needs if name in votes and votes[name].epoch == record.epoch]
     objections = [vote for vote in cast if not vote.assent]
-    not_needed = sorted(absent & set(missing(record, votes)))
+    not_needed = sorted(absent & set(missing_votes(record, votes)))
     if len(cast) - len(objections) + len(not_needed) >= record.quorum:
         if not_needed:
             record = replace(record, away=tuple(not_needed))
-        return settled(record) if record.copied is UNSET else replace(record, state="ready")
+        return committed(record) if record.copied is UNSET else replace(record, state="ready")
     if len(record.needs) - len(objections) < record.quorum:
         return aborted(record, "; ".join(f"{vote.name}: {vote.why}" for vote in objections))
     return UNSET
 
 
-def missing(record: Record, votes: dict[str, Vote]) -> list[str]:
+def missing_votes(record: Record, votes: dict[str, Vote]) -> list[str]:
     """Voters whose vote on an open record is not known."""
     return [name for name in record.needs if name not in votes or votes[name].epoch != record.epoch]
 
 
 def timed_out(record: Record, votes: dict[str, Vote]) -> Record:
     """Returns an open record aborted because its proposal timeout has passed."""
-    return aborted(record, f"no word within {record.patience:g} s from {', '.join(missing(record, votes))}")
+    return aborted(record, f"no word within {record.patience:g} s from {', '.join(missing_votes(record, votes))}")
 
 
 def newer(record: Record, held: Record | None) -> bool:
--- a/driftshed/coordination/command.py
+++ b/driftshed/coordination/command.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from driftshed.common.options import option
-from driftshed.coordination.view import FleetReader, missing_voters, plain
+from driftshed.coordination.view import FleetReader, missing_voters, to_plain_values
 from driftshed.net.loop import Loop
 from driftshed.roster.command import check_root, parse_hosts
 
@@ -42,7 +42,7 @@
     if as_json:
         click.echo(json.dumps(view))
     else:
-        _print(view)
+        _print_fleet(view)
     sys.exit(0 if all(row["state"] in ("living", "leaving", "stranger") for row in view["members"]) else 1)
 
 
@@ -76,10 +76,10 @@
     if not views:
         click.echo(f"the store at {connect} did not answer within {within:g} s: ask a supervisor", err=True)
         sys.exit(3)
-    return plain(views[0])
+    return to_plain_values(views[0])
 
 
-def _print(view: dict) -> None:
+def _print_fleet(view: dict) -> None:
     console = Console()
     table = Table("supervisor", "state", "for", "start", "address", "build", "policy", "proxies", box=None)
     for row in view["members"]:
--- a/driftshed/coordination/folder.py
+++ b/driftshed/coordination/folder.py
@@ -33,12 +33,12 @@
         self.on_complete, self.on_missing, self.watch_data = on_complete, on_missing, watch_data
         self.names: set[str] = set()  # children whose data has been read or requested
         self.pending_reads = self.pending_listings = 0
-        self.listed = self.whole = False
+        self.listed = self.complete = False
 
     @property
     def current(self) -> bool:
         """Whether everything the store has notified so far has been read."""
-        return self.whole and not self.pending_reads and not self.pending_listings
+        return self.complete and not self.pending_reads and not self.pending_listings
 
     def refresh(self) -> None:
         """Lists the folder, sets a watch on it and reads children that are new."""
@@ -90,7 +90,7 @@
             else:
                 # A failed read does not prove that the child is gone: only a new listing can.
                 self.names.discard(name)
-                self.listed = self.whole = False
+                self.listed = self.complete = False
             self._check_complete()
 
         self.send(GetData(f"{self.path}/{name}", self.watch_data), on_reply)
@@ -102,16 +102,16 @@
 
     def _check_complete(self) -> None:
         if not self.pending_reads and self.listed:
-            self.whole = True
+            self.complete = True
             self.on_complete()
 
     def mark_disconnected(self) -> None:
         """Handles a lost connection: cached data stays, but is incomplete until the folder has been listed again."""
-        self.listed = self.whole = False
+        self.listed = self.complete = False
 
     def reset(self) -> None:
         """Handles a new session: no watches are set and no requests are pending."""
-        self.names, self.pending_reads, self.pending_listings, self.listed, self.whole = set(), 0, 0, False, False
+        self.names, self.pending_reads, self.pending_listings, self.listed, self.complete = set(), 0, 0, False, False
 
 
 class ChildNames:
--- a/driftshed/coordination/parting.py
+++ b/driftshed/coordination/handover.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def apart(max_lines: int, lines_per_second: float, other_supervisors: int) -> float:
+def handover_interval(max_lines: int, lines_per_second: float, other_supervisors: int) -> float:
     """Seconds between the hand-over of two proxies. `max_lines`: table lines of the largest proxy; `other_supervisors`:
     how many remain, each with a channel of `lines_per_second`.
 
--- a/driftshed/coordination/tiered.py
+++ b/driftshed/coordination/hierarchical_agent.py
@@ -1,5 +1,5 @@
 """Agent of a supervisor in a hierarchical fleet: a member of its cell that also reads its region, and that serves as
-the delegate of its cell and of its region when it is its turn. The rules are in `tiers` and `agreement`."""
+the delegate of its cell and of its region when it is its turn. The rules are in `hierarchy` and `agreement`."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 from msgspec import UNSET, UnsetType, to_builtins
 
-from driftshed.coordination import agreement, tiers
+from driftshed.coordination import agreement
+from driftshed.coordination import hierarchy as hierarchy_rules
 from driftshed.coordination.agent import Agent, Proposal, TopicState
-from driftshed.coordination.agreement import Barred, Record
+from driftshed.coordination.agreement import Record, RecordError
 from driftshed.coordination.folder import ChildNames, Folder
-from driftshed.coordination.lease import DRIFT
+from driftshed.coordination.hierarchy import FleetMembership, Heartbeat, HeartbeatTracker, Hierarchy
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.coordination.members import Digest, Member, MemberError, parse_node_name
-from driftshed.coordination.tiers import FleetMembership, Heartbeat, HeartbeatTracker, Hierarchy
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.roster.announce import RegistrationState
@@ -26,10 +27,10 @@
 PROPOSER_LINGER_S = 1.0  # how long the proposing agent stays in the top-level fleet after its last proposal
 
 
-class Tiered(Agent):
+class HierarchicalAgent(Agent):
     """Agent of a cell in a hierarchical fleet.
 
-    `acts()` is the permission to act on records of the entire fleet: it requires the cell's lease, a delegate of the
+    `may_act()` is the permission to act on records of the entire fleet: it requires the cell's lease, a delegate of the
     cell in the region and of the region in the top-level fleet, and up-to-date replicas. `propose` proposes in the
     top-level fleet."""
 
@@ -42,7 +43,7 @@
         seed: int,
         log: Callable[..., object] = lambda event, **fields: None,
         dial: Callable[..., Stream] = dial,
-        drift: float = DRIFT,
+        drift: float = MAX_CLOCK_DRIFT,
         max_pause: float | None = None,
     ) -> None:
         """`hierarchy` must contain `member.name`, else HierarchyError is raised; the other arguments are those of
@@ -52,7 +53,7 @@
         self.supervisor_count = hierarchy.supervisor_count()
         cell, region = self.placement.cell, self.placement.region
         super().__init__(loop, cell.hosts, cell.root, member, cell.expected, timeout, seed, log, dial, drift, max_pause)
-        self.tiers = tiers.LEVELS
+        self.levels = hierarchy_rules.LEVELS
         self.heartbeats = HeartbeatTracker(timeout, drift)
         self.region_records: dict[str, Record] = {}  # the region's records, as read through the own session
         self.comparisons: dict[
@@ -75,10 +76,10 @@
 
     # ---- permission to act --------------------------------------------------------------------------------------
 
-    def acts(self) -> bool:
+    def may_act(self) -> bool:
         """Whether records of the entire fleet may be acted on now."""
         return (
-            self.holds()
+            self.holds_lease()
             and self.loop.clock() < self.heartbeats.proven_until
             and self._cell_has_delegate()
             and self.records.current
@@ -86,13 +87,13 @@
             and not self._replicas_lag()
         )
 
-    def acts_until(self) -> float:
+    def may_act_until(self) -> float:
         """When that ends unless renewed: the earlier end of the cell's lease and of the proof by heartbeats."""
-        return min(self.lease_until(), self.heartbeats.proven_until)
+        return min(self.lease_expires_at(), self.heartbeats.proven_until)
 
-    def undecided(self, topic: str) -> bool:
+    def is_undecided(self, topic: str) -> bool:
         """Whether the cell's replica or the region's record of a topic is undecided."""
-        return super().undecided(topic) or agreement.pending(self.region_records.get(topic))
+        return super().is_undecided(topic) or agreement.pending(self.region_records.get(topic))
 
     def _cell_has_delegate(self) -> bool:
         """Whether the cell is a member of the region, by an up-to-date listing."""
@@ -112,7 +113,7 @@
             own = self.topics[topic].record if topic in self.topics else None
             comparison = self.comparisons.get(topic)
             if comparison is None or comparison[0] is not record or comparison[1] is not own:
-                lags = agreement.replicated(own, record, self.name, self.roll.expected) is not None
+                lags = agreement.replicated(own, record, self.name, self.membership.expected) is not None
                 comparison = self.comparisons[topic] = record, own, lags
             if comparison[2]:
                 return True
@@ -125,8 +126,8 @@
 
     def _region_record_updated(self, topic: str, data: bytes, stat: Stat) -> None:
         try:
-            record = agreement.read_record(topic, data)
-        except Barred as error:
+            record = agreement.decode_record(topic, data)
+        except RecordError as error:
             self.log("bad_record", level="warning", why=str(error))
             return
         if topic in self.region_records or len(self.region_records) < agreement.MAX_TOPICS:
@@ -141,7 +142,7 @@
     def _tick(self) -> None:
         if self.stopped:
             return
-        self.loop.after(self.timeout / tiers.HEARTBEATS_PER_TIMEOUT, self._tick)
+        self.loop.after(self.timeout / hierarchy_rules.HEARTBEATS_PER_TIMEOUT, self._tick)
         if self.client.session.state is SessionState.CONNECTED:
             if not self.region_folder.listed and not self.region_folder.pending_listings:
                 self.region_folder.refresh()  # the folder did not exist; no watch reports its creation
@@ -166,7 +167,7 @@
             self.poll_pending = False
             if client is self.client and error in (OK, NO_NODE):
                 self.heartbeats.observe(
-                    tiers.decode_heartbeat(result[0]) if error == OK else None, polled_at, self.loop.clock()
+                    hierarchy_rules.decode_heartbeat(result[0]) if error == OK else None, polled_at, self.loop.clock()
                 )
 
         client.send_request(Sync(path), lambda error, result: None)
@@ -182,7 +183,7 @@
             self.proposer = self.for_region = self.for_cell = None
 
     def _make_agent(self, fleet: FleetMembership, member: Member, seed: str) -> Agent:
-        number = Random(f"{seed} {self.run} {self.random.random()}").getrandbits(48)
+        number = Random(f"{seed} {self.run_id} {self.random.random()}").getrandbits(48)
         return Agent(
             self.loop,
             fleet.hosts,
@@ -195,7 +196,7 @@
             self.dial,
             self.drift,
             self.max_pause,
-            tiers.absence_margin(self.timeout, self.drift),
+            hierarchy_rules.absence_margin(self.timeout, self.drift),
         )
 
     def _maintain_cell_delegate(self) -> None:
@@ -207,17 +208,17 @@
             return
         if self.unattended_since is None:
             self.unattended_since = now
-        order = self.roll.order()
-        if not self.holds() or not self.members.current or self.name not in order:
+        order = self.membership.order()
+        if not self.holds_lease() or not self.members.current or self.name not in order:
             return
-        if not tiers.takeover_due(now - self.unattended_since, order.index(self.name), missing, self.timeout):
+        if not hierarchy_rules.takeover_due(now - self.unattended_since, order.index(self.name), missing, self.timeout):
             return
         self.unattended_since = None
         self.log("speaks_for_cell", cell=self.placement.region.name)
         agent = self.for_cell = self._make_agent(
             self.placement.region, self._member_named(self.placement.region.name), "cell"
         )
-        agent.judge = lambda record: self._vote_of(self, record)
+        agent.vote_on = lambda record: self._vote_of(self, record)
         agent.on_record = lambda record: (self.replicate(record), self._evaluate_if_present(self.for_region))
         agent.on_fenced = lambda: self._resign_cell(agent)
 
@@ -229,18 +230,22 @@
         silent_for = self.heartbeats.silent_for(now)
         other_active = self.heartbeats.last is not None and self.heartbeats.last.run != self.heartbeat_run
         if self.for_region is not None:
-            if other_active and not self.for_region.holds() and silent_for < tiers.STAGGER_FRACTION * self.timeout:
+            if (
+                other_active
+                and not self.for_region.holds_lease()
+                and silent_for < hierarchy_rules.STAGGER_FRACTION * self.timeout
+            ):
                 self._resign_region(self.for_region)  # another delegate is active, and this one has no lease
             return
-        order = cell_delegate.roll.order()
+        order = cell_delegate.membership.order()
         if (
-            not cell_delegate.holds()
+            not cell_delegate.holds_lease()
             or not cell_delegate.members.current
             or cell_delegate.name not in order
             or silent_for is None
         ):
             return
-        if not tiers.takeover_due(
+        if not hierarchy_rules.takeover_due(
             silent_for, order.index(cell_delegate.name), self.heartbeats.last is None, self.timeout
         ):
             return
@@ -248,13 +253,13 @@
         agent = self.for_region = self._make_agent(
             self.placement.top, self._member_named(self.placement.top.name), "region"
         )
-        agent.judge = lambda record: self._vote_of(cell_delegate, record)
+        agent.vote_on = lambda record: self._vote_of(cell_delegate, record)
         agent.on_record = cell_delegate.replicate
         agent.on_fenced = lambda: self._resign_region(agent)
         self._new_heartbeat_run()
 
     def _member_named(self, name: str) -> Member:
-        return Member(name, self.chair.node.address, self.chair.node.build)
+        return Member(name, self.registration.node.address, self.registration.node.build)
 
     @staticmethod
     def _vote_of(child: Agent, record: Record) -> tuple[bool, str] | None:
@@ -268,7 +273,7 @@
     @staticmethod
     def _evaluate_if_present(agent: Agent | None) -> None:
         if agent is not None:
-            agent.look()
+            agent.evaluate()
 
     def _resign_cell(self, agent: Agent) -> None:
         """Steps down: another supervisor is the delegate of the cell."""
@@ -287,19 +292,19 @@
 
     def _publish_digests(self) -> None:
         if self.for_cell is not None:
-            self.for_cell.say(digest=tiers.cell_digest(self.roll.rows(self.loop.clock())))
+            self.for_cell.publish(digest=hierarchy_rules.cell_digest(self.membership.rows(self.loop.clock())))
         if self.for_region is not None and self.for_cell is not None:
-            self.for_region.say(digest=self._aggregate_digest(self.for_cell, self.placement.region))
+            self.for_region.publish(digest=self._aggregate_digest(self.for_cell, self.placement.region))
 
     @staticmethod
     def _aggregate_digest(delegate: Agent, fleet: FleetMembership) -> Digest:
-        living = {name: present.member for name, present in delegate.roll.living().items()}
-        return tiers.aggregate_digest(living, fleet.sizes)
+        living = {name: present.member for name, present in delegate.membership.living().items()}
+        return hierarchy_rules.aggregate_digest(living, fleet.sizes)
 
     # ---- heartbeats ---------------------------------------------------------------------------------------------
 
     def _new_heartbeat_run(self) -> None:
-        self.heartbeat_run, self.heartbeat_number = f"{self.run}.{self.random.getrandbits(32):x}", 0
+        self.heartbeat_run, self.heartbeat_number = f"{self.run_id}.{self.random.getrandbits(32):x}", 0
 
     def _region_is_current(self) -> bool:
         """Whether all records read in the top-level fleet have been replicated to the region."""
@@ -309,7 +314,7 @@
         ):
             return False
         return all(
-            self._required_replica(topic.record, child, child.roll.expected) is None
+            self._required_replica(topic.record, child, child.membership.expected) is None
             for topic in parent.topics.values()
             if topic.record is not None
         )
@@ -319,7 +324,7 @@
         parent, child = self.for_region, self.for_cell
         if parent is None or child is None or self.heartbeat_pending:
             return
-        if not (parent.holds() and child.holds() and self._region_is_current()):
+        if not (parent.holds_lease() and child.holds_lease() and self._region_is_current()):
             return
         self.heartbeat_pending, self.heartbeat_number, run = True, self.heartbeat_number + 1, self.heartbeat_run
         path = f"{self.placement.region.root}/above"
@@ -329,11 +334,13 @@
         def on_reply(error: int, result: object) -> None:
             self.heartbeat_pending = False
             if error == NO_NODE:
-                child.client.send_request(Create(path, tiers.encode_heartbeat(heartbeat)), lambda error, result: None)
+                child.client.send_request(
+                    Create(path, hierarchy_rules.encode_heartbeat(heartbeat)), lambda error, result: None
+                )
             if error != OK and run == self.heartbeat_run:
                 self._new_heartbeat_run()  # it may take effect at any time, so no later heartbeat may build on it
 
-        client.send_request(SetData(path, tiers.encode_heartbeat(heartbeat)), on_reply)
+        client.send_request(SetData(path, hierarchy_rules.encode_heartbeat(heartbeat)), on_reply)
 
     # ---- proposals ----------------------------------------------------------------------------------------------
 
@@ -346,16 +353,16 @@
         proposal_timeout: float,
         on_done: Callable[[Proposal], object] = lambda proposal: None,
         valid_for: float | None = None,
-        waits: float | UnsetType = UNSET,
+        absence_timeout: float | UnsetType = UNSET,
     ) -> Proposal:
         """Proposes in the top-level fleet, through a guest session: all regions are voters, and `voters` and `quorum`
         are ignored. The proposal ends as void if that fleet is not reached within `proposal_timeout`."""
         fleet = self.placement.top
-        agreement.check(topic, fleet.expected, len(fleet.expected), proposal_timeout)
+        agreement.check_proposal(topic, fleet.expected, len(fleet.expected), proposal_timeout)
         proposer = self.proposer
         if proposer is None:
             proposer = self.proposer = self._make_agent(fleet, self._member_named(self.name), "guest")
-            proposer.judge = lambda record: None
+            proposer.vote_on = lambda record: None
 
         def on_ended(proposal: Proposal) -> None:
             self.live_proposals = [each for each in self.live_proposals if each is not proposal]
@@ -363,7 +370,7 @@
             on_done(proposal)
 
         proposal = proposer.propose(
-            topic, body, fleet.expected, len(fleet.expected), proposal_timeout, on_ended, valid_for, waits
+            topic, body, fleet.expected, len(fleet.expected), proposal_timeout, on_ended, valid_for, absence_timeout
         )
         self.live_proposals.append(proposal)
 
@@ -379,7 +386,7 @@
         the entire cell."""
         return self.random.uniform(0.5, 1.0) * MAX_PUBLISH_INTERVAL_S
 
-    def herd_wait(self, most: float) -> float:
+    def proposal_backoff(self, most: float) -> float:
         """Random proposal backoff in seconds, proportional to the number of supervisors and at most `most`."""
         return self.random.uniform(0.0, min(most, BACKOFF_PER_SUPERVISOR_S * self.supervisor_count))
 
@@ -412,7 +419,7 @@
         self.proposer = self.for_region = self.for_cell = None
         super().stop()
 
-    def view_whole(self) -> dict:
+    def fleet_summary(self) -> dict:
         """Digest of the entire fleet from the last heartbeat, as key `whole`; None where unknown."""
         summary = self.heartbeats.last.whole if self.heartbeats.last is not None else UNSET
         return {"whole": None if summary is UNSET else to_builtins(summary)}
@@ -422,11 +429,11 @@
         now = self.loop.clock()
         return (
             super().view()
-            | self.view_whole()
+            | self.fleet_summary()
             | {
                 "cell": self.placement.region.name,
                 "region": self.placement.top.name,
-                "acts": self.acts(),
+                "acts": self.may_act(),
                 "speaks_for": [agent.name for agent in (self.for_cell, self.for_region) if agent is not None],
                 "chain": None
                 if self.heartbeats.proven_until == float("-inf")
--- a/driftshed/coordination/tiers.py
+++ b/driftshed/coordination/hierarchy.py
@@ -23,7 +23,9 @@
 MAX_HEARTBEAT_BYTES = 4096  # of an encoded heartbeat
 MAX_POLICY_VERSIONS = 4  # listed in a digest; older versions are counted with the oldest of these
 HEARTBEATS_PER_TIMEOUT = 8  # sent in one session timeout
-HOLDS = 0.75  # of the session timeout: how long a heartbeat proves the region's contact with the top-level fleet
+HEARTBEAT_VALIDITY_FRACTION = (
+    0.75  # of the session timeout: how long a heartbeat proves the region's contact with the top-level fleet
+)
 STAGGER_FRACTION = 0.5  # of the session timeout: delay per rank before the next in order becomes the delegate
 LEVELS = 3
 
@@ -122,7 +124,7 @@
     return hosts
 
 
-def read_tiers(text: str) -> Hierarchy:
+def read_hierarchy(text: str) -> Hierarchy:
     """Parses and validates a hierarchy file; raises HierarchyError with the fault and the remedy."""
     if len(text) > MAX_FILE_CHARACTERS:
         raise HierarchyError(
@@ -220,7 +222,7 @@
 
     def __init__(self, timeout: float, drift: float) -> None:
         """`timeout`: session timeout in seconds; `drift`: largest relative clock drift."""
-        self.valid_for = HOLDS * timeout * (1 - drift)
+        self.valid_for = HEARTBEAT_VALIDITY_FRACTION * timeout * (1 - drift)
         self.run, self.last = "", None  # the heartbeat read last, and its run
         self.polls: deque[tuple[int, float]] = deque(
             maxlen=HEARTBEATS_PER_TIMEOUT
@@ -252,10 +254,10 @@
         return None if self.last_change_at is None else now - self.last_change_at
 
 
-def everywhere(timeout: float, drift: float) -> float:
+def propagation_bound(timeout: float, drift: float) -> float:
     """Seconds from a commit in the top-level fleet until no supervisor may act on an earlier read: a region's lease in
     the top-level fleet plus the validity of its last heartbeat."""
-    return (1 + HOLDS) * timeout * (1 + drift)
+    return (1 + HEARTBEAT_VALIDITY_FRACTION) * timeout * (1 + drift)
 
 
 def absence_margin(timeout: float, drift: float) -> float:
--- a/driftshed/coordination/lease.py
+++ b/driftshed/coordination/lease.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-DRIFT = 0.02  # largest relative drift between the store's clock and the local one, both together
+MAX_CLOCK_DRIFT = 0.02  # largest relative drift between the store's clock and the local one, both together
 MAX_PAUSE_FRACTION = 0.1  # of the session timeout: the longest time between checking the lease and acting on it
 
 
@@ -16,7 +16,7 @@
     Guards against a process that was suspended, or disconnected without noticing, and continues as if nothing had been
     agreed since: the monotonic clock advances during a suspension, so the lease has ended before it issues an order."""
 
-    def __init__(self, timeout: float, drift: float = DRIFT, max_pause: float | None = None) -> None:
+    def __init__(self, timeout: float, drift: float = MAX_CLOCK_DRIFT, max_pause: float | None = None) -> None:
         """`timeout`: session timeout in seconds; `drift`: a fraction; `max_pause`: seconds, MAX_PAUSE_FRACTION of the
         timeout unless given."""
         self.drift, self.max_pause = drift, timeout * MAX_PAUSE_FRACTION if max_pause is None else max_pause
--- a/driftshed/coordination/members.py
+++ b/driftshed/coordination/members.py
@@ -59,7 +59,7 @@
     return name
 
 
-def write_member(member: Member) -> bytes:
+def encode_member(member: Member) -> bytes:
     """Encodes the data of a member node as JSON."""
     return msgspec.json.encode(member)
 
@@ -76,7 +76,7 @@
     return name, int(number)
 
 
-def read_member(node: str, data: bytes) -> Member:
+def decode_member(node: str, data: bytes) -> Member:
     """Decodes the data of a member node; raises MemberError for malformed data or data of another start."""
     name, incarnation = parse_node_name(node)
     try:
@@ -88,7 +88,7 @@
     return member
 
 
-class Present(NamedTuple):
+class MemberNode(NamedTuple):
     """A member node that exists in the store."""
 
     member: Member
@@ -107,7 +107,7 @@
     member: Member | None
 
 
-class Roll:
+class MembershipView:
     """Membership view: tells which supervisors are expected, living, silent, restarted or unknown. Times are seconds on
     the local monotonic clock."""
 
@@ -116,12 +116,12 @@
         self.set_expected(expected)
         self.started_at = now
         self.complete_since: float | None = None  # since when every arrival and departure is observed; None while not
-        self.nodes: dict[str, Present] = {}  # by node name
-        self.highest: dict[str, int] = {}  # highest incarnation of each name ever seen
+        self.nodes: dict[str, MemberNode] = {}  # by node name
+        self.highest_incarnation: dict[str, int] = {}  # highest incarnation of each name ever seen
         self.restarts: dict[str, int] = {}  # starts observed after the first, by name
         self.silent: dict[str, tuple[float, Member]] = {}  # since when, and the data last published
         self.incarnations: dict[str, set[int]] = {}  # by name: those that have a node
-        self._living: dict[str, Present] | None = None  # cached; None once invalid
+        self._living: dict[str, MemberNode] | None = None  # cached; None once invalid
         self._order: list[str] | None = None
         self._addresses: list[str] | None = None
 
@@ -133,11 +133,11 @@
     def _invalidate(self) -> None:
         self._living = self._order = self._addresses = None
 
-    def appeared(self, node: str, member: Member, czxid: int, now: float) -> None:
+    def update_node(self, node: str, member: Member, czxid: int, now: float) -> None:
         """Records the data of a node read for the first time or again; `czxid` is the node's creation transaction."""
         old = self.nodes.get(node)
         since = old.since if old is not None and old.czxid == czxid else now
-        present = self.nodes[node] = Present(member, czxid, since)
+        present = self.nodes[node] = MemberNode(member, czxid, since)
         if (
             old is not None
             and self._living is not None
@@ -158,10 +158,10 @@
             return
         self._invalidate()
         self.incarnations.setdefault(member.name, set()).add(member.incarnation)
-        highest = self.highest.get(member.name)
+        highest = self.highest_incarnation.get(member.name)
         if highest is not None and member.incarnation > highest:
             self.restarts[member.name] = self.restarts.get(member.name, 0) + 1
-        self.highest[member.name] = max(highest or 0, member.incarnation)
+        self.highest_incarnation[member.name] = max(highest or 0, member.incarnation)
         self.silent.pop(member.name, None)
         self._evict_unknown_peers()
 
@@ -180,30 +180,30 @@
 
     def _evict_unknown_peers(self) -> None:
         """Bounds the memory for unknown peers: those silent for longest are forgotten first."""
-        unknown = [name for name in self.highest if name not in self.expected_set]
+        unknown = [name for name in self.highest_incarnation if name not in self.expected_set]
         for name in sorted(unknown, key=lambda name: self.silent.get(name, (float("inf"), None))[0]):
             if len(unknown) <= MAX_UNKNOWN_PEERS or name not in self.silent:
                 break
             unknown.remove(name)
-            for by_name in (self.highest, self.restarts, self.silent):
+            for by_name in (self.highest_incarnation, self.restarts, self.silent):
                 by_name.pop(name, None)
 
-    def _by_name(self) -> dict[str, Present]:
+    def _by_name(self) -> dict[str, MemberNode]:
         """The node of the highest incarnation of each name, where it exists."""
         by_name = {}
         for present in self.nodes.values():
             name, incarnation = present.member.name, present.member.incarnation
-            if incarnation == self.highest.get(name):
+            if incarnation == self.highest_incarnation.get(name):
                 by_name[name] = present
         return by_name
 
-    def living(self) -> dict[str, Present]:
+    def living(self) -> dict[str, MemberNode]:
         """The expected supervisors whose latest start has a node, by name."""
         if self._living is None:
             self._living = {name: present for name, present in self._by_name().items() if name in self.expected_set}
         return self._living
 
-    def away(self, now: float) -> dict[str, float]:
+    def absent_for(self, now: float) -> dict[str, float]:
         """For how many seconds at least each expected supervisor without a node of any start has had none.
 
         Counts only the time since the view last became complete: silence from before and after a period in which this
@@ -237,7 +237,7 @@
     def rows(self, now: float) -> list[Row]:
         """The view as rows: the expected supervisors in their order, then unknown peers by name."""
         by_name, rows = self._by_name(), []
-        unknown = sorted(set(self.highest) - set(self.expected))
+        unknown = sorted(set(self.highest_incarnation) - set(self.expected))
         for name in [*self.expected, *unknown]:
             starts = self.restarts.get(name, 0)
             if name in by_name:
--- a/driftshed/coordination/taking_part.py
+++ b/driftshed/coordination/participation.py
@@ -11,11 +11,11 @@
 import click
 
 from driftshed.coordination.agent import Agent
+from driftshed.coordination.handover import handover_interval
+from driftshed.coordination.hierarchical_agent import HierarchicalAgent
+from driftshed.coordination.hierarchy import Hierarchy, HierarchyError, read_hierarchy
 from driftshed.coordination.members import Member, MemberError, validate_name
-from driftshed.coordination.parting import apart
-from driftshed.coordination.tiered import Tiered
-from driftshed.coordination.tiers import Hierarchy, HierarchyError, read_tiers
-from driftshed.coordination.view import plain
+from driftshed.coordination.view import to_plain_values
 from driftshed.net.loop import Timers
 from driftshed.net.stream import Stream, dial
 from driftshed.supervisor.service import Service
@@ -37,10 +37,10 @@
     return names
 
 
-def tiers_of(name: str, file: Path) -> Hierarchy:
+def load_hierarchy(name: str, file: Path) -> Hierarchy:
     """Reads a hierarchy file that contains this supervisor; raises click.BadParameter with the flag and the remedy."""
     try:
-        hierarchy = read_tiers(file.read_text())
+        hierarchy = read_hierarchy(file.read_text())
         hierarchy.placement(name)
         return hierarchy
     except (OSError, UnicodeDecodeError) as error:
@@ -49,7 +49,7 @@
         raise click.BadParameter(f"{file}: {error}", param_hint="--tiers or --name") from None
 
 
-def take_part(
+def join_fleet(
     loop: Timers,
     service: Service,
     hosts: list[tuple[str, int]],
@@ -71,23 +71,23 @@
     member = Member(name, advertise or f"{host}:{port}", version("driftshed"))
     seed = int.from_bytes(os.urandom(6), "big") if seed is None else seed
     if tiers is not None:
-        agent = Tiered(loop, tiers, member, timeout, seed, log, dial)
+        agent = HierarchicalAgent(loop, tiers, member, timeout, seed, log, dial)
     else:
         agent = Agent(loop, hosts, root, member, parse_expected(name, expected), timeout, seed, log, dial)
     service.live_supervisors = lambda: agent.addresses
-    service.views["fleet"] = lambda: plain(agent.view())
+    service.views["fleet"] = lambda: to_plain_values(agent.view())
     zones = service.instance.facts.zones
 
     def publish() -> None:
         joined = Counter(zones[poll.record.zone] for poll in service.streams.values())
-        agent.say(proxies=joined.total(), zones=dict(sorted(joined.items())))
+        agent.publish(proxies=joined.total(), zones=dict(sorted(joined.items())))
         loop.after(PUBLISH_INTERVAL_S, publish)
 
     publish()
     return agent
 
 
-def leave(agent: Agent, service: Service, on_done: Callable[[], object]) -> None:
+def leave_fleet(agent: Agent, service: Service, on_done: Callable[[], object]) -> None:
     """Graceful shutdown: announces it, hands the proxies over at the rate of the other supervisors' channels, leaves
     the fleet and calls `on_done`; immediately where no other supervisor is present."""
 
@@ -95,10 +95,10 @@
         agent.leave()
         on_done()
 
-    others = [each for each in agent.addresses if each != agent.chair.node.address]
+    others = [each for each in agent.addresses if each != agent.registration.node.address]
     if not others:
         on_drained()
         return
-    agent.say(state="leaving")
+    agent.publish(state="leaving")
     rate = service.instance.facts.lines_per_second
-    service.hand_over(lambda lines: apart(lines, rate, len(others)), on_drained)
+    service.hand_over(lambda lines: handover_interval(lines, rate, len(others)), on_drained)
--- a/driftshed/coordination/view.py
+++ b/driftshed/coordination/view.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Barred
+from driftshed.coordination.agreement import RecordError
 from driftshed.coordination.folder import Folder
-from driftshed.coordination.members import MemberError, Roll, read_member
+from driftshed.coordination.members import MemberError, MembershipView, decode_member
 from driftshed.net.loop import Timers
 from driftshed.roster.client import RosterClient
 from driftshed.roster.jute import EXPIRED, Event
@@ -30,7 +30,7 @@
     ) -> None:
         """Connects at once. `expected`: names of the supervisors, or empty to expect every supervisor that is found."""
         self.loop, self.on_done = loop, on_done
-        self.roll = Roll(expected, loop.clock())
+        self.membership = MembershipView(expected, loop.clock())
         self.expect_all = not expected  # no names given: every member found is expected
         self.records: dict[str, agreement.Record] = {}
         self.votes: dict[str, list[agreement.Vote]] = {}
@@ -70,24 +70,24 @@
 
     def _member_updated(self, node: str, data: bytes, stat: object) -> None:
         try:
-            member = read_member(node, data)
+            member = decode_member(node, data)
         except MemberError:
             return
         if self.expect_all:
-            self.roll.set_expected(tuple(sorted({*self.roll.expected, member.name})))
-        self.roll.appeared(node, member, stat.czxid, self.loop.clock())
+            self.membership.set_expected(tuple(sorted({*self.membership.expected, member.name})))
+        self.membership.update_node(node, member, stat.czxid, self.loop.clock())
 
     def _record_updated(self, name: str, data: bytes, stat: object) -> None:
         try:
-            self.records[name] = agreement.read_record(name, data)
-        except Barred:
+            self.records[name] = agreement.decode_record(name, data)
+        except RecordError:
             return
         votes = self.votes[name] = []
 
         def on_vote(node: str, data: bytes, stat: object) -> None:
             try:
-                vote = agreement.read_ballot(node, data)
-            except Barred:
+                vote = agreement.read_vote(node, data)
+            except RecordError:
                 return
             if vote.epoch == self.records[name].epoch:
                 votes.append(vote)
@@ -99,20 +99,20 @@
 
     def _finish_if_complete(self) -> None:
         if (
-            self.members.whole
-            and self.record_folder.whole
-            and all(vote_folder.whole for vote_folder in self.vote_folders.values())
+            self.members.complete
+            and self.record_folder.complete
+            and all(vote_folder.complete for vote_folder in self.vote_folders.values())
         ):
             self._finish()
 
     def _finish(self) -> None:
         now = self.loop.clock()
         records = [{"record": record, "age": None, "words": self.votes[name]} for name, record in self.records.items()]
-        members = [row._asdict() for row in self.roll.rows(now)]
-        self.on_done({"by": None, "order": self.roll.order(), "members": members, "records": records})
+        members = [row._asdict() for row in self.membership.rows(now)]
+        self.on_done({"by": None, "order": self.membership.order(), "members": members, "records": records})
 
 
-def plain(view: dict) -> dict:
+def to_plain_values(view: dict) -> dict:
     """Converts a view to builtin types that JSON can encode."""
     return msgspec.to_builtins(view)
 
--- a/driftshed/day/accord.py
+++ b/driftshed/day/accord.py
@@ -93,7 +93,7 @@
     def _add_record(self, path: str, data: bytes) -> None:
         topic = path.removeprefix(f"{self.root}/records/")
         if "/" not in topic:
-            self.records.append(agreement.read_record(topic, data))
+            self.records.append(agreement.decode_record(topic, data))
 
     def _judge_epochs(self) -> None:
         """An epoch of the fleet has one proposal, and the proposal one outcome."""
--- a/driftshed/day/policies.py
+++ b/driftshed/day/policies.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from driftshed.coordination.lease import DRIFT
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.core.messages import Changes, Line
-from driftshed.policy.change import everywhere_within
+from driftshed.policy.change import activation_bound_s
 
 if TYPE_CHECKING:
     from driftshed.day.judge import Judge, Verdict
@@ -27,7 +27,7 @@
         judge.verdict,
         judge.changes_received,
         first,
-        everywhere_within(timeout, POLICY_AHEAD_S, DRIFT) + DELAY_ALLOWANCE_S,
+        activation_bound_s(timeout, POLICY_AHEAD_S, MAX_CLOCK_DRIFT) + DELAY_ALLOWANCE_S,
     )
 
 
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -16,7 +16,7 @@
 import click
 from msgspec import json
 
-from driftshed.coordination import taking_part, tiered
+from driftshed.coordination import hierarchical_agent, participation
 from driftshed.coordination.agent import Agent
 from driftshed.day.accord import ORDER_PATH, RULES, OrderReport
 from driftshed.day.policies import RULE as POLICIES
@@ -25,8 +25,8 @@
 from driftshed.evacuation.overlay import Overlay
 from driftshed.net.http import HttpClient
 from driftshed.net.loop import Timers
-from driftshed.policy import part
-from driftshed.policy.change import TOPIC, Course
+from driftshed.policy import participant
+from driftshed.policy.change import TOPIC, ActivationSchedule
 from driftshed.proxy.follow import Follower
 from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import ANY_VERSION, Multi, SetData
@@ -44,8 +44,8 @@
     def __init__(self, loop: Timers, agent: Agent, sink: tuple[str, int]) -> None:
         """`sink`: the address of the harness, to which orders are reported."""
         self.loop, self.agent, self.client = loop, agent, HttpClient(loop, sink, max_idle=1)
-        self.random, self.number = Random(agent.run), 0
-        agent.judge = self._vote
+        self.random, self.number = Random(agent.run_id), 0
+        agent.vote_on = self._vote
         self._report_order()
         loop.after(self.random.uniform(*PROPOSAL_INTERVAL_S), self._propose)
 
@@ -56,7 +56,7 @@
     def _report_order(self) -> None:
         self.loop.after(ORDER_INTERVAL_S, self._report_order)
         agent = self.agent
-        committed = {topic: standing for topic in list(agent.topics) if (standing := agent.agreed(topic))}
+        committed = {topic: standing for topic in list(agent.topics) if (standing := agent.value_in_force(topic))}
         if committed:
             rests_on = {topic: (each.epoch, each.token) for topic, each in committed.items()}
             body = json.encode(OrderReport(agent.name, agent.incarnation, rests_on))
@@ -68,7 +68,7 @@
         topic = self.random.choice(TOPICS)
         if sum(len(known.proposals) for known in agent.topics.values()) < len(TOPICS):
             self.number += 1
-            expected = agent.roll.expected
+            expected = agent.membership.expected
             agent.propose(topic, self.number, expected, len(expected) // 2 + 1, PROPOSAL_TIMEOUT_S)
 
 
@@ -83,13 +83,13 @@
 
     def _report(self) -> None:
         self.loop.after(ORDER_INTERVAL_S, self._report)
-        agent, policy = self.agent, getattr(self.agent, "policy_part", None)
-        standing = agent.standing(TOPIC)
-        if standing is not None and agent.acts():
+        agent, policy = self.agent, getattr(self.agent, "policy_participant", None)
+        standing = agent.committed_value(TOPIC)
+        if standing is not None and agent.may_act():
             rests_on = {TOPIC: (standing.epoch, standing.token)}
             self._post(ORDER_PATH, OrderReport(agent.name, agent.incarnation, rests_on))
-        if policy is not None and not policy._holds_still():
-            self._post(RUNS_PATH, VersionReport(agent.name, agent.incarnation, policy.course.version()))
+        if policy is not None and not policy._tables_frozen():
+            self._post(RUNS_PATH, VersionReport(agent.name, agent.incarnation, policy.schedule.active_version()))
 
     def _post(self, path: str, report: OrderReport | VersionReport) -> None:
         self.client.call("POST", path, json.encode(report), lambda answer: None, 1.0)
@@ -99,8 +99,8 @@
     """Removes one guard of the fleet in this process, so that its checker is shown to detect the violation. `name`: of
     the supervisor that this process runs, if any; only those with names ending in 0 violate the rule of policies."""
     if guard == "leases":  # acts without a lease, as long as it is listed
-        Agent.holds = lambda self: self.chair.state is RegistrationState.LISTED and not self.stopped
-        tiered.Tiered.acts = Agent.holds
+        Agent.holds_lease = lambda self: self.registration.state is RegistrationState.LISTED and not self.stopped
+        hierarchical_agent.HierarchicalAgent.may_act = Agent.holds_lease
     elif guard == "epochs":  # writes regardless of the version in the store
         write = Agent._write
 
@@ -118,12 +118,12 @@
 
         Agent._write = write_any_version
     elif guard == "zones":  # agrees to evacuations, and does not apply them
-        Overlay.wanted = lambda self: set()
+        Overlay.servers_to_leave = lambda self: set()
     elif guard == POLICIES and name.endswith("0"):  # applies committed changes long after the others
-        original_due = Course.due
-        Course.due = lambda self, now: original_due(self, now - POLICY_DELAY_S)
-        part.may_change_tables = lambda known, now: True
-        part.PolicyPart._holds_still = lambda self: False
+        original_due = ActivationSchedule.take_due
+        ActivationSchedule.take_due = lambda self, now: original_due(self, now - POLICY_DELAY_S)
+        participant.may_change_tables = lambda known, now: True
+        participant.PolicyParticipant._tables_frozen = lambda self: False
     elif guard == "owners":  # a proxy whose terms do not increase
         dial = Follower._join
 
@@ -157,7 +157,7 @@
         take_out(guard, dict(zip(command, command[1:], strict=False)).get("--name", ""))
     if orders_to:
         host, _, port = orders_to.rpartition(":")
-        take_part = taking_part.take_part
+        take_part = participation.join_fleet
 
         def take_part_with_workload(loop, *args, **kwargs) -> Agent:
             agent = take_part(loop, *args, **kwargs)
@@ -166,11 +166,11 @@
             return agent
 
         def create_with_reference(self, loop, service, agent, *args, **kwargs) -> None:
-            agent.policy_part = self
+            agent.policy_participant = self
             create(self, loop, service, agent, *args, **kwargs)
 
-        taking_part.take_part = take_part_with_workload
-        create, part.PolicyPart.__init__ = part.PolicyPart.__init__, create_with_reference
+        participation.join_fleet = take_part_with_workload
+        create, participant.PolicyParticipant.__init__ = participant.PolicyParticipant.__init__, create_with_reference
     sys.argv = ["driftshed", *command]
     runpy.run_module("driftshed.cli", run_name="__main__")
 
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -691,9 +691,9 @@
         self.loop.after(trouble.lasts, restore)
 
     def _begin_change(self, trouble: schema.Change) -> None:
-        document = policies.of_flags({**self.script.flags, **trouble.settings}, self.script.operations)
+        document = policies.from_flags({**self.script.flags, **trouble.settings}, self.script.operations)
         despite = [self.names[number] for number in trouble.despite]
-        proposal = {"what": "propose", "who": "the day", "text": policies.as_toml(document), "despite": despite}
+        proposal = {"what": "propose", "who": "the day", "text": policies.to_toml(document), "despite": despite}
         client = HttpClient(self.loop, (f"127.{self.net}.0.{9 + trouble.who}", 7100), max_idle=1)
 
         def on_answer(answer: Answer) -> None:
--- a/driftshed/day/tiers_accord.py
+++ b/driftshed/day/tiers_accord.py
@@ -16,8 +16,8 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Record
-from driftshed.coordination.lease import DRIFT
-from driftshed.coordination.tiers import HOLDS
+from driftshed.coordination.hierarchy import HEARTBEAT_VALIDITY_FRACTION
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.core.messages import Changes
 from driftshed.day import accord
 from driftshed.day.accord import AgreementChecker
@@ -25,7 +25,7 @@
 from driftshed.day.policies import RULE as POLICIES
 from driftshed.day.recorder import CONTROL, ORDER, STORED
 from driftshed.day.traffic import Connection, StoreTalk
-from driftshed.policy.change import TOPIC, everywhere_within
+from driftshed.policy.change import TOPIC, activation_bound_s
 from driftshed.roster import jute
 
 RULES = (*accord.RULES, POLICIES, "ends")
@@ -125,11 +125,11 @@
     def _add_node(self, path: str, at: float, data: bytes, stat: jute.Stat | None = None) -> None:
         topic, _, node = path.removeprefix(f"{self.root}/records/").partition("/")
         if node:
-            vote = agreement.read_ballot(node, data)
+            vote = agreement.read_vote(node, data)
             first_times = self.votes[vote.epoch, vote.name]
             first_times[vote.assent] = min(at, first_times.get(vote.assent, at))
         else:
-            record = agreement.read_record(topic, data)
+            record = agreement.decode_record(topic, data)
             if stat is None:
                 self.seen.append(ObservedRecord(at, 0, record))
             else:
@@ -173,8 +173,8 @@
                 if vote_times.get(True, accord.NEVER) <= seen.at + accord.TRANSIT_ALLOWANCE_S:
                     continue
                 away = isinstance(waits, float | int)
-                since, till = seen.at - (waits * (1 - 2 * DRIFT) if away else accord.NEVER), seen.at
-                till -= timeout * (1 + DRIFT) + REPORT_ALLOWANCE_S
+                since, till = seen.at - (waits * (1 - 2 * MAX_CLOCK_DRIFT) if away else accord.NEVER), seen.at
+                till -= timeout * (1 + MAX_CLOCK_DRIFT) + REPORT_ALLOWANCE_S
                 seen_at = [at for at in self.sightings[name] if since + REPORT_ALLOWANCE_S < at < till]
                 if not away or seen_at:
                     why = f"it was present at {seen_at[-1]:.2f} s" if seen_at else "it waits for every vote"
@@ -203,7 +203,10 @@
         `names[number]` its name; `timeout`: of sessions, and `ahead`: of policies, in seconds; `ends`: the record
         continues until the faults are over and all supervisors should have converged."""
         self.verdict, self.kinds, self.fleets, self.names, self.owner = verdict, kinds, fleets, names, owner
-        self.timeout, self.bound = timeout, everywhere_within(timeout, ahead, DRIFT, tiers=3) + DELAY_ALLOWANCE_S
+        self.timeout, self.bound = (
+            timeout,
+            activation_bound_s(timeout, ahead, MAX_CLOCK_DRIFT, tiers=3) + DELAY_ALLOWANCE_S,
+        )
         verdict.rules = {rule: {"checked": 0, "broken": 0} for rule in RULES}
         self.ends = ends
         self.end = max((each.now for rows in kinds.values() for each in rows), default=0.0)
@@ -277,7 +280,7 @@
         """No supervisor gives orders after the time proven by its own readings of its region's heartbeats, nor after it
         read that its cell has no delegate, nor if the region had no node in the whole within the time that a heartbeat
         proves."""
-        region, lasts = self.fleets.region_of(cell), HOLDS * self.timeout
+        region, lasts = self.fleets.region_of(cell), HEARTBEAT_VALIDITY_FRACTION * self.timeout
         proofs, listings = self._contact_proofs(cell, region, lasts), self._cell_listings(cell, region)
         region_presence = [
             sorted(rows) for node, rows in self.checkers[""].presence.items() if node.partition("~")[0] == region
@@ -298,7 +301,7 @@
                 self.verdict.report_violation(
                     "leases", f"{order.name} acts at {at:.2f} s, having read that {cell} has no delegate"
                 )
-            since = at - lasts * (1 + DRIFT) - REPORT_ALLOWANCE_S
+            since = at - lasts * (1 + MAX_CLOCK_DRIFT) - REPORT_ALLOWANCE_S
             if not any(was_present(rows, since, at) for rows in region_presence):
                 self.verdict.report_violation(
                     "leases", f"{order.name} acts at {at:.2f} s; {region} had no node in the whole since {since:.2f} s"
--- a/driftshed/day/zones.py
+++ b/driftshed/day/zones.py
@@ -37,7 +37,7 @@
             topic = request.path.removeprefix(folder) if isinstance(request, jute.GetData) else ""
             if topic not in places_by_topic:
                 continue
-            committed = agreement.read_record(topic, result[0]).standing
+            committed = agreement.decode_record(topic, result[0]).standing
             if committed is None or committed.epoch <= in_force.get((owner, topic), (0, {}))[0]:
                 continue
             stage = msgspec.convert(committed.body, Stage)
--- a/driftshed/evacuation/part.py
+++ b/driftshed/evacuation/controller.py
@@ -24,8 +24,8 @@
     Stage,
     capacity_share,
     ceiling_share,
+    check_succession,
     decide_vote,
-    follows,
     next_stage,
 )
 from driftshed.net.loop import Timers
@@ -79,13 +79,13 @@
         self.proposed: set[str] = set()  # topics with an own proposal that is open or recent
         self.first_seen: dict[str, tuple[int, float]] = {}  # by topic: the committed epoch, and since when
         self.local_shares: dict[str, float] = {}  # by topic: ordered for here alone, without a lease
-        self.on_decided: Callable[..., object] = lambda now, what, topic, given, said: None
+        self.on_decision: Callable[..., object] = lambda now, what, topic, given, said: None
         self.started_at = loop.clock()
         instance = service.instance
         instance.overlay = lambda listing: self.overlay.apply_listing(listing, self.loop.clock())
         instance.on_server_report = self._record_tries
-        previous_judge, previous_on_record = agent.judge, agent.on_record
-        agent.judge = lambda record: self._vote(record) if record.topic in self.by_topic else previous_judge(record)
+        previous_judge, previous_on_record = agent.vote_on, agent.on_record
+        agent.vote_on = lambda record: self._vote(record) if record.topic in self.by_topic else previous_judge(record)
         agent.on_record = lambda record: (previous_on_record(record), self._apply())
         service.views["zones"] = self.view
         service.actions["zones"] = (OperatorOrder, self.handle_order)
@@ -96,7 +96,7 @@
         """Why no proxy may join now, or "".
 
         Guards against a first table without regard to a zone that is left; the wait is limited."""
-        is_read = self.agent.records.whole and self.agent.holds()
+        is_read = self.agent.records.complete and self.agent.holds_lease()
         timed_out = self.loop.clock() > self.started_at + START_WAIT_SESSION_TIMEOUTS * self.agent.timeout
         return "" if is_read or timed_out else "the records of zones are not read yet; come back soon"
 
@@ -111,9 +111,9 @@
 
     def committed_stage(self, place: Place) -> Stage | None:
         """Returns the committed stage of a place as last read; an order by hand that is over counts as `left`."""
-        return self._effective_stage(place, self.agent.standing(place.topic))
+        return self._effective_stage(place, self.agent.committed_value(place.topic))
 
-    def _effective_stage(self, place: Place, committed: agreement.Standing | None) -> Stage | None:
+    def _effective_stage(self, place: Place, committed: agreement.CommittedValue | None) -> Stage | None:
         if committed is None:
             return None
         try:
@@ -127,7 +127,7 @@
 
     def _committed_since(self, place: Place) -> float:
         """Returns when the committed stage of a place was first read here; proposals in between do not matter."""
-        committed = self.agent.standing(place.topic)
+        committed = self.agent.committed_value(place.topic)
         epoch = committed.epoch if committed is not None else 0
         if self.first_seen.get(place.topic, (-1, 0.0))[0] != epoch:
             self.first_seen[place.topic] = epoch, self.loop.clock()
@@ -214,7 +214,7 @@
         if verdict is Verdict.UNHEALTHY and not has_inside_stats and "well" in reports:
             verdict = Verdict.PARTITIONED  # the proxies inside, which other supervisors serve, report it healthy
         topic = self.agent.topics.get(place.topic)
-        opened_at = topic.opened if topic is not None and topic.record is not None else now
+        opened_at = topic.opened_at if topic is not None and topic.record is not None else now
         return Observation(
             verdict,
             min(FOREVER_S, self.verdicts.duration_s(number, verdict, now)),
@@ -233,7 +233,7 @@
 
     def _reported_inside(self, zone: str) -> set[str]:
         """Returns the reports on a zone by the other living supervisors of its proxies; "" for a missing report."""
-        members = (each.member for each in self.agent.roll.living().values())
+        members = (each.member for each in self.agent.membership.living().values())
         return {each.inside.get(zone, "") for each in members if each.zones.get(zone) and each.name != self.agent.name}
 
     def _publish_inside(self) -> None:
@@ -249,7 +249,7 @@
                 for number, zone in enumerate(self.zones)
                 if (number, number) in self.stats
             }
-        self.agent.say(inside=inside)
+        self.agent.publish(inside=inside)
 
     def _tick(self) -> None:
         self.loop.after(self.facts.report_period, self._tick)
@@ -264,11 +264,11 @@
             ],
         )
         self._apply()
-        if not self.agent.holds():
+        if not self.agent.holds_lease():
             self.candidates.clear()
             return
         self._publish_inside()
-        self.agent.look()
+        self.agent.evaluate()
         fleet = self._zone_totals()
         for place in self.places:
             self._propose(place, fleet, now)
@@ -277,7 +277,7 @@
         """Applies the committed shares to the roster.
 
         Without a lease the last shares stay, except for what an operator ordered to return at this supervisor alone."""
-        if self.agent.holds() and self.agent.records.whole:
+        if self.agent.holds_lease() and self.agent.records.complete:
             self.local_shares.clear()
             shares = self._left_shares()
         else:
@@ -329,15 +329,15 @@
         candidate = self.candidates.get(place.topic)
         since = candidate[1] if candidate is not None and candidate[0].phase == successor.phase else now
         self.candidates[place.topic] = successor, since
-        ranks = self.agent.roll.order()
+        ranks = self.agent.membership.order()
         rank = ranks.index(self.agent.name) if self.agent.name in ranks else len(ranks)
         if place.topic in self.proposed or now < since + rank * PROPOSAL_STAGGER_PACES * self.limits.pace:
             return
-        self.on_decided(now, "next", place.topic, (place.name, stage, observation, self.limits, order), successor)
+        self.on_decision(now, "next", place.topic, (place.name, stage, observation, self.limits, order), successor)
         self._submit(place, successor)
 
     def _submit(self, place: Place, stage: Stage, valid_for: float | None = None) -> None:
-        expected = self.agent.roll.expected
+        expected = self.agent.membership.expected
 
         def on_done(proposal) -> None:
             self.log(
@@ -372,7 +372,7 @@
         committed, observation = self._effective_stage(place, record.standing), self.observe(place, before=record.epoch)
         vote = decide_vote(committed, stage, observation, self.limits)
         if vote is not None:
-            self.on_decided(self.loop.clock(), "word", place.topic, (committed, stage, observation, self.limits), vote)
+            self.on_decision(self.loop.clock(), "word", place.topic, (committed, stage, observation, self.limits), vote)
         return vote
 
     # ---- orders by hand ---------------------------------------------------------------------------------------
@@ -416,7 +416,7 @@
             self._check_local_order(place, request.share)
         else:
             try:
-                follows(stage, new, self.limits)
+                check_succession(stage, new, self.limits)
             except BadStage as error:
                 raise Refused(409, str(error)) from None
         if not request.dry and request.what == "alone":
@@ -424,7 +424,7 @@
             self.local_shares[place.topic] = request.share
             self._apply()
         elif not request.dry:
-            if not self.agent.holds():
+            if not self.agent.holds_lease():
                 raise Refused(503, "this supervisor has no lease; ask another, or wait for the store")
             self._submit(place, new, valid_for)
         servers = {name: {"ready": 0, "left": 0} for name in self.zones}
@@ -432,7 +432,7 @@
         trial.entries, trial.shares = self.overlay.entries, self._left_shares(but=place)
         for zone, share in place.shares(new.share, self._zone_indexes(new.order)).items():
             trial.shares[zone] = max(trial.shares[zone], share)
-        left_servers = trial.wanted()
+        left_servers = trial.servers_to_leave()
         for entry in self.overlay.entries.values():
             if entry.state == face.READY:
                 servers[self.zones[entry.zone]]["left" if entry.server in left_servers else "ready"] += 1
@@ -440,7 +440,7 @@
 
     def _check_local_order(self, place: Place, share: float) -> None:
         """Raises Refused unless one supervisor may return to `share` alone: without the store, and by one step only."""
-        if self.agent.holds():
+        if self.agent.holds_lease():
             raise Refused(409, "the store is reachable: the shares are agreed by all, ask for `return`")
         left_share = max(self.shares[zone] for zone in place.zones)
         max_step = max(self.limits.trickle, 1.0 - left_share)
--- a/driftshed/evacuation/overlay.py
+++ b/driftshed/evacuation/overlay.py
@@ -32,7 +32,7 @@
         self.left_at: dict[face.Server, float] = {}  # time since which it is left
         self.cold_since: dict[face.Server, float] = {}  # start time to list for a server that has returned
 
-    def wanted(self) -> set[face.Server]:
+    def servers_to_leave(self) -> set[face.Server]:
         """Returns the servers that are to be left by the current shares."""
         left: set[face.Server] = set()
         ready = [entry for entry in self.entries.values() if entry.state == face.READY]
@@ -79,7 +79,7 @@
         return face.Listing(version, face.DELTA, tuple(map(self._effective_entry, changed)))
 
     def _update_left(self, now: float) -> None:
-        wanted = self.wanted()
+        wanted = self.servers_to_leave()
         for server in self.left - wanted:
             idle_s = now - self.left_at.pop(server, now)
             if server in self.entries:
--- a/driftshed/evacuation/retrace.py
+++ b/driftshed/evacuation/replay.py
@@ -10,7 +10,7 @@
 VOTE_DECODER = msgspec.json.Decoder(tuple[Stage | None, Stage, Observation, Limits])
 
 
-def decided_again(row: dict) -> str:
+def replay_decision(row: dict) -> str:
     """Repeats a recorded decision (trace/schema.py); returns "" if the result is the same, else the difference."""
     try:
         if row["what"] == "next":
--- a/driftshed/evacuation/stages.py
+++ b/driftshed/evacuation/stages.py
@@ -205,7 +205,7 @@
     )
 
 
-def follows(old: Stage | None, new: Stage, limits: Limits) -> None:
+def check_succession(old: Stage | None, new: Stage, limits: Limits) -> None:
     """Raises BadStage if a stage may not follow the committed one, whoever proposes it."""
     if new.by is not None:
         return  # by hand: its record limits the time
@@ -247,7 +247,7 @@
 def decide_vote(old: Stage | None, new: Stage, observation: Observation, limits: Limits) -> tuple[bool, str] | None:
     """Returns assent, or an objection with its reason, by this supervisor's own evidence; None while it cannot vote."""
     try:
-        follows(old, new, limits)
+        check_succession(old, new, limits)
     except BadStage as error:
         return False, str(error)
     more = new.share > (old.share if old is not None else 0.0) + TOLERANCE
--- a/driftshed/lab/environments.py
+++ b/driftshed/lab/environments.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from driftshed.coordination.agent import Agent
-from driftshed.coordination.taking_part import take_part
+from driftshed.coordination.participation import join_fleet
 from driftshed.core.instance import Instance
 from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, STORED, WORK, Opened, Passed, Recorder
 from driftshed.day.relay import Relay
 from driftshed.day.stage import CONTROL_PORT, ROSTER_PORT, Cast, ProxyProcess, SupervisorProcess, free_net
 from driftshed.day.traffic import StoreTalk
-from driftshed.evacuation.part import Evacuation
+from driftshed.evacuation.controller import Evacuation
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
 from driftshed.lab.record import TrafficRecord
@@ -183,7 +183,7 @@
             service.roster_source, instance.on_server_answered = "the store", follower.record_answer
         if fleet.supervisors > 1:
             names = [f"s{k}" for k in range(fleet.supervisors)]
-            self.agents[number] = take_part(
+            self.agents[number] = join_fleet(
                 seat,
                 service,
                 [self.store_address],
--- a/driftshed/policy/change.py
+++ b/driftshed/policy/change.py
@@ -13,12 +13,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from driftshed.coordination.tiers import everywhere
+from driftshed.coordination.hierarchy import propagation_bound
 from driftshed.policy import document as policies
 from driftshed.policy.document import BadDocument, Document
 
 TOPIC = "policy"
-RECORD_READ_S = 0.25  # upper limit for reading a record, as `everywhere_within` counts it
+RECORD_READ_S = 0.25  # upper limit for reading a record, as `activation_bound_s` counts it
 
 
 class Change(Struct, frozen=True):
@@ -44,7 +44,7 @@
     """Decodes the body of a record; raises BadChange if it is malformed or its text does not match its digest."""
     try:
         change = msgspec.convert(body, Change)
-        document = policies.parse(change.text)
+        document = policies.parse_canonical(change.text)
     except (msgspec.ValidationError, BadDocument) as error:
         raise BadChange(str(error)) from None
     if policies.digest(document) != change.digest or policies.canonical(document) != change.text:
@@ -72,15 +72,15 @@
     if committed is not None:
         if committed.digest == change.digest:
             raise BadChange(f"the document is already in force as version {committed_version}")
-        problems = policies.disallowed_changes(policies.parse(committed.text), document)
+        problems = policies.disallowed_changes(policies.parse_canonical(committed.text), document)
         if problems:
             raise BadChange("; ".join(problems))
-    problems = policies.never_met(document)
+    problems = policies.unsatisfiable_requirements(document)
     if problems:
         raise BadChange("; ".join(problems))
 
 
-def waited_out(despite_after: float, drift: float) -> float:
+def despite_silence_s(despite_after: float, drift: float) -> float:
     """Returns the seconds of silence after which a change may do without a supervisor's vote.
 
     By any clock within `drift` this is longer than the time for which that supervisor continues on its own."""
@@ -109,7 +109,7 @@
         silent = silent_s.get(name)
         if silent is None:
             return False, f"{name} is alive: its vote is needed"
-        if silent < waited_out(despite_after, drift):
+        if silent < despite_silence_s(despite_after, drift):
             return (
                 False,
                 f"{name} has been silent for {silent:.0f} s only, and may go on by itself for {despite_after:g} s",
@@ -117,7 +117,7 @@
     return (False, apply_error) if apply_error else (True, "")
 
 
-class Known(NamedTuple):
+class LocalKnowledge(NamedTuple):
     """What one supervisor knows of its lease and of the policy.
 
     `lease_holds`: the lease is valid and the initial read of the records is complete. `lease_until`: end of the last
@@ -133,7 +133,7 @@
     drift: float
 
 
-def may_change_tables(known: Known, now: float) -> bool:
+def may_change_tables(known: LocalKnowledge, now: float) -> bool:
     """Whether a supervisor may make changes to its tables that the rules do not demand.
 
     Guards against two policies in force at a time. Past its lease, a supervisor that has assented to a change may have
@@ -146,18 +146,18 @@
     return not known.in_doubt and now < known.lease_until + known.despite_after * (1 - known.drift)
 
 
-def everywhere_within(timeout: float, ahead: float, drift: float, tiers: int = 1) -> float:
+def activation_bound_s(timeout: float, ahead: float, drift: float, tiers: int = 1) -> float:
     """Returns the bound in seconds from the commit of a change until no two supervisors order by different versions.
 
     The holder of a lease has received an answer to a request sent less than a time-out ago, and with it the
     notification of the changed record if it had changed by then. Past its lease it is in doubt and freezes its tables.
     In a hierarchy the lease of the region and the validity of its last heartbeat add up, and each level reads the
     record."""
-    lease_s = timeout * (1 + drift) if tiers == 1 else everywhere(timeout, drift)
+    lease_s = timeout * (1 + drift) if tiers == 1 else propagation_bound(timeout, drift)
     return lease_s + RECORD_READ_S * tiers + ahead
 
 
-class Course:
+class ActivationSchedule:
     """The version that is active at a supervisor, and the committed one that is scheduled next."""
 
     def __init__(self) -> None:
@@ -177,7 +177,7 @@
         if self.scheduled is None or change.version > self.scheduled[0].version:
             self.scheduled = change, document, due_at
 
-    def due(self, now: float) -> tuple[Change, Document] | None:
+    def take_due(self, now: float) -> tuple[Change, Document] | None:
         """Returns the change that is to be applied now and makes it the active one; None while none is due."""
         if self.scheduled is None or now < self.scheduled[2]:
             return None
@@ -185,7 +185,7 @@
         self.active, self.scheduled, self.switched_at = change, None, now
         return change, document
 
-    def version(self) -> int:
+    def active_version(self) -> int:
         """Returns the number of the active version, 0 before the first."""
         return 0 if self.active is None else self.active.version
 
--- a/driftshed/policy/command.py
+++ b/driftshed/policy/command.py
@@ -21,7 +21,7 @@
 EXIT_CODES = {"settled": 0, "void": 1, "lost": 1, "refused": 1, "unknown": 5}
 
 
-def ask(supervisor: str, body: dict | None = None) -> dict:
+def query(supervisor: str, body: dict | None = None) -> dict:
     """Returns the policy view of a supervisor, or its answer to the request `body`; ends the program on an error."""
     return query_view(
         supervisor,
@@ -36,7 +36,7 @@
     """Reads a TOML file and returns its text and document; prints the error and exits with code 2 if it is invalid."""
     try:
         text = path.read_text()
-        return text, policies.read(text)
+        return text, policies.read_toml(text)
     except (OSError, UnicodeDecodeError) as error:
         click.echo(f"{path}: {error}", err=True)
     except BadDocument as error:
@@ -60,7 +60,7 @@
 def check(file: Path) -> None:
     """Checks a document and prints the requirements that no fleet could meet under it. Needs no fleet."""
     _, document = load_document(file)
-    for problem in (problems := policies.never_met(document)):
+    for problem in (problems := policies.unsatisfiable_requirements(document)):
         click.echo(f"{file}: {problem}", err=True)
     if problems:
         sys.exit(1)
@@ -80,7 +80,7 @@
         except ValueError:
             values[name] = value
     try:
-        click.echo(policies.as_toml(policies.of_flags(values, list(operations))), nl=False)
+        click.echo(policies.to_toml(policies.from_flags(values, list(operations))), nl=False)
     except BadDocument as error:
         click.echo(str(error), err=True)
         sys.exit(2)
@@ -108,7 +108,7 @@
 @as_json
 def show(supervisor: str, as_json: bool) -> None:
     """Shows the policy in force, the version at each supervisor and the open proposal."""
-    view = ask(supervisor)
+    view = query(supervisor)
     if as_json:
         click.echo(json.dumps(view))
         return
@@ -147,7 +147,7 @@
     Gives up after `most` seconds. Ends the program with the exit code of the outcome, and returns only on success."""
     deadline, reported = time.monotonic() + most, ""
     while True:
-        view = ask(supervisor)
+        view = query(supervisor)
         proposal = view["last_proposal"]
         if proposal is None or proposal["token"] != token:
             click.echo("the supervisor no longer has this proposal: see `policy history`", err=True)
@@ -193,7 +193,7 @@
 
 
 def _propose(supervisor: str, wait: bool, most: float, body: dict) -> None:
-    answer = ask(supervisor, {"who": getpass.getuser(), **body})
+    answer = query(supervisor, {"who": getpass.getuser(), **body})
     click.echo(f"proposed: version {answer['version']}, {answer['digest']}")
     _print_difference(answer["difference"])
     if wait:
@@ -246,7 +246,7 @@
 @supervisor
 def abort(supervisor: str) -> None:
     """Withdraws the proposal of this supervisor, unless it is committed by then."""
-    answer = ask(supervisor, {"what": "abort", "who": getpass.getuser()})
+    answer = query(supervisor, {"what": "abort", "who": getpass.getuser()})
     click.echo(f"abort requested for epoch {answer['aborted']}; `policy show` shows the outcome")
 
 
@@ -257,7 +257,7 @@
     """Prints a line at each change of the policy's state, for a while."""
     deadline, previous = time.monotonic() + most, None
     while time.monotonic() < deadline:
-        view = ask(supervisor)
+        view = query(supervisor)
         open_record = view["open"]
         snapshot = (
             view["standing"]["version"] if view["standing"] else 0,
@@ -284,7 +284,7 @@
 @as_json
 def history(supervisor: str, as_json: bool) -> None:
     """Shows the versions stored at this supervisor, newest first: author, time, reason, differences and duration."""
-    rows = ask(supervisor)["history"]
+    rows = query(supervisor)["history"]
     if as_json:
         click.echo(json.dumps(rows))
         return
@@ -297,6 +297,6 @@
             f"{', words of ' + row['assents'] if row['assents'] else ''}{reason}"
         )
         predecessor = next((other for other in committed if other["version"] < row["version"]), None)
-        old = policies.parse(predecessor["text"]) if predecessor is not None else None
+        old = policies.parse_canonical(predecessor["text"]) if predecessor is not None else None
         if old is not None:
-            _print_difference(policies.difference(old, policies.parse(row["text"])))
+            _print_difference(policies.difference(old, policies.parse_canonical(row["text"])))
--- a/driftshed/policy/document.py
+++ b/driftshed/policy/document.py
@@ -60,7 +60,7 @@
     guard_for: Annotated[float, Meta(ge=0, le=3600)] = 10.0
 
 
-def read(text: str) -> Document:
+def read_toml(text: str) -> Document:
     """Reads a document from TOML; raises BadDocument with line, field and remedy."""
     if len(text) > 4 * MAX_BYTES:
         raise BadDocument(f"{len(text)} characters: a policy may have {MAX_BYTES} bytes at the most")
@@ -82,7 +82,7 @@
     return document
 
 
-def parse(canonical_text: str) -> Document:
+def parse_canonical(canonical_text: str) -> Document:
     """Reads a document from its canonical text, as records and the policy store hold it; raises BadDocument."""
     try:
         form = msgspec.json.decode(canonical_text, type=dict).get("form")
@@ -144,7 +144,7 @@
     ]
 
 
-def of_flags(flags: dict[str, bool | int | float | str], operations: list[str]) -> Document:
+def from_flags(flags: dict[str, bool | int | float | str], operations: list[str]) -> Document:
     """Returns the document equivalent to the given flags of `supervise`; raises BadDocument if they are invalid."""
     try:
         rows = []
@@ -161,7 +161,7 @@
     return document
 
 
-def as_toml(document: Document) -> str:
+def to_toml(document: Document) -> str:
     """Returns a document as TOML for editing; empty tables and null values are left out."""
     plain, lines = _normalized(msgspec.to_builtins(document)), []
     encoded = lambda each: msgspec.json.encode(each).decode()  # noqa: E731
@@ -175,7 +175,7 @@
     return "\n".join(lines) + "\n"
 
 
-def facts(document: Document, own_number: int = 0, supervisors: int = 1) -> face.StartFacts:
+def start_facts(document: Document, own_number: int = 0, supervisors: int = 1) -> face.StartFacts:
     """Returns the start facts of a supervisor under the document; raises BadDocument if settings contradict."""
     flags = document.settings | {"own-number": own_number, "supervisors": max(supervisors, own_number + 1)}
     texts = []
@@ -204,7 +204,7 @@
     for name in names:
         if names.count(name) > 1:
             raise BadDocument(f"{_line_prefix(text, name)}operations: {name!r} is listed twice; list each once")
-    start = facts(document)
+    start = start_facts(document)
     try:
         read_regions(regions_text(document), start.zones)
         read_limits(limits_text(document))
@@ -224,9 +224,9 @@
     return ",".join(f"{name}={value}" for name, value in document.evacuation.items())
 
 
-def never_met(document: Document) -> list[str]:
+def unsatisfiable_requirements(document: Document) -> list[str]:
     """Returns the requirements that no fleet can meet under a document, each with its remedy."""
-    start, problems = facts(document), []
+    start, problems = start_facts(document), []
     full_table_lines = start.standing_lines * 2 + len(start.operations) + start.lines_per_message + 2
     if full_table_lines > start.queue_cap:
         problems.append(
--- a/driftshed/policy/part.py
+++ b/driftshed/policy/participant.py
@@ -18,30 +18,30 @@
 from driftshed.policy import document as policies
 from driftshed.policy.change import (
     TOPIC,
+    ActivationSchedule,
     BadChange,
     Change,
-    Course,
-    Known,
+    LocalKnowledge,
+    activation_bound_s,
     decide_vote,
-    everywhere_within,
+    despite_silence_s,
     may_change_tables,
     next_change,
     read_change,
     revert_proposal,
-    waited_out,
 )
 from driftshed.policy.document import BadDocument, Document
-from driftshed.policy.keep import BadKeep, Keep, StoredVersion
+from driftshed.policy.store import PolicyStore, PolicyStoreError, StoredVersion
 from driftshed.roster.announce import RegistrationState
 from driftshed.supervisor.service import Service
 
-LOOK_EVERY = 0.1  # seconds between two checks of the records, the lease and the module
+CHECK_INTERVAL_S = 0.1  # seconds between two checks of the records, the lease and the module
 PROPOSAL_TIMEOUT_S = 10.0  # how long a proposal waits for votes
 DEFAULT_DESPITE_AFTER_S = 60.0  # in a fleet without a policy
 MAX_SEEN_EPOCHS = 64  # epochs for which the time of the first sight is retained
 
 
-class Asked(Struct, forbid_unknown_fields=True):
+class PolicyRequest(Struct, forbid_unknown_fields=True):
     """An operator's request: `propose` a document (TOML), `revert` to a version, or `abort` the open proposal.
 
     `patience` is the proposal timeout in seconds."""
@@ -55,7 +55,7 @@
     patience: Annotated[float, Meta(ge=0.1, le=3600)] = PROPOSAL_TIMEOUT_S
 
 
-class PolicyPart:
+class PolicyParticipant:
     """Connects policies to an agent, a service and its instance; without one, policies are off.
 
     `document` is the active one, and `apply_error` says why the committed version cannot be applied here, "" if it
@@ -66,43 +66,43 @@
         loop: Timers,
         service: Service,
         agent: Agent,
-        keep: Keep,
+        store: PolicyStore,
         log: Callable[..., object] = lambda event, **fields: None,
         unix: Callable[[], float] = time.time,
     ) -> None:
         """Installs its callbacks in the agent, the service and the instance, in front of those that are there.
 
         `unix()` returns the wall clock in seconds, which only the history uses."""
-        self.loop, self.service, self.agent, self.keep, self.log, self.unix = loop, service, agent, keep, log, unix
-        self.instance, self.course = service.instance, Course()
+        self.loop, self.service, self.agent, self.store, self.log, self.unix = loop, service, agent, store, log, unix
+        self.instance, self.schedule = service.instance, ActivationSchedule()
         self.document: Document | None = None  # the active one
         self.previous: tuple[Change, Document] | None = None  # the version that was active before
         self.faults_at_switch, self.undone_version = 0, 0
         self.undo_at: float | None = None  # when to propose the revert of a policy under which the module raises
-        self.was_still, self.lease_until = False, float("-inf")
-        self.known = False  # whether the committed version was ever read
+        self.was_frozen, self.lease_until = False, float("-inf")
+        self.initial_read_complete = False  # whether the committed version was ever read
         self.apply_error = ""
         self.first_seen: dict[int, float] = {}  # by epoch, on the own clock
-        self.assented = {stored.epoch: stored for stored in keep.assented()}
-        self.latest_committed = keep.latest_committed()
-        self.mine: Proposal | None = None
+        self.assented = {stored.epoch: stored for stored in store.assented()}
+        self.latest_committed = store.latest_committed()
+        self.proposal: Proposal | None = None
         self.last_record: agreement.Record | None = None
-        previous_judge, previous_on_record, previous_waits = agent.judge, agent.on_record, service.not_ready_reason
-        agent.judge = lambda record: self._vote(record) if record.topic == TOPIC else previous_judge(record)
+        previous_judge, previous_on_record, previous_waits = agent.vote_on, agent.on_record, service.not_ready_reason
+        agent.vote_on = lambda record: self._vote(record) if record.topic == TOPIC else previous_judge(record)
         agent.on_record = lambda record: (previous_on_record(record), self._handle_record(record))
         service.not_ready_reason = lambda: previous_waits() or self._join_refusal()
-        self.instance.tables_frozen = lambda: self._holds_still()
+        self.instance.tables_frozen = lambda: self._tables_frozen()
         service.views["policy"] = self.view
-        service.actions["policy"] = (Asked, self.ask)
+        service.actions["policy"] = (PolicyRequest, self.handle_request)
         self._tick()
 
     # ---- the committed version --------------------------------------------------------------------------------
 
     def committed_change(self) -> Change | None:
         """Returns the committed change as last read, None if there is none or it is malformed."""
-        return self._parse_committed(self.agent.standing(TOPIC))
+        return self._parse_committed(self.agent.committed_value(TOPIC))
 
-    def _parse_committed(self, committed: agreement.Standing | None) -> Change | None:
+    def _parse_committed(self, committed: agreement.CommittedValue | None) -> Change | None:
         try:
             return None if committed is None else read_change(committed.body)[0]
         except BadChange:
@@ -113,38 +113,40 @@
 
         Guards against a first table under a superseded policy, and against proxies that join a supervisor that may not
         change their tables: they connect to another."""
-        if not self.known:
+        if not self.initial_read_complete:
             return "the policy in force is not read yet; join another, or come back soon"
         return (
-            "its tables are frozen until it knows which policy is in force; join another" if self._holds_still() else ""
+            "its tables are frozen until it knows which policy is in force; join another"
+            if self._tables_frozen()
+            else ""
         )
 
-    def _doubt(self) -> bool:
+    def _in_doubt(self) -> bool:
         """Whether a change may be committed unnoticed here: it is assented to already, or needs no vote of this one."""
         topic = self.agent.topics.get(TOPIC)
         record = topic.record if topic is not None else None
         pending_without_vote = agreement.pending(record) and self.agent.name not in record.needs
-        return bool(self.assented) or pending_without_vote or self.agent.undecided(TOPIC)
+        return bool(self.assented) or pending_without_vote or self.agent.is_undecided(TOPIC)
 
     def _despite_after(self) -> float:
         return DEFAULT_DESPITE_AFTER_S if self.document is None else self.document.despite_after
 
-    def _holds_still(self) -> bool:
-        due = self.course.scheduled is not None and (
-            self.course.active is None or self.loop.clock() >= self.course.scheduled[2]
+    def _tables_frozen(self) -> bool:
+        due = self.schedule.scheduled is not None and (
+            self.schedule.active is None or self.loop.clock() >= self.schedule.scheduled[2]
         )
-        if not self.known or due:
+        if not self.initial_read_complete or due:
             # The committed version comes before the next order, also in a process that was stopped when it was due.
             return True
         despite_after = self._despite_after()
-        if lease_holds := self.agent.acts() and self.agent.records.whole:
-            self.lease_until = self.agent.acts_until()
-        fenced = self.agent.chair.state is RegistrationState.FENCED
-        known = Known(
+        if lease_holds := self.agent.may_act() and self.agent.records.complete:
+            self.lease_until = self.agent.may_act_until()
+        fenced = self.agent.registration.state is RegistrationState.FENCED
+        known = LocalKnowledge(
             lease_holds,
             self.lease_until,
             fenced,
-            self._doubt(),
+            self._in_doubt(),
             bool(self.apply_error),
             despite_after,
             self.agent.lease.drift,
@@ -168,7 +170,7 @@
                 self._store_version(stored._replace(state="void"))
                 del self.assented[epoch]
 
-    def _handle_committed(self, committed: agreement.Standing) -> None:
+    def _handle_committed(self, committed: agreement.CommittedValue) -> None:
         """Stores a committed value that was read, and schedules the switch to it."""
         try:
             change, document = read_change(committed.body)
@@ -182,8 +184,8 @@
                 "it from a newer copy"
             )
             return
-        if change.version > self.course.version() and (
-            self.course.scheduled is None or change.version > self.course.scheduled[0].version
+        if change.version > self.schedule.active_version() and (
+            self.schedule.scheduled is None or change.version > self.schedule.scheduled[0].version
         ):
             reason = self._unsupported_reason(document)
             if reason:
@@ -193,9 +195,9 @@
                 return
             # Guards against using the old version for `ahead` seconds more after an absence, or after a time in which
             # the new one could not be applied: elsewhere that time is over.
-            was_current = self.known and not self.apply_error and self.loop.clock() < self.lease_until
-            self.course.schedule(change, document, self.loop.clock(), was_current=was_current)
-            self.loop.at(self.course.scheduled[2], self._switch)
+            was_current = self.initial_read_complete and not self.apply_error and self.loop.clock() < self.lease_until
+            self.schedule.schedule(change, document, self.loop.clock(), was_current=was_current)
+            self.loop.at(self.schedule.scheduled[2], self._switch)
         if self.latest_committed is None or self.latest_committed.epoch != committed.epoch:
             took = self.loop.clock() - self.first_seen.get(committed.epoch, self.loop.clock())
             names = ",".join(self._voters(change))
@@ -204,12 +206,12 @@
             )
             self._store_version(self.latest_committed)
         self.assented.pop(committed.epoch, None)
-        self.known, self.apply_error = True, ""
+        self.initial_read_complete, self.apply_error = True, ""
 
     def _set_apply_error(self, why: str) -> None:
         if why != self.apply_error:
             self.log("policy_cannot", level="error", why=why)
-        self.known, self.apply_error = True, why
+        self.initial_read_complete, self.apply_error = True, why
 
     def _unsupported_reason(self, document: Document) -> str:
         """Why this supervisor could not apply a document in its present state, or ""."""
@@ -231,11 +233,11 @@
 
     def _start_facts(self, document: Document):
         facts = self.instance.facts
-        return policies.facts(document, facts.own_number, facts.supervisors)
+        return policies.start_facts(document, facts.own_number, facts.supervisors)
 
     def _voters(self, change: Change) -> tuple[str, ...]:
         """The supervisors whose votes a change needs."""
-        return tuple(name for name in self.agent.roll.expected if name not in change.despite)
+        return tuple(name for name in self.agent.membership.expected if name not in change.despite)
 
     def _stored_version(self, epoch: int, change: Change, state: str) -> StoredVersion:
         fields = change.version, epoch, state, change.digest, change.text, change.who, change.why
@@ -244,15 +246,15 @@
     def _store_version(self, stored: StoredVersion) -> None:
         """Stores a version; a failure is only logged here, since the fleet's store has the committed version."""
         try:
-            self.keep.put(stored)
-        except BadKeep as error:
+            self.store.put(stored)
+        except PolicyStoreError as error:
             self.log("policy_not_kept", level="error", why=str(error))
 
     # ---- periodic checks --------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        self.loop.after(LOOK_EVERY, self._tick)
-        if self.agent.records.whole and self.agent.holds():
+        self.loop.after(CHECK_INTERVAL_S, self._tick)
+        if self.agent.records.complete and self.agent.holds_lease():
             topic = self.agent.topics.get(TOPIC)
             if (
                 topic is not None
@@ -267,17 +269,17 @@
                         "restore it"
                     )
                 else:
-                    self.known, self.apply_error = True, ""
+                    self.initial_read_complete, self.apply_error = True, ""
         self._switch()
-        frozen = self._holds_still()
-        if frozen != self.was_still:
+        frozen = self._tables_frozen()
+        if frozen != self.was_frozen:
             self.log("tables_hold_still" if frozen else "tables_may_change", level="warning" if frozen else "info")
-            self.was_still = frozen
+            self.was_frozen = frozen
             self.service.schedule_turn()
         self._revert_on_faults()
 
     def _switch(self) -> None:
-        previous, due = self.course.active, self.course.due(self.loop.clock())
+        previous, due = self.schedule.active, self.schedule.take_due(self.loop.clock())
         if due is None:
             return
         change, document = due
@@ -288,8 +290,8 @@
         evacuation = getattr(self.agent, "evacuation", None)
         if evacuation is not None:
             evacuation.limits = read_limits(policies.limits_text(document))
-        self.agent.say(policy=change.version)
-        self.agent.look()
+        self.agent.publish(policy=change.version)
+        self.agent.evaluate()
         self.log("policy", version=change.version, digest=change.digest, undoes=change.undoes)
         self.service.schedule_turn()
 
@@ -297,7 +299,7 @@
         """Proposes to revert a policy under which the module raised; the fleet agrees on it as on any other change."""
         if self.document is None or self.instance.faults == self.faults_at_switch or self.agent.is_open(TOPIC):
             return
-        since_switch_s, committed = self.loop.clock() - self.course.switched_at, self.committed_change()
+        since_switch_s, committed = self.loop.clock() - self.schedule.switched_at, self.committed_change()
         revert = revert_proposal(
             committed,
             self.previous,
@@ -305,10 +307,10 @@
             since_switch_s,
             self.document.guard_for,
         )
-        if revert is None or self.undone_version == committed.version or not self.agent.holds():
+        if revert is None or self.undone_version == committed.version or not self.agent.holds_lease():
             return
         if self.undo_at is None:
-            self.undo_at = self.loop.clock() + self.agent.herd_wait(self.document.guard_for / 2)
+            self.undo_at = self.loop.clock() + self.agent.proposal_backoff(self.document.guard_for / 2)
         if self.loop.clock() < self.undo_at:
             return
         self.undone_version = committed.version
@@ -318,15 +320,15 @@
             self._propose(
                 next_change(committed, document, self.agent.name, why, undoes=committed.version), PROPOSAL_TIMEOUT_S
             )
-        except (BadChange, agreement.Barred) as error:
+        except (BadChange, agreement.RecordError) as error:
             self.log("policy_not_taken_back", level="error", why=str(error))
 
     # ---- votes and proposals ----------------------------------------------------------------------------------
 
     def _silent_durations(self) -> dict[str, float | None]:
         """By name, the seconds for which each expected supervisor has been silent; None if it is alive."""
-        membership, now = self.agent.roll, self.loop.clock()
-        living, silent = membership.living(), membership.away(now)
+        membership, now = self.agent.membership, self.loop.clock()
+        living, silent = membership.living(), membership.absent_for(now)
         return {name: None if name in living else silent.get(name, 0.0) for name in membership.expected}
 
     def _vote(self, record: agreement.Record) -> tuple[bool, str] | None:
@@ -337,17 +339,17 @@
         except BadChange as error:
             return False, str(error)
         despite_after = self._despite_after()
-        required_silence_s = waited_out(despite_after, self.agent.lease.drift)
-        if self.agent.tiers > 1 and (record.waits is UNSET or record.waits < required_silence_s - 1e-9):
+        required_silence_s = despite_silence_s(despite_after, self.agent.lease.drift)
+        if self.agent.levels > 1 and (record.waits is UNSET or record.waits < required_silence_s - 1e-9):
             return (
                 False,
                 f"it waits less than the {required_silence_s:g} s for which silent supervisors may go on by themselves",
             )
-        if self.agent.tiers > 1 and self.course.scheduled is not None and not self.apply_error:
+        if self.agent.levels > 1 and self.schedule.scheduled is not None and not self.apply_error:
             # It votes once it has applied the committed version: one that returns delays nobody.
             return None
         apply_error = self.apply_error or (
-            "" if self.course.scheduled is None else "it is about to switch to another version"
+            "" if self.schedule.scheduled is None else "it is about to switch to another version"
         )
         assent, why = decide_vote(
             self._parse_committed(record.standing),
@@ -361,8 +363,8 @@
         if assent:
             stored = self._stored_version(record.epoch, change, "assented")
             try:
-                self.keep.put(stored)
-            except BadKeep as error:
+                self.store.put(stored)
+            except PolicyStoreError as error:
                 return False, f"it cannot be stored here: {error}"
             self.assented[record.epoch] = stored
         self.log("policy_word", version=change.version, assent=assent, why=why)
@@ -371,16 +373,16 @@
     def _propose(self, change: Change, proposal_timeout: float) -> None:
         voters = self._voters(change)
         required_silence_s = (
-            waited_out(self._despite_after(), self.agent.lease.drift) if self.agent.tiers > 1 else UNSET
+            despite_silence_s(self._despite_after(), self.agent.lease.drift) if self.agent.levels > 1 else UNSET
         )
-        self.mine = self.agent.propose(
+        self.proposal = self.agent.propose(
             TOPIC,
             msgspec.to_builtins(change),
             voters,
             len(voters),
             proposal_timeout,
             self._proposal_ended,
-            waits=required_silence_s,
+            absence_timeout=required_silence_s,
         )
 
     def _proposal_ended(self, proposal: Proposal) -> None:
@@ -388,59 +390,63 @@
 
     # ---- requests of an operator ------------------------------------------------------------------------------
 
-    def ask(self, request: Asked) -> dict:
+    def handle_request(self, request: PolicyRequest) -> dict:
         """Proposes a change, or withdraws the open proposal; raises Refused if that is not possible."""
         if request.what == "abort":
-            if self.mine is None or self.mine.state not in ("waiting", "open"):
+            if self.proposal is None or self.proposal.state not in ("waiting", "open"):
                 raise Refused(409, "no proposal of this supervisor is open: ask the one that proposed it")
-            self.agent.withdraw(TOPIC, self.mine, f"aborted by {request.who}")
-            return {"aborted": self.mine.epoch}
+            self.agent.withdraw(TOPIC, self.proposal, f"aborted by {request.who}")
+            return {"aborted": self.proposal.epoch}
         if request.what not in ("propose", "revert"):
             raise Refused(400, f"{request.what[:32]!r}: propose, revert or abort is wanted")
         committed = self.committed_change()
         try:
             document = (
-                policies.read(request.text) if request.what == "propose" else self._stored_document(request.version)
+                policies.read_toml(request.text)
+                if request.what == "propose"
+                else self._stored_document(request.version)
             )
             change = next_change(committed, document, request.who, request.why, tuple(request.despite))
         except BadDocument as error:
             raise Refused(400, str(error)) from None
         except BadChange as error:
             raise Refused(409, str(error)) from None
-        if request.despite and self.agent.tiers > 1:
+        if request.despite and self.agent.levels > 1:
             raise Refused(
                 400, "in tiers no vote is needed of those that are silent for long enough: leave --despite out"
             )
-        unknown = [name for name in request.despite if name not in self.agent.roll.expected or name == self.agent.name]
+        unknown = [
+            name for name in request.despite if name not in self.agent.membership.expected or name == self.agent.name
+        ]
         if unknown:
             raise Refused(400, f"{', '.join(unknown)}: not another supervisor of this fleet")
-        if not self.agent.holds():
+        if not self.agent.holds_lease():
             raise Refused(503, "this supervisor has no lease; ask another, or wait for the store")
-        if self.agent.is_open(TOPIC) or (self.mine is not None and self.mine.state in ("waiting", "open")):
+        if self.agent.is_open(TOPIC) or (self.proposal is not None and self.proposal.state in ("waiting", "open")):
             topic = self.agent.topics.get(TOPIC)
             record = topic.record if topic is not None else None
             proposer = record.by if agreement.pending(record) else self.agent.name
             raise Refused(409, f"a change of {proposer} is open: wait for it, or abort it")
         # Guards against a supervisor that is named as gone but was only stopped: when it resumes, it is fenced.
         for name in request.despite:
-            self.agent.fence_out(name)
+            self.agent.fence_name(name)
         try:
             self._propose(change, request.patience)
-        except agreement.Barred as error:
+        except agreement.RecordError as error:
             raise Refused(400, str(error)) from None
-        previous_document = None if committed is None else policies.parse(committed.text)
+        previous_document = None if committed is None else policies.parse_canonical(committed.text)
         return {
             "version": change.version,
             "digest": change.digest,
-            "token": self.mine.token,
+            "token": self.proposal.token,
             "difference": policies.difference(previous_document, document),
         }
 
     def _stored_document(self, version: int) -> Document:
-        stored = self.keep.find_committed(version)
+        stored = self.store.find_committed(version)
         if stored is None:
             raise BadDocument(f"version {version} is not stored here: `policy history` shows those that are")
-        return policies.parse(stored.text)
+        return policies.parse_canonical(stored.text)
 
     def view(self) -> dict:
         """Returns the state of the policy as this supervisor has it, for `driftshed policy`."""
@@ -451,28 +457,30 @@
             open_view = {
                 "epoch": record.epoch,
                 "by": record.by,
-                "missing": agreement.missing(record, topic.ballots),
-                "words": list(topic.ballots.values()),
+                "missing": agreement.missing_votes(record, topic.votes),
+                "words": list(topic.votes.values()),
             }
         ahead = self.document.ahead if self.document is not None else 0.0
-        proposal = self.mine
+        proposal = self.proposal
         return {
             "by": self.agent.name,
-            "runs": self.course.version(),
-            "holds_still": self._holds_still(),
+            "runs": self.schedule.active_version(),
+            "holds_still": self._tables_frozen(),
             "cannot": self.apply_error,
-            "known": self.known,
+            "known": self.initial_read_complete,
             "standing": committed,
             "open": open_view,
-            "next": None if self.course.scheduled is None else self.course.scheduled[0].version,
+            "next": None if self.schedule.scheduled is None else self.schedule.scheduled[0].version,
             "last_proposal": None
             if proposal is None
             else {"token": proposal.token, "state": proposal.state, "why": proposal.why, "epoch": proposal.epoch},
-            "everywhere_within": everywhere_within(self.agent.timeout, ahead, self.agent.lease.drift, self.agent.tiers),
+            "everywhere_within": activation_bound_s(
+                self.agent.timeout, ahead, self.agent.lease.drift, self.agent.levels
+            ),
             "members": {
                 row.name: [row.state, row.member.policy if row.member else None]
-                for row in self.agent.roll.rows(self.loop.clock())
+                for row in self.agent.membership.rows(self.loop.clock())
             },
-            "history": [stored._asdict() for stored in self.keep.history()],
-            **self.agent.view_whole(),
+            "history": [stored._asdict() for stored in self.store.history()],
+            **self.agent.fleet_summary(),
         }
--- a/driftshed/policy/keep.py
+++ b/driftshed/policy/store.py
@@ -13,7 +13,7 @@
 FILE_NAME = "policy.db"
 
 
-class BadKeep(Exception):
+class PolicyStoreError(Exception):
     """The database file cannot be used or written; the message names the reason and the remedy."""
 
 
@@ -39,17 +39,17 @@
 COLUMNS = ", ".join(StoredVersion._fields)
 
 
-class Keep:
+class PolicyStore:
     """Policy versions of one supervisor in a SQLite file.
 
-    Every change is on disk when the call returns. If it cannot be written, the call raises BadKeep and leaves the file
-    unchanged."""
+    Every change is on disk when the call returns. If it cannot be written, the call raises PolicyStoreError and leaves
+    the file unchanged."""
 
     def __init__(self, folder: Path, fleet: str, name: str) -> None:
         """Opens the file in `folder`, which is created if needed.
 
-        `fleet` identifies the fleet and `name` this supervisor. Raises BadKeep if the file cannot be opened, is
-        corrupt, has a newer format or belongs to another supervisor or fleet."""
+        `fleet` identifies the fleet and `name` this supervisor. Raises PolicyStoreError if the file cannot be opened,
+        is corrupt, has a newer format or belongs to another supervisor or fleet."""
         self.path = folder / FILE_NAME
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -60,7 +60,7 @@
                 raise sqlite3.DatabaseError("the integrity check failed")
             self._prepare(fleet, name)
         except (sqlite3.Error, OSError) as error:
-            raise BadKeep(
+            raise PolicyStoreError(
                 f"{self.path}: {error}; name a folder that can be written, or move the file away: committed "
                 "versions are read from the store again"
             ) from None
@@ -73,12 +73,12 @@
                 rows = [("form", str(FILE_FORM)), ("fleet", fleet), ("name", name)]
                 self.connection.executemany("INSERT INTO meta VALUES (?, ?)", rows)
             elif not meta.get("form", "").isdigit() or int(meta["form"]) > FILE_FORM:
-                raise BadKeep(
+                raise PolicyStoreError(
                     f"{self.path}: file format {meta.get('form')!r} is newer than this build reads ({FILE_FORM}): "
                     "update driftshed, or name another folder"
                 )
             elif (meta.get("fleet"), meta.get("name")) != (fleet, name):
-                raise BadKeep(
+                raise PolicyStoreError(
                     f"{self.path}: it belongs to supervisor {meta.get('name')!r} of fleet {meta.get('fleet')!r}"
                     f", not to {name!r} of {fleet!r}: name a folder of its own"
                 )
@@ -104,7 +104,7 @@
                 for row in self.connection.execute(f"SELECT {COLUMNS} FROM versions {where}", parameters)
             ]
         except sqlite3.Error as error:
-            raise BadKeep(f"{self.path}: {error}") from None
+            raise PolicyStoreError(f"{self.path}: {error}") from None
 
     def latest_committed(self) -> StoredVersion | None:
         """Returns the latest committed version."""
@@ -128,9 +128,10 @@
 
 
 class Transaction:
-    """Context manager for one transaction: commits, or rolls back on an exception; raises BadKeep on failure."""
+    """Context manager for one transaction: commits, or rolls back on an exception; raises PolicyStoreError on
+    failure."""
 
-    def __init__(self, store: Keep) -> None:
+    def __init__(self, store: PolicyStore) -> None:
         """Uses the connection of `store`; transactions cannot be nested."""
         self.store = store
 
@@ -138,13 +139,13 @@
         try:
             self.store.connection.execute("BEGIN IMMEDIATE")
         except sqlite3.Error as error:
-            raise BadKeep(f"{self.store.path}: {error}") from None
+            raise PolicyStoreError(f"{self.store.path}: {error}") from None
 
     def __exit__(self, exc_type: type | None, error: BaseException | None, trace: object) -> None:
         try:
             if self.store.connection.in_transaction:  # on a full disk SQLite has rolled back already
                 self.store.connection.execute("COMMIT" if exc_type is None else "ROLLBACK")
         except sqlite3.Error as rollback_error:
-            raise BadKeep(f"{self.store.path}: {rollback_error}") from None
+            raise PolicyStoreError(f"{self.store.path}: {rollback_error}") from None
         if isinstance(error, sqlite3.Error):
-            raise BadKeep(f"{self.store.path}: {error}; make room or name another folder") from None
+            raise PolicyStoreError(f"{self.store.path}: {error}; make room or name another folder") from None
--- a/driftshed/supervisor/command.py
+++ b/driftshed/supervisor/command.py
@@ -164,17 +164,19 @@
 
     agent = None
     if tiers is not None:  # Imported only here: a standalone supervisor does not need it.
-        from driftshed.coordination.taking_part import leave, take_part, tiers_of
+        from driftshed.coordination.participation import join_fleet, leave_fleet, load_hierarchy
 
         for flag, given_too in (("fleet-connect", fleet_connect), ("expected", expected), ("leave-zones", leave_zones)):
             if given_too:
                 text = f"--{flag} does not go with it: the file names the members; only a flat fleet leaves zones"
                 raise click.BadParameter(text, param_hint="--tiers")
-        agent = take_part(loop, service, [], "", name, "", fleet_timeout, log, advertise, tiers=tiers_of(name, tiers))
+        agent = join_fleet(
+            loop, service, [], "", name, "", fleet_timeout, log, advertise, tiers=load_hierarchy(name, tiers)
+        )
     elif fleet_connect:
-        from driftshed.coordination.taking_part import leave, take_part
+        from driftshed.coordination.participation import join_fleet, leave_fleet
 
-        agent = take_part(
+        agent = join_fleet(
             loop,
             service,
             parse_hosts(fleet_connect, "fleet-connect"),
@@ -190,7 +192,7 @@
             raise click.BadParameter(
                 "only a fleet can leave zones: give --fleet-connect too", param_hint="--leave-zones"
             )
-        from driftshed.evacuation.part import Evacuation
+        from driftshed.evacuation.controller import Evacuation
         from driftshed.evacuation.places import read_regions
         from driftshed.evacuation.stages import read_limits
 
@@ -204,13 +206,13 @@
         if agent is None:
             text = "only a fleet has a policy: give --fleet-connect or --tiers too"
             raise click.BadParameter(text, param_hint="--policy-folder")
-        from driftshed.policy.keep import BadKeep, Keep
-        from driftshed.policy.part import PolicyPart
+        from driftshed.policy.participant import PolicyParticipant
+        from driftshed.policy.store import PolicyStore, PolicyStoreError
 
         try:
             fleet = fleet_root if tiers is None else "tiers"
-            PolicyPart(loop, service, agent, Keep(policy_folder, fleet, name), log)
-        except BadKeep as error:
+            PolicyParticipant(loop, service, agent, PolicyStore(policy_folder, fleet, name), log)
+        except PolicyStoreError as error:
             raise click.BadParameter(str(error), param_hint="--policy-folder") from None
 
     writer = None
@@ -226,7 +228,7 @@
         recording = Recording(instance, writer)
         service.on_message = recording.record_message
         if leave_zones:
-            agent.evacuation.on_decided = recording.record_decision
+            agent.evacuation.on_decision = recording.record_decision
         schedule_trace_flush(loop, writer, log)
 
     def stop(signal_number: int) -> None:
@@ -237,7 +239,7 @@
             agent.leave()
             service.stop()
         else:
-            leave(agent, service, service.stop)
+            leave_fleet(agent, service, service.stop)
 
     loop.on_signals((signal.SIGTERM, signal.SIGINT), stop)
     log("listening", address=f"{service.address[0]}:{service.address[1]}", run=run, seed=seed)
