--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -8,14 +8,14 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agent import Agent
-from driftshed.coordination.lease import DRIFT
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.coordination.members import Member
 from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
 from driftshed.roster.log import apply_record
 from driftshed.roster.serve import StoreServer
 from driftshed.roster.tree import Tree
 
-STORE, ROOT, TIMEOUT, ACTION_INTERVAL_S = ("127.0.0.2", 2181), "/driftshed/fleet", 2.0, 0.05
+STORE, ROOT, SESSION_TIMEOUT_S, ACTION_INTERVAL_S = ("127.0.0.2", 2181), "/driftshed/fleet", 2.0, 0.05
 
 
 class MemoryLog:
@@ -56,9 +56,12 @@
 
 
 class Fleet:
-    """Agents with the given `names` and one store. `actions`, `saw` and `proposals` record what `check` examines."""
+    """Agents with the given `names` and one store. `actions`, `records_seen` and `proposals` record what
+    `check_history` examines."""
 
-    def __init__(self, names=("a", "b", "c"), seed: int = 1, drift: float = DRIFT, agent=Agent, delay=0.002) -> None:
+    def __init__(
+        self, names=("a", "b", "c"), seed: int = 1, drift: float = MAX_CLOCK_DRIFT, agent=Agent, delay=0.002
+    ) -> None:
         self.loop, self.names, self.random, self.agent_class = VirtualLoop(), tuple(names), Random(seed), agent
         self.network = Network(self.loop, seed, lambda here, there: Route(delay, delay / 2))
         self.network.zones[STORE[0]] = "store"
@@ -66,20 +69,20 @@
         self.actions: list[
             tuple[float, str, int, bool]
         ] = []  # time, name, incarnation, whether the store still had its session
-        self.saw: dict[tuple[str, int, str], list] = defaultdict(
+        self.records_seen: dict[tuple[str, int, str], list] = defaultdict(
             list
         )  # by agent and topic: records in the order received
         self.proposals: list[tuple[str, object]] = []  # topic, proposal
         self.agents: dict[str, Agent] = {}
-        self.all: list[Agent] = []
-        self.seats: dict[str, DriftingSeat] = {}
+        self.all_agents: list[Agent] = []
+        self.processes: dict[str, DriftingSeat] = {}
         self.votes = {}  # by name and topic: the vote to cast, (True, "") unless set
         self.rows: list = []
-        self._serve()
+        self._start_store()
         for name in self.names:
             self.start(name)
 
-    def _serve(self) -> None:
+    def _start_store(self) -> None:
         self.store_seat = Seat(self.loop, "store")
         self.log = MemoryLog(self.rows)
         self.store = StoreServer(self.store_seat, STORE, self.log, self.seed, self.network.listen)
@@ -98,18 +101,18 @@
             ROOT,
             member,
             self.names,
-            TIMEOUT,
+            SESSION_TIMEOUT_S,
             self.random.getrandbits(30),
             dial=self.network.dial(host),
         )
         agent.host, agent.seat = host, seat
-        agent.judge = lambda record: self.votes.get((name, record.topic), (True, ""))
-        agent.on_record = lambda record: self.saw[name, id(agent), record.topic].append(record)
-        self.agents[name], self.seats[name] = agent, seat
-        self.all.append(agent)
+        agent.vote_on = lambda record: self.votes.get((name, record.topic), (True, ""))
+        agent.on_record = lambda record: self.records_seen[name, id(agent), record.topic].append(record)
+        self.agents[name], self.processes[name] = agent, seat
+        self.all_agents.append(agent)
 
         def record_action() -> None:
-            if agent.holds():
+            if agent.holds_lease():
                 session_exists = agent.client.session.session in self.store.store.tree.sessions
                 self.actions.append((self.loop.now, name, agent.incarnation, session_exists))
             seat.after(ACTION_INTERVAL_S, record_action)
@@ -120,22 +123,22 @@
     def run(self, seconds: float) -> None:
         self.loop.run(self.loop.now + seconds)
 
-    def until(self, condition, most: float = 60.0) -> None:
+    def run_until(self, condition, most: float = 60.0) -> None:
         end = self.loop.now + most
         while not condition():
             assert self.loop.now < end, "the condition did not hold in time"
             self.run(0.05)
 
-    def up(self) -> None:
-        self.until(lambda: all(agent.holds() for agent in self.agents.values()))
+    def run_until_up(self) -> None:
+        self.run_until(lambda: all(agent.holds_lease() for agent in self.agents.values()))
 
     # ---- faults -------------------------------------------------------------------------------------------------
 
     def kill(self, name: str) -> None:
-        self.network.end_process(self.seats[name])
+        self.network.end_process(self.processes[name])
 
     def pause(self, name: str, seconds: float) -> None:
-        self.seats[name].pause_until(self.loop.now + seconds)
+        self.processes[name].pause_until(self.loop.now + seconds)
 
     def cut(self, name: str, seconds: float, forth: bool = True, back: bool = True) -> None:
         host = self.agents[name].host
@@ -149,16 +152,16 @@
 
         self.network.own_seat.after(seconds, reconnect)
 
-    def lose_answers(self, name: str) -> None:
+    def reset_connections(self, name: str) -> None:
         """Resets its connections from the store's side: pending requests may be executed, but stay unanswered."""
         host = self.agents[name].host
         for stream in [s for s in self.network.streams if s.peer[0] == host]:
             stream.abort("reset", hard=True)
 
-    def store_down(self, seconds: float) -> None:
+    def crash_store(self, seconds: float) -> None:
         self.network.end_process(self.store_seat)
         del self.rows[self.log.synced :]
-        self.network.own_seat.after(seconds, self._serve)
+        self.network.own_seat.after(seconds, self._start_store)
 
     def pause_store(self, seconds: float) -> None:
         self.store_seat.pause_until(self.loop.now + seconds)
@@ -172,9 +175,9 @@
         self.proposals.append((topic, proposal))
         return proposal
 
-    def stored(self, topic: str):
+    def stored_record(self, topic: str):
         node = self.store.store.tree.nodes.get(f"{ROOT}/records/{topic}")
-        return agreement.read_record(topic, node.data) if node is not None else None
+        return agreement.decode_record(topic, node.data) if node is not None else None
 
     def history(self) -> list:
         """Every record version ever written, in the store's order, from its log."""
@@ -186,11 +189,11 @@
                 node = tree.nodes[f"{ROOT}/records/{name}"]
                 if versions.get(name) != node.mzxid:
                     versions[name] = node.mzxid
-                    found.append(agreement.read_record(name, node.data))
+                    found.append(agreement.decode_record(name, node.data))
         return found
 
 
-def check(fleet: Fleet) -> None:
+def check_history(fleet: Fleet) -> None:
     """Checks the invariants of any history, whatever faults occurred; AssertionError names the violation."""
     for at, name, incarnation, session_existed in fleet.actions:
         assert session_existed, f"{name}~{incarnation} acted at {at:.3f} s on a lease whose session had expired"
@@ -216,7 +219,7 @@
         assert record.epoch >= last.get(record.topic, 0), f"{record.topic}: epochs decreased"
         last[record.topic] = record.epoch
     settled = {record.token: record for record in written if record.state == "settled"}
-    for (name, _, topic), records in fleet.saw.items():
+    for (name, _, topic), records in fleet.records_seen.items():
         for earlier, later in zip(records, records[1:], strict=False):
             assert agreement.newer(later, earlier), f"{name} saw {topic} regress from {earlier} to {later}"
         for record in records:
--- a/tests/tiers.py
+++ b/tests/hierarchies.py
@@ -9,14 +9,14 @@
 from random import Random
 
 from driftshed.coordination import agreement
-from driftshed.coordination.lease import DRIFT
-from driftshed.coordination.taking_part import take_part
-from driftshed.coordination.tiers import Hierarchy, absence_margin, read_tiers
+from driftshed.coordination.hierarchy import Hierarchy, absence_margin, read_hierarchy
+from driftshed.coordination.lease import MAX_CLOCK_DRIFT
+from driftshed.coordination.participation import join_fleet
 from driftshed.core.hub import Refused
 from driftshed.lab.virtual import Network, Route, Seat, VirtualLoop
-from driftshed.policy.change import TOPIC, everywhere_within, read_change
-from driftshed.policy.keep import Keep
-from driftshed.policy.part import Asked, PolicyPart
+from driftshed.policy.change import TOPIC, activation_bound_s, read_change
+from driftshed.policy.participant import PolicyParticipant, PolicyRequest
+from driftshed.policy.store import PolicyStore
 from driftshed.roster.client import RosterClient
 from driftshed.roster.log import apply_record
 from driftshed.roster.serve import StoreServer
@@ -85,7 +85,7 @@
 class RestartableStore:
     """A store server that can crash and restart; rows that were not synced are lost."""
 
-    def __init__(self, fleet: TieredFleet, name: str, address: tuple[str, int]) -> None:
+    def __init__(self, fleet: HierarchicalFleet, name: str, address: tuple[str, int]) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.rows: list = []
         self.times: list[float] = []
@@ -127,10 +127,10 @@
         return found
 
 
-class TieredFleet:
-    """`acts`: time, name and version of each check that found a supervisor's tables free to change. `invalid_claims`:
-    time, name and reason of each check at which a supervisor held a lease or claimed to act without being entitled
-    to."""
+class HierarchicalFleet:
+    """`actions`: time, name and version of each check that found a supervisor's tables free to change.
+    `invalid_claims`: time, name and reason of each check at which a supervisor held a lease or claimed to act without
+    being entitled to."""
 
     def __init__(
         self,
@@ -141,17 +141,17 @@
         seed: int = 1,
         near: float = NEAR_DELAY_S,
         far: float = FAR_DELAY_S,
-        drift: float = DRIFT,
+        drift: float = MAX_CLOCK_DRIFT,
         text: str = "",
         start: bool = True,
         timeout: float = TIMEOUT,
-        part=PolicyPart,
+        part=PolicyParticipant,
     ) -> None:
         self.folder, self.seed, self.random, self.drift = folder, seed, Random(seed), drift
         self.timeout, self.part_class = timeout, part
         self.loop, self.starts = VirtualLoop(), 0
         self.text = text or tiers_text(regions, cells, members)
-        self.tiers: Hierarchy = read_tiers(self.text)
+        self.tiers: Hierarchy = read_hierarchy(self.text)
         self.near, self.far = near, far
         self.network = Network(self.loop, seed, self._way)
         self.regions = {f"r{r}": [f"r{r}c{c}" for c in range(1, cells + 1)] for r in range(1, regions + 1)}
@@ -172,16 +172,16 @@
             self.stores[name] = RestartableStore(self, name, (host, 2181))
         for name, host in self.hosts.items():
             self.network.zones[host] = name
-        self.parts: dict[str, PolicyPart] = {}
+        self.parts: dict[str, PolicyParticipant] = {}
         self.agents: dict[str, object] = {}
         self.services: dict[str, StubService] = {}
         self.seats: dict[str, DriftingSeat] = {}
         self.dead: set[str] = set()
         self.other_hierarchies: dict[str, Hierarchy] = {}  # by supervisor: a hierarchy that differs from the others'
-        self.acts: list[tuple[float, str, int]] = []
+        self.actions: list[tuple[float, str, int]] = []
         self.invalid_claims: list[tuple[float, str, str]] = []
         self.logs: list[tuple[float, str, str, dict]] = []
-        self.asked = Counter()
+        self.proposal_counts = Counter()
         self._record_sessions()
         if start:
             for name in self.names:
@@ -202,7 +202,7 @@
         seat = DriftingSeat(loop, name, 1 + self.drift / 2 * self.random.uniform(-1, 1))
         log = lambda event, **fields: self.logs.append((loop.now, name, event, fields))  # noqa: E731
         service = StubService((host, 7000))
-        agent = take_part(
+        agent = join_fleet(
             seat,
             service,
             [],
@@ -216,7 +216,7 @@
             tiers=self.other_hierarchies.get(name, self.tiers),
         )
         part = self.part_class(
-            seat, service, agent, Keep(self.folder / name, "fleet", name), log, unix=lambda: loop.now
+            seat, service, agent, PolicyStore(self.folder / name, "fleet", name), log, unix=lambda: loop.now
         )
         self.parts[name], self.agents[name], self.services[name], self.seats[name] = part, agent, service, seat
 
@@ -226,14 +226,14 @@
 
         seat.after(CHECK_INTERVAL_S * self.random.random(), check_periodically)
 
-    def _check_supervisor(self, name: str, agent, part: PolicyPart) -> None:
+    def _check_supervisor(self, name: str, agent, part: PolicyParticipant) -> None:
         """Records what the supervisor would do now. Runs as part of its process: not while it is paused or dead."""
         now = self.loop.now
         if not part.instance.tables_frozen():
-            self.acts.append((now, name, part.instance.policy))
-        if agent.holds() and agent.client.session.session not in self.store_of(name).tree.sessions:
+            self.actions.append((now, name, part.instance.policy))
+        if agent.holds_lease() and agent.client.session.session not in self.store_of(name).tree.sessions:
             self.invalid_claims.append((now, name, "its own session has expired"))
-        if agent.acts():
+        if agent.may_act():
             cell = self.cell_of[name]
             for delegator in (cell, self.region_of[name]):
                 absent_for = now - self.registered_at.get(delegator, 0.0)
@@ -250,7 +250,7 @@
             return
         self.dead.add(name)
         self.network.end_process(self.seats[name])
-        self.parts[name].keep.close()
+        self.parts[name].store.close()
 
     def pause(self, name: str, seconds: float) -> None:
         self.seats[name].pause_until(self.loop.now + seconds)
@@ -280,7 +280,7 @@
                     if store != region:
                         self.cut(name, store, seconds)
 
-    def lose_answers(self, name: str) -> None:
+    def reset_connections(self, name: str) -> None:
         """Resets its connections from the stores' side: pending requests may be executed, but stay unanswered."""
         host = self.hosts[name]
         for stream in [s for s in self.network.streams if s.peer[0] == host]:
@@ -310,10 +310,12 @@
     def ask(self, name: str, grace: float, **options) -> dict | str:
         """Proposes a document; returns the reason where it is refused."""
         try:
-            answer = self.parts[name].ask(Asked("propose", "somebody", TEXT.format(grace=grace), **options))
+            answer = self.parts[name].handle_request(
+                PolicyRequest("propose", "somebody", TEXT.format(grace=grace), **options)
+            )
         except Refused as error:
             answer = str(error)
-        self.asked["refused" if isinstance(answer, str) else "taken"] += 1
+        self.proposal_counts["refused" if isinstance(answer, str) else "taken"] += 1
         return answer
 
     def versions(self) -> dict[str, int]:
@@ -322,11 +324,11 @@
 
     def open_change(self, name: str, grace: float, patience: float = 30.0) -> int:
         """Proposes a change, waits until its record is open, and returns its epoch."""
-        previous_epoch = 0 if self.above() is None else self.above().epoch
+        previous_epoch = 0 if self.top_record() is None else self.top_record().epoch
         answer = self.ask(name, grace, patience=patience)
         assert not isinstance(answer, str), answer
-        self.until(lambda: self.above() is not None and self.above().epoch > previous_epoch, 5, 0.001)
-        return self.above().epoch
+        self.until(lambda: self.top_record() is not None and self.top_record().epoch > previous_epoch, 5, 0.001)
+        return self.top_record().epoch
 
     def write_directly(self, store: str, request) -> None:
         """Writes into a store as a client that ignores all rules."""
@@ -346,16 +348,16 @@
         self.until(lambda: errors, 5, 0.01)
         assert errors == [0], errors
 
-    def everywhere(self, version: int) -> bool:
+    def all_run(self, version: int) -> bool:
         return set(self.versions().values()) == {version}
 
     # ---- stored state -------------------------------------------------------------------------------------------
 
     def record(self, store: str, root: str):
         data = self.stores[store].data(f"{root}/records/{TOPIC}")
-        return None if data is None else agreement.read_record(TOPIC, data)
+        return None if data is None else agreement.decode_record(TOPIC, data)
 
-    def above(self):
+    def top_record(self):
         """The record of the top-level fleet."""
         return self.record(WHOLE, f"{ROOT}/whole")
 
@@ -370,7 +372,7 @@
         found, prefix = {}, f"{root}/records/{TOPIC}/{epoch}."
         for path, node in self.stores[store].tree.nodes.items():
             if path.startswith(prefix):
-                vote = agreement.read_ballot(path.rpartition("/")[2], node.data)
+                vote = agreement.read_vote(path.rpartition("/")[2], node.data)
                 found[vote.name] = vote.assent
         return found
 
@@ -413,32 +415,32 @@
             self.registered_at.update(dict.fromkeys(self._registered_members(store), now))
         self.network.own_seat.after(CHECK_INTERVAL_S, self._record_sessions)
 
-    def settled(self) -> list[tuple[float, int, str]]:
+    def committed(self) -> list[tuple[float, int, str]]:
         """Time, version and digest of each commit in the top-level fleet, in the order of its store."""
         found, last_epoch = [], 0
         for at, path, data in self.stores[WHOLE].written():
             if path == f"{ROOT}/whole/records/{TOPIC}":
-                record = agreement.read_record(TOPIC, data)
+                record = agreement.decode_record(TOPIC, data)
                 if record.state == "settled" and record.epoch > last_epoch:
                     last_epoch, (change, _) = record.epoch, read_change(record.standing.body)
                     found.append((at, change.version, change.digest))
         return found
 
     def bound(self) -> float:
-        return everywhere_within(self.timeout, AHEAD, self.drift, tiers=3)
+        return activation_bound_s(self.timeout, AHEAD, self.drift, tiers=3)
 
 
 # ---- invariants -------------------------------------------------------------------------------------------------
 
 
-def check_acts(fleet: TieredFleet) -> None:
+def check_acts(fleet: HierarchicalFleet) -> None:
     """Checks that no supervisor acts on a version that was never committed, or on a superseded one after the bound."""
-    settled = fleet.settled()
+    settled = fleet.committed()
     versions = [version for _, version, _ in settled]
     assert versions == sorted(set(versions)), f"versions were committed as {versions}"
     committed_at = {version: when for when, version, _ in settled}
     superseded = [(when + fleet.bound() + TOLERANCE_S, version) for when, version, _ in settled]
-    for when, name, version in fleet.acts:
+    for when, name, version in fleet.actions:
         assert not version or version in committed_at, f"{name} acts on version {version}, which was never committed"
         assert not version or when >= committed_at[version], f"{name} acts on version {version} before it was committed"
         newer = [each for end, each in superseded if each > version and when > end]
@@ -448,13 +450,13 @@
         )
 
 
-def check_leases(fleet: TieredFleet) -> None:
+def check_leases(fleet: HierarchicalFleet) -> None:
     """Checks that no supervisor claimed to act without being entitled to."""
     for when, name, why in fleet.invalid_claims:
         raise AssertionError(f"{name} claims that it may act at {when:.3f} s, but {why}")
 
 
-def check_records(fleet: TieredFleet) -> None:
+def check_records(fleet: HierarchicalFleet) -> None:
     """Checks that in each fleet an epoch has one token, a record never regresses, and a vote never changes."""
     for store, server in fleet.stores.items():
         tokens: dict[tuple[str, int], str] = {}
@@ -464,11 +466,11 @@
         for at, path, data in server.written():
             folder, _, node = path.partition("/records/")
             if "/" in node:
-                vote = agreement.read_ballot(node.rpartition("/")[2], data)
+                vote = agreement.read_vote(node.rpartition("/")[2], data)
                 cast = votes.setdefault(path, (vote.assent, vote.why))
                 assert cast == (vote.assent, vote.why), f"{store}: the vote {path} changed at {at:.2f} s"
                 continue
-            record = agreement.read_record(node, data)
+            record = agreement.decode_record(node, data)
             key = folder, record.epoch
             assert tokens.setdefault(key, record.token) == record.token, (
                 f"{path}: epoch {record.epoch} was allocated twice"
@@ -487,22 +489,22 @@
                 )
 
 
-def _settled_tokens(fleet: TieredFleet) -> set[str]:
+def _settled_tokens(fleet: HierarchicalFleet) -> set[str]:
     if not hasattr(fleet, "_tokens"):
         found = set()
         for _, path, data in fleet.stores[WHOLE].written():
             if path == f"{ROOT}/whole/records/{TOPIC}":
-                record = agreement.read_record(TOPIC, data)
+                record = agreement.decode_record(TOPIC, data)
                 if record.state == "settled":
                     found.add(record.token)
         fleet._tokens = found
     return fleet._tokens
 
 
-def check_ends(fleet: TieredFleet) -> None:
+def check_convergence(fleet: HierarchicalFleet) -> None:
     """Checks that, long enough after the last fault, all living supervisors run the version in force and nothing is
     open."""
-    settled = fleet.settled()
+    settled = fleet.committed()
     in_force = settled[-1][1] if settled else 0
     for name in fleet.living():
         part = fleet.parts[name]
@@ -510,14 +512,14 @@
             f"{name} runs version {part.instance.policy}, but {in_force} is in force"
         )
         assert not part.instance.tables_frozen(), f"{name} has its updates paused at the end"
-    records = [("the top-level fleet", fleet.above())]
+    records = [("the top-level fleet", fleet.top_record())]
     records += [(region, fleet.region_record(region)) for region in fleet.regions]
     records += [(cell, fleet.cell_record(cell)) for cell in fleet.cells if set(fleet.cells[cell]) - fleet.dead]
     for where, record in records:
         assert not agreement.pending(record), f"{where}: epoch {record.epoch} is {record.state}"
 
 
-def check(fleet: TieredFleet) -> None:
+def check(fleet: HierarchicalFleet) -> None:
     """Checks all invariants; AssertionError names the violation."""
     check_records(fleet)
     check_acts(fleet)
@@ -527,12 +529,14 @@
 # ---- random histories -------------------------------------------------------------------------------------------
 
 
-def drawn_history(folder: Path, seed: int, seconds: float = 30.0, settle_time: float = 22.0, **given) -> TieredFleet:
+def drawn_history(
+    folder: Path, seed: int, seconds: float = 30.0, settle_time: float = 22.0, **given
+) -> HierarchicalFleet:
     """A random history: a change about every second, and faults; then `settle_time` seconds without any, in which all
     must finish."""
     random = Random(f"tiers {seed}")
     members = random.choice([2, 3])
-    fleet = TieredFleet(folder, members=members, seed=seed, **given)
+    fleet = HierarchicalFleet(folder, members=members, seed=seed, **given)
     fleet.run(random.choice([0.5, 3.0, 6.0]))
     end, faults = fleet.loop.now + seconds, random.choice([0.2, 0.5, 0.8])
     next_change_at = 0.0
@@ -557,7 +561,7 @@
     return fleet
 
 
-def inject_fault(fleet: TieredFleet, random: Random) -> None:
+def inject_fault(fleet: HierarchicalFleet, random: Random) -> None:
     """Injects one random fault, preferably into a delegate."""
     name, draw = random.choice(fleet.names), random.random()
     region, cell = fleet.region_of[name], fleet.cell_of[name]
@@ -581,7 +585,7 @@
     elif draw < 0.72:
         fleet.cut_region(region, duration)
     elif draw < 0.80:
-        fleet.lose_answers(name)
+        fleet.reset_connections(name)
     elif draw < 0.84:
         fleet.stores[random.choice([WHOLE, region])].crash(random.choice([0.2, 1.0, 3.0]))
     elif draw < 0.88:
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -7,18 +7,18 @@
 from random import Random
 
 from driftshed import interface as face
-from driftshed.coordination.taking_part import take_part
+from driftshed.coordination.participation import join_fleet
 from driftshed.core.hub import Refused
 from driftshed.core.instance import Instance
 from driftshed.core.messages import ListedServer, RosterUpdate
 from driftshed.lab.virtual import Seat
 from driftshed.policy import document as policies
-from driftshed.policy.change import TOPIC, Change, everywhere_within, read_change
-from driftshed.policy.keep import Keep
-from driftshed.policy.part import Asked, PolicyPart
+from driftshed.policy.change import TOPIC, Change, activation_bound_s, read_change
+from driftshed.policy.participant import PolicyParticipant, PolicyRequest
+from driftshed.policy.store import PolicyStore
 from driftshed.proxy.assembly import Proxy, ProxyOptions
 from driftshed.supervisor.service import Service
-from tests.fleets import ROOT, STORE, TIMEOUT, DriftingSeat, Fleet
+from tests.fleets import ROOT, SESSION_TIMEOUT_S, STORE, DriftingSeat, Fleet
 
 TEXT = """
 ahead = 0.3
@@ -35,7 +35,7 @@
 drain-grace = {grace}
 lines-per-second = 2000
 """
-FACTS = policies.facts(policies.read(TEXT.format(grace=2.5)))
+FACTS = policies.start_facts(policies.read_toml(TEXT.format(grace=2.5)))
 SLACK = 0.2  # seconds: network delays of a few milliseconds, one check and one turn
 
 
@@ -47,7 +47,7 @@
 
     def __init__(self, folder: Path, names=("a", "b", "c"), seed: int = 1, proxies: int = 4, facts=FACTS) -> None:
         self.folder, self.facts = folder, facts
-        self.parts: dict[str, PolicyPart] = {}
+        self.parts: dict[str, PolicyParticipant] = {}
         self.orders: list[tuple[float, str, int]] = []
         self.proxy_policies: dict[int, list[tuple[float, int]]] = defaultdict(list)
         self.logs: list[tuple[float, str, str, dict]] = []
@@ -66,25 +66,28 @@
         service = Service(
             seat, instance, (host, 7000), log, silence_timeout=2.0, transport=self.network.transport(host)
         )
-        agent = take_part(
+        agent = join_fleet(
             seat,
             service,
             [STORE],
             ROOT,
             name,
             ",".join(self.names),
-            TIMEOUT,
+            SESSION_TIMEOUT_S,
             log,
             seed=self.random.getrandbits(30),
             dial=self.network.dial(host),
         )
-        store = Keep(self.folder / name, "fleet", name)
-        self.parts[name] = PolicyPart(seat, service, agent, store, log, unix=lambda: loop.now)
+        store = PolicyStore(self.folder / name, "fleet", name)
+        self.parts[name] = PolicyParticipant(seat, service, agent, store, log, unix=lambda: loop.now)
         agent.host, agent.seat = host, seat
         previous = agent.on_record
-        agent.on_record = lambda record: (previous(record), self.saw[name, id(agent), record.topic].append(record))
-        self.agents[name], self.seats[name] = agent, seat
-        self.all.append(agent)
+        agent.on_record = lambda record: (
+            previous(record),
+            self.records_seen[name, id(agent), record.topic].append(record),
+        )
+        self.agents[name], self.processes[name] = agent, seat
+        self.all_agents.append(agent)
         service.apply_roster_update(RosterUpdate(1, True, [self._server(k) for k in range(6)]))
         apply = instance.hub.apply
 
@@ -141,24 +144,26 @@
 
     def stop_store(self, seconds: float) -> None:
         if not self.store_seat.ended:
-            self.store_down(seconds)
+            self.crash_store(seconds)
 
     def kill(self, name: str) -> None:
         super().kill(name)
         self.network.reset_server((self.hosts[name], 7000))
-        self.parts[name].keep.close()
+        self.parts[name].store.close()
 
-    def ask(self, name: str, grace: float, **more) -> dict | str:
+    def propose_policy(self, name: str, grace: float, **more) -> dict | str:
         """Proposes a document; returns the reason if it is refused."""
         try:
-            return self.parts[name].ask(Asked("propose", "somebody", TEXT.format(grace=grace), **more))
+            return self.parts[name].handle_request(
+                PolicyRequest("propose", "somebody", TEXT.format(grace=grace), **more)
+            )
         except Refused as error:
             return str(error)
 
-    def runs(self) -> dict[str, int]:
-        return {name: part.course.version() for name, part in self.parts.items()}
+    def active_versions(self) -> dict[str, int]:
+        return {name: part.schedule.active_version() for name, part in self.parts.items()}
 
-    def settled(self) -> dict[int, Change]:
+    def committed_changes(self) -> dict[int, Change]:
         """Committed changes by version, from the log of the store."""
         found = {}
         for record in self.history():
@@ -182,7 +187,7 @@
         return found
 
 
-def check_policies(fleet: PolicyFleet) -> None:
+def check_policy_invariants(fleet: PolicyFleet) -> None:
     """Raises AssertionError unless versions only rise, and one policy is in force everywhere within the bound."""
     versions = [
         read_change(record.standing.body)[0].version
@@ -196,7 +201,7 @@
             assert later >= earlier, f"proxy {number} went back from policy {earlier} to {later} at {at:.2f} s"
         for _, policy in rows:
             assert policy == 0 or policy in versions, f"proxy {number} uses policy {policy} that was never committed"
-    bound_s = everywhere_within(TIMEOUT, 0.3, fleet.drift) + SLACK
+    bound_s = activation_bound_s(SESSION_TIMEOUT_S, 0.3, fleet.drift) + SLACK
     for when, name, policy in fleet.orders:
         early = policy and when < committed_at.get(policy, 0.0) - SLACK
         assert not early, f"{name} ordered by policy {policy} before it was committed"
@@ -207,18 +212,20 @@
         )
 
 
-def drawn_history(folder: Path, seed: int, seconds: float = 24.0) -> PolicyFleet:
+def run_random_history(folder: Path, seed: int, seconds: float = 24.0) -> PolicyFleet:
     """Runs changes, and faults between supervisors and store, that are drawn by a seed."""
     random = Random(f"policies {seed}")
     fleet = PolicyFleet(folder, seed=seed, names=("a", "b", "c")[: random.choice([2, 3, 3])])
-    fleet.up()
+    fleet.run_until_up()
     end, dead = fleet.loop.now + seconds, set()
     while fleet.loop.now < end:
         fleet.run(random.uniform(0.2, 1.5))
         name, kind = random.choice(fleet.names), random.randrange(9)
         if kind < 4 and name not in dead:
             despite = [each for each in fleet.names if each in dead and random.random() < 0.5]
-            fleet.ask(name, round(random.uniform(2.2, 4.0), 2), patience=random.choice([1.0, 3.0]), despite=despite)
+            fleet.propose_policy(
+                name, round(random.uniform(2.2, 4.0), 2), patience=random.choice([1.0, 3.0]), despite=despite
+            )
         elif kind == 4 and name not in dead:
             fleet.kill(name)
             dead.add(name)
@@ -230,5 +237,5 @@
         elif kind == 7 and name not in dead:
             fleet.cut(name, random.uniform(0.2, 7.0), random.random() < 0.7, random.random() < 0.7)
         elif kind == 8 and random.random() < 0.5:
-            fleet.lose_answers(name) if name not in dead else fleet.stop_store(random.uniform(0.2, 2.0))
+            fleet.reset_connections(name) if name not in dead else fleet.stop_store(random.uniform(0.2, 2.0))
     return fleet
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -6,12 +6,19 @@
 
 from driftshed.coordination import agreement
 from driftshed.coordination.agent import SWEEP_DELAY_S, Agent
-from driftshed.coordination.agreement import Barred
+from driftshed.coordination.agreement import RecordError
 from driftshed.coordination.lease import Lease
-from driftshed.coordination.members import MAX_UNKNOWN_PEERS, Member, MemberError, Roll, read_member, write_member
+from driftshed.coordination.members import (
+    MAX_UNKNOWN_PEERS,
+    Member,
+    MemberError,
+    MembershipView,
+    decode_member,
+    encode_member,
+)
 from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import ANY_VERSION, SetData
-from tests.fleets import ROOT, TIMEOUT, Fleet, check
+from tests.fleets import ROOT, SESSION_TIMEOUT_S, Fleet, check_history
 
 TOPICS = ("policy", "zone.east")
 
@@ -22,30 +29,30 @@
     name, draw = random.choice(names), random.random()
     if draw < 0.35:
         topic = random.choice(TOPICS)
-        if fleet.agents[name].chair.state is not RegistrationState.FENCED and not fleet.seats[name].ended:
+        if fleet.agents[name].registration.state is not RegistrationState.FENCED and not fleet.processes[name].ended:
             quorum = random.choice([len(names), len(names) // 2 + 1])
             valid_for = random.choice([None, 2.0])
             fleet.propose(name, topic, random.random(), quorum, random.choice([0.5, 3.0]), valid_for=valid_for)
     elif draw < 0.42:
-        fleet.pause(name, TIMEOUT * random.choice([0.3, 0.9, 1.1, 2.5]))
+        fleet.pause(name, SESSION_TIMEOUT_S * random.choice([0.3, 0.9, 1.1, 2.5]))
     elif draw < 0.52:
-        fleet.cut(name, TIMEOUT * random.choice([0.3, 0.9, 1.5, 3]), *random.choice([(1, 1), (1, 0), (0, 1)]))
+        fleet.cut(name, SESSION_TIMEOUT_S * random.choice([0.3, 0.9, 1.5, 3]), *random.choice([(1, 1), (1, 0), (0, 1)]))
     elif draw < 0.64:
-        fleet.lose_answers(name)
+        fleet.reset_connections(name)
     elif draw < 0.7:
         fleet.kill(name)
         fleet.network.own_seat.after(random.choice([0.1, 1.0, 4.0]), lambda: fleet.start(name))
     elif draw < 0.74:
         fleet.start(name)  # a second process with the same name
     elif draw < 0.78 and not fleet.store_seat.ended:
-        fleet.store_down(random.choice([0.2, 1.0, 3.0]))
+        fleet.crash_store(random.choice([0.2, 1.0, 3.0]))
     elif draw < 0.82:
-        fleet.pause_store(random.choice([0.3, TIMEOUT, 2 * TIMEOUT]))
+        fleet.pause_store(random.choice([0.3, SESSION_TIMEOUT_S, 2 * SESSION_TIMEOUT_S]))
     elif draw < 0.9:
         fleet.votes[name, random.choice(TOPICS)] = random.choice([(True, ""), (False, "no"), None])
     else:
         for topic in TOPICS:
-            committed = fleet.agents[name].agreed(topic)
+            committed = fleet.agents[name].value_in_force(topic)
             if committed is not None:
                 fleet.agents[name].end(topic, committed.epoch, "enough")
 
@@ -62,31 +69,37 @@
     fleet.run(6)
     for name in fleet.names:
         if not any(
-            agent.name == name and agent.chair.state is not RegistrationState.FENCED and not agent.seat.ended
-            for agent in fleet.all
+            agent.name == name and agent.registration.state is not RegistrationState.FENCED and not agent.seat.ended
+            for agent in fleet.all_agents
         ):
             fleet.start(name)
     fleet.run(25)
     return fleet
 
 
-def all_ended(fleet: Fleet) -> None:
+def check_all_ended(fleet: Fleet) -> None:
     """Asserts that after the faults every supervisor is up again and nothing is pending."""
-    up = [agent.name for agent in fleet.all if agent.holds() and not agent.seat.ended]
+    up = [agent.name for agent in fleet.all_agents if agent.holds_lease() and not agent.seat.ended]
     assert sorted(up) == sorted(fleet.names), {n: a.view() for n, a in fleet.agents.items()}
     for topic in TOPICS:
-        record = fleet.stored(topic)
+        record = fleet.stored_record(topic)
         assert record is None or record.state != "open", record
     open_proposals = [(topic, p.state) for topic, p in fleet.proposals if p.state in ("waiting", "open")]
-    unfinished = [p for agent in fleet.all if agent.holds() for topic in agent.topics.values() for p in topic.proposals]
+    unfinished = [
+        p
+        for agent in fleet.all_agents
+        if agent.holds_lease()
+        for topic in agent.topics.values()
+        for p in topic.proposals
+    ]
     assert not unfinished, open_proposals
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_random_histories_keep_agreements_and_finish_every_proposal(seed):
     fleet = history(seed)
-    check(fleet)
-    all_ended(fleet)
+    check_history(fleet)
+    check_all_ended(fleet)
 
 
 # ---- each check detects its violation ---------------------------------------------------------------------------
@@ -95,22 +108,25 @@
 class NoLease(Agent):
     """Ignores the lease: acts until it learns of another start."""
 
-    def holds(self) -> bool:
-        return self.chair.state is RegistrationState.LISTED and self.roll.highest.get(self.name, 0) == self.incarnation
+    def holds_lease(self) -> bool:
+        return (
+            self.registration.state is RegistrationState.LISTED
+            and self.membership.highest_incarnation.get(self.name, 0) == self.incarnation
+        )
 
 
 class NoFence(Agent):
     """Continues to act alongside another start of its name."""
 
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         session = self.client.session
-        return self.chair.state is RegistrationState.LISTED and self.lease.holds(
+        return self.registration.state is RegistrationState.LISTED and self.lease.holds(
             self.loop.clock(), session.confirmed_at, session.timeout
         )
 
     def _member_updated(self, node, data, stat) -> None:
-        member = read_member(node, data)
-        self.roll.appeared(node, member, stat.czxid, self.loop.clock())
+        member = decode_member(node, data)
+        self.membership.update_node(node, member, stat.czxid, self.loop.clock())
         self._membership_changed()
 
 
@@ -126,7 +142,7 @@
 def first_violation(seeds: range, **options) -> str:
     for seed in seeds:
         try:
-            check(history(seed, **options))
+            check_history(history(seed, **options))
         except AssertionError as error:
             return str(error)
     return ""
@@ -163,22 +179,22 @@
 @pytest.fixture
 def fleet():
     fleet = Fleet()
-    fleet.up()
+    fleet.run_until_up()
     return fleet
 
 
 def test_at_rest_nothing_but_pings_goes_to_the_store(fleet):
     fleet.propose("a", "policy", 1)
     fleet.run(1)
-    written, zxid = [agent.written for agent in fleet.all], fleet.store.store.tree.zxid
+    written, zxid = [agent.write_count for agent in fleet.all_agents], fleet.store.store.tree.zxid
     fleet.run(SWEEP_DELAY_S + 1)  # the cast votes are swept once
     assert fleet.store.store.tree.zxid == zxid + len(fleet.names)
     zxid, messages = fleet.store.store.tree.zxid, fleet.network.messages
     fleet.run(60)
     assert fleet.store.store.tree.zxid == zxid
-    pings = 60 / (TIMEOUT / 3) * len(fleet.names)
+    pings = 60 / (SESSION_TIMEOUT_S / 3) * len(fleet.names)
     assert fleet.network.messages - messages <= 2 * pings * 1.1
-    assert sum(agent.written for agent in fleet.all) == sum(written) + len(fleet.names)
+    assert sum(agent.write_count for agent in fleet.all_agents) == sum(written) + len(fleet.names)
 
 
 def test_all_must_assent_and_one_objection_keeps_the_value_in_force(fleet):
@@ -188,7 +204,7 @@
     proposal = fleet.propose("c", "policy", "second")
     fleet.run(1)
     assert (proposal.state, proposal.why) == ("void", "b: it would leave proxy 7 bare")
-    assert [agent.agreed("policy").body for agent in fleet.agents.values()] == ["first"] * 3
+    assert [agent.value_in_force("policy").body for agent in fleet.agents.values()] == ["first"] * 3
 
 
 def test_a_majority_settles_though_one_objects_or_is_silent(fleet):
@@ -208,7 +224,7 @@
     won, lost = (first, second) if first.state == "settled" else (second, first)
     assert (won.state, lost.state) == ("settled", "lost")
     assert f"of {won.token.partition('~')[0]} was there first" in lost.why
-    check(fleet)
+    check_history(fleet)
 
 
 def test_a_proposal_is_withdrawn_and_a_standing_one_is_ended(fleet):
@@ -226,7 +242,7 @@
     fleet.agents["b"].end("policy", proposal.epoch, "done with", lambda *result: results.append(result))
     fleet.run(0.5)
     assert results == [(False, "policy: epoch 2 is in force, not epoch 3"), (True, "")]
-    assert all(agent.agreed("policy") is None for agent in fleet.all)
+    assert all(agent.value_in_force("policy") is None for agent in fleet.all_agents)
 
 
 @pytest.mark.parametrize("after", [0.002 * k for k in range(24)])
@@ -236,37 +252,37 @@
     fleet.run(after)
     fleet.kill("a")
     fleet.run(8)
-    record = fleet.stored("policy")
+    record = fleet.stored_record("policy")
     assert record is None or record.state in ("settled", "void")
-    assert record is None or {agent.topics["policy"].record.state for agent in fleet.all[1:]} == {record.state}
+    assert record is None or {agent.topics["policy"].record.state for agent in fleet.all_agents[1:]} == {record.state}
     again = fleet.propose("b", "policy", 2, quorum=2, patience=2.0)
     fleet.run(8)
     assert again.state == "settled"
-    check(fleet)
+    check_history(fleet)
 
 
 @pytest.mark.parametrize("after", [0.002 * k for k in range(24)])
 def test_a_lost_answer_is_looked_up_and_nothing_is_done_twice(after, fleet):
     proposal = fleet.propose("a", "policy", 1)
     fleet.run(after)
-    fleet.lose_answers("a")
+    fleet.reset_connections("a")
     fleet.run(5)
     assert proposal.state == "settled"
     assert [record.state for record in fleet.history()] == ["open", "settled"]
-    check(fleet)
+    check_history(fleet)
 
 
 def test_a_suspended_supervisor_finds_its_lease_expired_before_it_acts(fleet):
     fleet.propose("a", "policy", 1)
     fleet.run(1)
-    fleet.pause("a", 1.5 * TIMEOUT)
-    resumed = fleet.loop.now + 1.5 * TIMEOUT
-    fleet.run(4 * TIMEOUT)
-    check(fleet)
+    fleet.pause("a", 1.5 * SESSION_TIMEOUT_S)
+    resumed = fleet.loop.now + 1.5 * SESSION_TIMEOUT_S
+    fleet.run(4 * SESSION_TIMEOUT_S)
+    check_history(fleet)
     action_times = [at for at, name, _, _ in fleet.actions if name == "a"]
-    assert not [at for at in action_times if resumed - TIMEOUT / 2 < at < resumed + 0.01]
+    assert not [at for at in action_times if resumed - SESSION_TIMEOUT_S / 2 < at < resumed + 0.01]
     assert [at for at in action_times if at > resumed + 0.01]  # it has rejoined
-    rows = {row.name: row for row in fleet.agents["b"].roll.rows(fleet.agents["b"].loop.clock())}
+    rows = {row.name: row for row in fleet.agents["b"].membership.rows(fleet.agents["b"].loop.clock())}
     assert rows["a"].state == "living"
 
 
@@ -274,10 +290,10 @@
     older, notifications = fleet.agents["a"], []
     older.on_fenced = lambda: notifications.append(fleet.loop.now)
     fleet.start("a")
-    fleet.until(lambda: fleet.agents["a"].holds())
-    assert notifications and older.chair.state is RegistrationState.FENCED and not older.holds()
+    fleet.run_until(lambda: fleet.agents["a"].holds_lease())
+    assert notifications and older.registration.state is RegistrationState.FENCED and not older.holds_lease()
     assert fleet.agents["a"].incarnation == 2
-    rows = {row.name: row for row in fleet.agents["b"].roll.rows(fleet.loop.now)}
+    rows = {row.name: row for row in fleet.agents["b"].membership.rows(fleet.loop.now)}
     assert (rows["a"].state, rows["a"].starts) == ("living", 1)
 
 
@@ -285,17 +301,17 @@
     fleet = Fleet("abc")
     fleet.names = ("a", "b", "c", "x")  # only this process expects x
     fleet.start("x")
-    fleet.until(lambda: fleet.agents["x"].holds() and fleet.agents["a"].holds())
+    fleet.run_until(lambda: fleet.agents["x"].holds_lease() and fleet.agents["a"].holds_lease())
     fleet.kill("b")
-    fleet.run(3 * TIMEOUT)
+    fleet.run(3 * SESSION_TIMEOUT_S)
     agent = fleet.agents["a"]
-    assert {row.name: row.state for row in agent.roll.rows(agent.loop.clock())} == {
+    assert {row.name: row.state for row in agent.membership.rows(agent.loop.clock())} == {
         "a": "living",
         "b": "silent",
         "c": "living",
         "x": "stranger",
     }
-    assert "x" not in agent.roll.order() and agent.roll.addresses() == ["127.0.1.1:7000", "127.0.1.3:7000"]
+    assert "x" not in agent.membership.order() and agent.membership.addresses() == ["127.0.1.1:7000", "127.0.1.3:7000"]
 
 
 def test_answers_from_an_older_state_of_the_store_are_ignored(fleet):
@@ -303,7 +319,7 @@
     fleet.run(1)
     agent = fleet.agents["b"]
     topic = agent.topics["policy"]
-    old = agreement.write(agreement.proposed(None, "policy", 1, "a", "t", 0, ("a",), 1, 1.0))
+    old = agreement.encode(agreement.proposed_record(None, "policy", 1, "a", "t", 0, ("a",), 1, 1.0))
     agent._record_updated("policy", old, topic.stat._replace(mzxid=topic.stat.mzxid - 1))
     assert agent.stale_reads == 1 and topic.record.state == "settled"
     agent._record_updated("policy", old, topic.stat)  # nor one that regresses within an epoch
@@ -317,15 +333,15 @@
     fleet.run(2)
     fleet.rows[:] = rows
     fleet.network.end_process(fleet.store_seat)
-    fleet._serve()
-    fleet.run(4 * TIMEOUT)
-    assert not any(agent.holds() for agent in fleet.all)
-    assert all(agent.agreed("policy") is None for agent in fleet.all)
+    fleet._start_store()
+    fleet.run(4 * SESSION_TIMEOUT_S)
+    assert not any(agent.holds_lease() for agent in fleet.all_agents)
+    assert all(agent.value_in_force("policy") is None for agent in fleet.all_agents)
     for name in fleet.names:
         fleet.kill(name)
         fleet.start(name)
-    fleet.up()
-    assert fleet.agents["a"].agreed("policy") is None
+    fleet.run_until_up()
+    assert fleet.agents["a"].value_in_force("policy") is None
 
 
 def test_a_sweep_deletes_votes_and_ended_records_and_no_valid_record(fleet):
@@ -342,18 +358,18 @@
     proposal = fleet.propose("c", "zone.east", 2)
     fleet.run(1)
     assert proposal.state == "settled" and proposal.epoch > 2
-    assert all("zone.west" not in agent.topics for agent in fleet.all)
+    assert all("zone.west" not in agent.topics for agent in fleet.all_agents)
 
 
 def test_a_graceful_stop_is_noticed_at_once_and_a_crash_after_the_session_timeout(fleet):
     fleet.agents["c"].leave()
     fleet.run(0.1)
-    assert fleet.agents["a"].roll.order() and "c" not in fleet.agents["a"].roll.order()
+    assert fleet.agents["a"].membership.order() and "c" not in fleet.agents["a"].membership.order()
     fleet.kill("b")
-    fleet.run(TIMEOUT / 2)
-    assert "b" in fleet.agents["a"].roll.order()
-    fleet.run(TIMEOUT)
-    assert fleet.agents["a"].roll.order() == ["a"]
+    fleet.run(SESSION_TIMEOUT_S / 2)
+    assert "b" in fleet.agents["a"].membership.order()
+    fleet.run(SESSION_TIMEOUT_S)
+    assert fleet.agents["a"].membership.order() == ["a"]
 
 
 @pytest.mark.parametrize(
@@ -369,7 +385,7 @@
 )
 def test_a_proposal_that_could_never_be_committed_is_refused_with_the_reason(arguments, message, fleet):
     arguments = {"topic": "policy", "body": 1, "voters": ("a", "b"), "quorum": 2, "proposal_timeout": 1.0} | arguments
-    with pytest.raises(Barred, match=message):
+    with pytest.raises(RecordError, match=message):
         fleet.agents["a"].propose(**arguments)
     assert not fleet.agents["a"].topics
 
@@ -395,27 +411,27 @@
 )
 def test_malformed_member_nodes_raise(name, data):
     with pytest.raises(MemberError):
-        read_member(name, data)
+        decode_member(name, data)
 
 
 def test_unknown_fields_of_a_newer_build_are_ignored():
-    member = read_member("a~3", write_member(Member("a", incarnation=3))[:-1] + b',"mood":"good"}')
+    member = decode_member("a~3", encode_member(Member("a", incarnation=3))[:-1] + b',"mood":"good"}')
     assert member.incarnation == 3
 
 
 def test_unknown_peers_are_bounded():
-    roll = Roll(("a",), 0.0)
+    roll = MembershipView(("a",), 0.0)
     for k in range(3 * MAX_UNKNOWN_PEERS):
-        roll.appeared(f"s{k}~1", Member(f"s{k}", incarnation=1), k, float(k))
+        roll.update_node(f"s{k}~1", Member(f"s{k}", incarnation=1), k, float(k))
         roll.remove_node(f"s{k}~1", float(k))
-    assert len(roll.rows(500.0)) == MAX_UNKNOWN_PEERS + 1 and len(roll.highest) == MAX_UNKNOWN_PEERS
+    assert len(roll.rows(500.0)) == MAX_UNKNOWN_PEERS + 1 and len(roll.highest_incarnation) == MAX_UNKNOWN_PEERS
 
 
 def test_a_record_too_large_to_be_committed_is_refused_when_proposed():
     fleet = Fleet()
-    fleet.up()
-    with pytest.raises(Barred, match="bytes, 65536 at the most: put less into it"):
+    fleet.run_until_up()
+    with pytest.raises(RecordError, match="bytes, 65536 at the most: put less into it"):
         fleet.propose("a", "large", "x" * 33_000)
     proposal = fleet.propose("a", "large", "x" * 32_000)
-    fleet.until(lambda: proposal.state == "settled")
-    assert fleet.stored("large").standing.body == "x" * 32_000
+    fleet.run_until(lambda: proposal.state == "settled")
+    assert fleet.stored_record("large").standing.body == "x" * 32_000
--- a/tests/test_coordination_model.py
+++ b/tests/test_coordination_model.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET
 
 from driftshed.coordination import agreement
-from driftshed.coordination.agreement import Barred, Vote
+from driftshed.coordination.agreement import RecordError, Vote
 from driftshed.lab.state_search import explore
 
 # ---- leases and fencing: starts of one name, a store, drifting clocks -------------------------------------------
@@ -232,10 +232,10 @@
             record, version, count = peer.view
             if (record is None or record.state != "open") and peer.proposals:
                 try:
-                    proposal = agreement.proposed(
+                    proposal = agreement.proposed_record(
                         record, "t", count + 1, name, token, 0, voters, quorum or len(voters), 1.0
                     )
-                except Barred:
+                except RecordError:
                     proposal = None
                 if proposal is not None:
                     request = ("ask", ("put", proposal, version, count))
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -8,6 +8,7 @@
 
 from driftshed import interface as face
 from driftshed.core.hub import Refused
+from driftshed.evacuation.controller import Evacuation, OperatorOrder
 from driftshed.evacuation.evidence import (
     MIN_TRIES,
     Evidence,
@@ -19,9 +20,8 @@
     zone_verdict,
 )
 from driftshed.evacuation.overlay import Overlay
-from driftshed.evacuation.part import Evacuation, OperatorOrder
 from driftshed.evacuation.places import REGION_PREFIX, Place, max_left_share, places, read_regions
-from driftshed.evacuation.retrace import decided_again
+from driftshed.evacuation.replay import replay_decision
 from driftshed.evacuation.stages import (
     BadStage,
     Limits,
@@ -29,8 +29,8 @@
     Stage,
     capacity_share,
     ceiling_share,
+    check_succession,
     decide_vote,
-    follows,
     next_stage,
     read_limits,
 )
@@ -238,7 +238,7 @@
             if after is None:
                 continue
             try:
-                follows(stage, after, LIMITS)
+                check_succession(stage, after, LIMITS)
             except BadStage as error:
                 return f"{stage} to {after}: {error}"
             before = stage.share if stage is not None else 0.0
@@ -299,7 +299,7 @@
 def no_step_skipped(now: RecordState) -> str:
     if now.epoch:
         try:
-            follows(now.previous, now.committed, LIMITS)
+            check_succession(now.previous, now.committed, LIMITS)
         except BadStage as error:
             return str(error)
     return ""
@@ -317,11 +317,11 @@
     skipped = Stage("east", "back", 0.0, 0.0)
     for old in (Stage("east", "left", 1.0), Stage("east", "returning", 0.6)):
         with pytest.raises(BadStage):
-            follows(old, skipped, LIMITS)
+            check_succession(old, skipped, LIMITS)
     with pytest.raises(BadStage, match="at once"):
-        follows(Stage("east", "returning", 0.9), Stage("east", "returning", 0.2), LIMITS)
+        check_succession(Stage("east", "returning", 0.9), Stage("east", "returning", 0.2), LIMITS)
     with pytest.raises(BadStage, match="a step"):
-        follows(None, Stage("east", "leaving", 1.0), LIMITS)
+        check_succession(None, Stage("east", "leaving", 1.0), LIMITS)
 
 
 def test_votes_by_own_evidence():
@@ -422,7 +422,7 @@
             received = {name: each for name, each in received.items() if each.state != face.GONE}
         complete = Overlay(3)
         complete.entries, complete.shares, complete.cold_since = overlay.entries, overlay.shares, overlay.cold_since
-        complete.left = complete.wanted()
+        complete.left = complete.servers_to_leave()
         assert received == {name: complete._effective_entry(each) for name, each in overlay.entries.items()}
         ready = [each for each in listed.values() if each.state == face.READY]
         assert not ready or any(received[each.server].state == face.READY for each in ready)  # minimum availability
@@ -534,16 +534,18 @@
 
     def hooked(self, *given, **more):
         original_init(self, *given, **more)
-        self.on_decided = lambda now, what, topic, given, said: rows.append(
+        self.on_decision = lambda now, what, topic, given, said: rows.append(
             {"what": what, "given": msgspec.json.encode(given), "said": msgspec.json.encode(said)}
         )
 
     monkeypatch.setattr(Evacuation, "__init__", hooked)
     assert run(day(Sick(6.0, 12.0, "hang", 1.0, Whom(share=1.0, zone="east")), seconds=40.0), 2).rules_kept
     assert len(rows) > 10 and {row["what"] for row in rows} == {"next", "word"}
-    assert [decided_again(row) for row in rows] == [""] * len(rows)
+    assert [replay_decision(row) for row in rows] == [""] * len(rows)
     other = rows[0] | {"said": b"null"}
-    assert "was null and is" in decided_again(other) and "cannot be read" in decided_again(rows[0] | {"given": b"[]"})
+    assert "was null and is" in replay_decision(other) and "cannot be read" in replay_decision(
+        rows[0] | {"given": b"[]"}
+    )
 
 
 def test_one_supervisor_can_return_to_a_zone_while_the_store_is_unreachable(monkeypatch):
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -170,9 +170,9 @@
     assert [name for cell in cells for name in cell] == names and len(cells) == 90
     assert {len(cell) for cell in cells} == {57, 58}
     text = make_tiers_text(names, 9, 10, "127.0.0.2:2181", [f"127.0.0.{k + 3}:2181" for k in range(9)])
-    from driftshed.coordination.tiers import read_tiers
+    from driftshed.coordination.hierarchy import read_hierarchy
 
-    read_tiers(text)
+    read_hierarchy(text)
 
 
 def test_results_are_appended_and_shown(tmp_path, capsys):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -17,16 +17,16 @@
 from driftshed.core.migration import CannotMigrate, migrate
 from driftshed.day.rigged import take_out
 from driftshed.policy import document as policies
-from driftshed.policy import part
+from driftshed.policy import participant
 from driftshed.policy.document import BadDocument, Document, Operation
-from driftshed.policy.keep import BadKeep, Keep, StoredVersion
-from driftshed.policy.part import Asked
+from driftshed.policy.participant import PolicyRequest
+from driftshed.policy.store import PolicyStore, PolicyStoreError, StoredVersion
 from driftshed.proxy import follow
 from driftshed.proxy.tables import Tables
 from driftshed.trace.recording import LazyEncoded, Recording
 from driftshed.trace.replay import Replay
-from tests.fleets import check as check_records
-from tests.policies import PolicyFleet, check_policies, drawn_history
+from tests.fleets import check_history as check_records
+from tests.policies import PolicyFleet, check_policy_invariants, run_random_history
 
 TEXT = """
 ahead = 0.5
@@ -64,33 +64,35 @@
 )
 def test_an_invalid_document_is_rejected_with_place_and_remedy(old, new, message):
     with pytest.raises(BadDocument, match="(?s)"):
-        policies.read(TEXT.replace(old, new))
+        policies.read_toml(TEXT.replace(old, new))
     with pytest.raises(BadDocument) as error:
-        policies.read(TEXT.replace(old, new))
+        policies.read_toml(TEXT.replace(old, new))
     assert message in str(error.value)
 
 
 def test_unsatisfiable_documents_are_reported():
-    assert policies.never_met(policies.read(TEXT)) == []
-    slow = policies.read(TEXT.replace("queue-cap = 1500", "queue-cap = 1500\nlines-per-second = 300"))
-    assert "under the channel's worst time of 5.52 s" in policies.never_met(slow)[0]
-    small = policies.read(TEXT.replace("queue-cap = 1500", "queue-cap = 30\nstanding-lines = 40"))
-    assert any("under one whole table" in text for text in policies.never_met(small))
+    assert policies.unsatisfiable_requirements(policies.read_toml(TEXT)) == []
+    slow = policies.read_toml(TEXT.replace("queue-cap = 1500", "queue-cap = 1500\nlines-per-second = 300"))
+    assert "under the channel's worst time of 5.52 s" in policies.unsatisfiable_requirements(slow)[0]
+    small = policies.read_toml(TEXT.replace("queue-cap = 1500", "queue-cap = 30\nstanding-lines = 40"))
+    assert any("under one whole table" in text for text in policies.unsatisfiable_requirements(small))
 
 
 def test_changes_that_a_running_fleet_cannot_make():
-    old = policies.read(TEXT)
-    changed = policies.read(TEXT.replace("2.5", "2.7").replace("objective = 0.5", "objective = 0.6"))
+    old = policies.read_toml(TEXT)
+    changed = policies.read_toml(TEXT.replace("2.5", "2.7").replace("objective = 0.5", "objective = 0.6"))
     assert policies.disallowed_changes(old, changed) == []
     assert (
         "zones"
-        in policies.disallowed_changes(old, policies.read(TEXT.replace("east,west,north", "east,west,north,south")))[0]
+        in policies.disallowed_changes(
+            old, policies.read_toml(TEXT.replace("east,west,north", "east,west,north,south"))
+        )[0]
     )
     post = '[[operations]]\nname = "post"\nobjective = 1\ntimeout = 2\nvalue = 3\n\n[settings]'
     second = TEXT.replace("[settings]", post)
-    both = policies.read(second)
+    both = policies.read_toml(second)
     assert "in use" in policies.disallowed_changes(both, old)[0]
-    retired = policies.read(second.replace('name = "post"', 'name = "post"\nretired = true'))
+    retired = policies.read_toml(second.replace('name = "post"', 'name = "post"\nretired = true'))
     assert policies.disallowed_changes(both, retired) == [] == policies.disallowed_changes(retired, old)
 
 
@@ -115,9 +117,9 @@
 @given(DOCUMENTS, DOCUMENTS)
 def test_the_canonical_text_is_unique_and_differences_are_complete(one, other):
     text = policies.canonical(one)
-    again = policies.parse(text)
+    again = policies.parse_canonical(text)
     assert policies.canonical(again) == text and policies.digest(again) == policies.digest(one)
-    assert policies.canonical(policies.read(policies.as_toml(one))) == text
+    assert policies.canonical(policies.read_toml(policies.to_toml(one))) == text
     assert (policies.digest(one) == policies.digest(other)) == (policies.difference(one, other) == [])
     flat = policies.flatten(one)
     for path, before, after in policies.difference(one, other):
@@ -136,7 +138,7 @@
     )
 )
 def test_readers_accept_or_reject_any_text(text):
-    for reader in (policies.read, policies.parse):
+    for reader in (policies.read_toml, policies.parse_canonical):
         try:
             assert isinstance(reader(text), Document)
         except BadDocument as error:
@@ -151,12 +153,12 @@
 
 
 def test_the_store_persists_versions_and_retains_only_the_newest(tmp_path):
-    store = Keep(tmp_path, "f", "s0")
+    store = PolicyStore(tmp_path, "f", "s0")
     for version in range(1, 260):
         store.put(stored_version(version))
     store.put(stored_version(260, "assented"))
     store.close()
-    reopened = Keep(tmp_path, "f", "s0")
+    reopened = PolicyStore(tmp_path, "f", "s0")
     assert reopened.latest_committed().version == 259 and [each.version for each in reopened.assented()] == [260]
     assert (
         len(reopened.history()) <= 201
@@ -168,31 +170,31 @@
 
 
 def test_unusable_store_files_are_reported_with_the_reason(tmp_path):
-    Keep(tmp_path / "a", "f", "s0").close()
+    PolicyStore(tmp_path / "a", "f", "s0").close()
     for fleet, name in (("g", "s0"), ("f", "s1")):
-        with pytest.raises(BadKeep, match="not to"):
-            Keep(tmp_path / "a", fleet, name)
+        with pytest.raises(PolicyStoreError, match="not to"):
+            PolicyStore(tmp_path / "a", fleet, name)
     connection = sqlite3.connect(tmp_path / "a" / "policy.db")
     connection.execute("UPDATE meta SET value = '9' WHERE key = 'form'")
     connection.commit()
     connection.close()
-    with pytest.raises(BadKeep, match="update driftshed"):
-        Keep(tmp_path / "a", "f", "s0")
+    with pytest.raises(PolicyStoreError, match="update driftshed"):
+        PolicyStore(tmp_path / "a", "f", "s0")
     (tmp_path / "b").mkdir()
     (tmp_path / "b" / "policy.db").write_bytes(b"no database " * 500)
-    with pytest.raises(BadKeep, match="move the file away"):
-        Keep(tmp_path / "b", "f", "s0")
+    with pytest.raises(PolicyStoreError, match="move the file away"):
+        PolicyStore(tmp_path / "b", "f", "s0")
     (tmp_path / "c").write_text("a file")
-    with pytest.raises(BadKeep, match="can be written"):
-        Keep(tmp_path / "c", "f", "s0")
+    with pytest.raises(PolicyStoreError, match="can be written"):
+        PolicyStore(tmp_path / "c", "f", "s0")
 
 
 def test_a_full_or_read_only_disk_leaves_the_store_unchanged(tmp_path):
-    store = Keep(tmp_path, "f", "s0")
+    store = PolicyStore(tmp_path, "f", "s0")
     store.put(stored_version(1))
     pages = store.connection.execute("PRAGMA page_count").fetchone()[0]
     store.connection.execute(f"PRAGMA max_page_count = {pages}")
-    with pytest.raises(BadKeep, match="full"):
+    with pytest.raises(PolicyStoreError, match="full"):
         for version in range(2, 50):
             store.put(stored_version(version)._replace(text="x" * 4000))
     newest = store.latest_committed().version
@@ -200,14 +202,14 @@
     store.put(stored_version(60))
     assert newest >= 1 and store.latest_committed().version == 60
     store.connection.execute("PRAGMA query_only = 1")
-    with pytest.raises(BadKeep, match="readonly"):
+    with pytest.raises(PolicyStoreError, match="readonly"):
         store.put(stored_version(61))
     assert store.latest_committed().version == 60
 
 
 # ---- switching an instance ---------------------------------------------------------------------------------------
 
-FACTS = policies.facts(policies.read(TEXT), 0, 3)
+FACTS = policies.start_facts(policies.read_toml(TEXT), 0, 3)
 
 
 def random_events(random: Random, now: float, listed: bool) -> list:
@@ -321,111 +323,111 @@
 
 
 def test_a_change_becomes_active_everywhere_at_the_same_time(fleet):
-    fleet.up()
+    fleet.run_until_up()
     fleet.run(3)
     assert {proxy.tables.policy for proxy in fleet.proxies} == {0}
-    answer = fleet.ask("b", 2.8)
+    answer = fleet.propose_policy("b", 2.8)
     assert answer["version"] == 1 and ("settings.drain-grace", None, 2.8) in answer["difference"]
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
     at = [at for at, _, event, _ in fleet.logs if event == "policy"]
     assert len(at) == 3 and max(at) - min(at) < 0.1
-    fleet.until(lambda: {proxy.tables.policy for proxy in fleet.proxies} == {1}, 5)
+    fleet.run_until(lambda: {proxy.tables.policy for proxy in fleet.proxies} == {1}, 5)
     assert {part.instance.facts.drain_grace for part in fleet.parts.values()} == {2.8}
-    assert "already in force" in fleet.ask("a", 2.8)
-    assert fleet.ask("a", 3.0)["version"] == 2
-    fleet.until(lambda: set(fleet.runs().values()) == {2}, 5)
+    assert "already in force" in fleet.propose_policy("a", 2.8)
+    assert fleet.propose_policy("a", 3.0)["version"] == 2
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {2}, 5)
     view = fleet.parts["c"].view()
     assert [row["version"] for row in view["history"]] == [2, 1] and view["members"]["a"][0] == "living"
-    assert fleet.parts["c"].ask(Asked("revert", "somebody", version=1))["version"] == 3
-    fleet.until(lambda: set(fleet.runs().values()) == {3}, 5)
+    assert fleet.parts["c"].handle_request(PolicyRequest("revert", "somebody", version=1))["version"] == 3
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {3}, 5)
     assert fleet.parts["a"].instance.facts.drain_grace == 2.8
-    check_policies(fleet)
+    check_policy_invariants(fleet)
 
 
 def test_an_objection_or_a_silent_supervisor_prevents_a_change(fleet):
-    fleet.up()
+    fleet.run_until_up()
     fleet.parts["b"].instance.check_switch = lambda facts: "no room"
-    assert fleet.ask("a", 2.6)["version"] == 1
-    fleet.until(lambda: fleet.parts["a"].mine.state == "void", 8)
-    assert "b: no room" in fleet.parts["a"].mine.why
+    assert fleet.propose_policy("a", 2.6)["version"] == 1
+    fleet.run_until(lambda: fleet.parts["a"].proposal.state == "void", 8)
+    assert "b: no room" in fleet.parts["a"].proposal.why
     del fleet.parts["b"].instance.check_switch
     fleet.kill("c")
     fleet.run(3)
-    fleet.ask("a", 2.6, patience=2.0)
-    fleet.until(lambda: fleet.parts["a"].mine.state == "void", 12)
-    assert "c" in fleet.parts["a"].mine.why and set(fleet.runs().values()) == {0}
+    fleet.propose_policy("a", 2.6, patience=2.0)
+    fleet.run_until(lambda: fleet.parts["a"].proposal.state == "void", 12)
+    assert "c" in fleet.parts["a"].proposal.why and set(fleet.active_versions().values()) == {0}
     fleet.run(1)
     assert not fleet.parts["a"].assented and not fleet.parts["b"].assented  # everyone drops it
-    assert not fleet.parts["a"]._holds_still()
-    check_policies(fleet)
+    assert not fleet.parts["a"]._tables_frozen()
+    check_policy_invariants(fleet)
 
 
 def test_a_supervisor_named_as_gone_is_fenced_and_reads_the_policy_before_proxies_join(fleet):
-    fleet.up()
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
+    fleet.run_until_up()
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
     fleet.pause("c", 14.0)
     fleet.run(3)
-    assert fleet.ask("a", 2.7, despite=["c"])["version"] == 2
-    fleet.until(lambda: fleet.parts["a"].mine.state == "void", 8)
-    assert "may go on by itself" in fleet.parts["a"].mine.why  # not silent for long enough
+    assert fleet.propose_policy("a", 2.7, despite=["c"])["version"] == 2
+    fleet.run_until(lambda: fleet.parts["a"].proposal.state == "void", 8)
+    assert "may go on by itself" in fleet.parts["a"].proposal.why  # not silent for long enough
     fleet.run(6)
-    assert fleet.ask("a", 2.7, despite=["c"])["version"] == 2
-    fleet.until(lambda: fleet.runs()["b"] == 2, 6)
+    assert fleet.propose_policy("a", 2.7, despite=["c"])["version"] == 2
+    fleet.run_until(lambda: fleet.active_versions()["b"] == 2, 6)
     fleet.run(12)  # it resumes, and finds itself fenced
-    assert fleet.agents["c"].chair.state.value == "fenced" and fleet.runs()["c"] == 1
+    assert fleet.agents["c"].registration.state.value == "fenced" and fleet.active_versions()["c"] == 1
     fleet.kill("c")
     fleet.start("c")
-    fleet.until(lambda: fleet.runs()["c"] == 2, 8)
-    assert "not another supervisor" in fleet.ask("a", 2.9, despite=["a"])
-    check_policies(fleet)
+    fleet.run_until(lambda: fleet.active_versions()["c"] == 2, 8)
+    assert "not another supervisor" in fleet.propose_policy("a", 2.9, despite=["a"])
+    check_policy_invariants(fleet)
 
 
 def test_a_store_that_was_restored_from_an_old_copy_reverts_nobody(fleet):
-    fleet.up()
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
+    fleet.run_until_up()
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
     old = list(fleet.rows)
-    fleet.ask("a", 2.7)
-    fleet.until(lambda: set(fleet.runs().values()) == {2}, 5)
+    fleet.propose_policy("a", 2.7)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {2}, 5)
     for name in fleet.names:
         fleet.kill(name)
     fleet.network.end_process(fleet.store_seat)
     fleet.rows = old
-    fleet._serve()
+    fleet._start_store()
     for name in fleet.names:
         fleet.start(name)
     fleet.run(8)
-    assert set(fleet.runs().values()) == {0} and all(part._holds_still() for part in fleet.parts.values())
+    assert set(fleet.active_versions().values()) == {0} and all(part._tables_frozen() for part in fleet.parts.values())
     assert all("2 was committed: restore it" in part.apply_error for part in fleet.parts.values())
 
 
 def test_a_policy_under_which_the_module_raises_is_reverted_by_all(fleet):
-    fleet.up()
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
-    fleet.ask("a", 3.3)
-    fleet.until(lambda: fleet.runs()["b"] == 2, 5)
+    fleet.run_until_up()
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
+    fleet.propose_policy("a", 3.3)
+    fleet.run_until(lambda: fleet.active_versions()["b"] == 2, 5)
     brain = fleet.parts["b"].instance.brain
     brain.handle = lambda now, events: 1 / 0
-    fleet.until(lambda: set(fleet.runs().values()) == {3}, 10)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {3}, 10)
     assert {part.instance.facts.drain_grace for part in fleet.parts.values()} == {2.6}
     assert fleet.parts["c"].committed_change().undoes == 2
-    check_policies(fleet)
+    check_policy_invariants(fleet)
 
 
 def test_a_policy_that_cannot_be_stored_is_objected_to(fleet):
-    fleet.up()
-    fleet.parts["c"].keep.connection.execute("PRAGMA query_only = 1")
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: fleet.parts["a"].mine.state == "void", 8)
-    assert "cannot be stored here" in fleet.parts["a"].mine.why and set(fleet.runs().values()) == {0}
+    fleet.run_until_up()
+    fleet.parts["c"].store.connection.execute("PRAGMA query_only = 1")
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: fleet.parts["a"].proposal.state == "void", 8)
+    assert "cannot be stored here" in fleet.parts["a"].proposal.why and set(fleet.active_versions().values()) == {0}
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_invariants_hold_in_drawn_histories(tmp_path, seed):
-    fleet = drawn_history(tmp_path, seed)
-    check_policies(fleet)
+    fleet = run_random_history(tmp_path, seed)
+    check_policy_invariants(fleet)
     check_records(fleet)
 
 
@@ -433,21 +435,21 @@
 
 
 def test_without_freezing_past_the_lease_two_policies_order_at_a_time(fleet, monkeypatch):
-    monkeypatch.setattr(part, "may_change_tables", lambda known, now: True)
+    monkeypatch.setattr(participant, "may_change_tables", lambda known, now: True)
     with pytest.raises(AssertionError, match="c ordered by policy 1"):
         test_a_supervisor_named_as_gone_is_fenced_and_reads_the_policy_before_proxies_join(fleet)
 
 
 def left_with_one_behind(fleet) -> None:
     """One supervisor does not apply the committed version, and then is the only one left."""
-    fleet.up()
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
-    fleet.until(lambda: {proxy.tables.policy for proxy in fleet.proxies} == {1}, 5)
+    fleet.run_until_up()
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
+    fleet.run_until(lambda: {proxy.tables.policy for proxy in fleet.proxies} == {1}, 5)
     behind = fleet.parts["c"]
-    behind.course.due, behind._holds_still = lambda now: None, lambda: False
-    fleet.ask("a", 2.7)
-    fleet.until(lambda: fleet.runs()["a"] == fleet.runs()["b"] == 2, 5)
+    behind.schedule.take_due, behind._tables_frozen = lambda now: None, lambda: False
+    fleet.propose_policy("a", 2.7)
+    fleet.run_until(lambda: fleet.active_versions()["a"] == fleet.active_versions()["b"] == 2, 5)
     fleet.run(2)
     fleet.kill("a")
     fleet.kill("b")
@@ -469,20 +471,20 @@
     monkeypatch.setattr(follow, "JOIN_ANSWER_DECODER", SimpleNamespace(decode=accepts_all))
     left_with_one_behind(fleet)
     with pytest.raises(AssertionError, match="went back from policy 2 to 1"):
-        check_policies(fleet)
+        check_policy_invariants(fleet)
 
 
 def test_of_two_concurrent_changes_one_wins_and_the_other_reports_why(fleet):
-    fleet.up()
-    fleet.ask("a", 2.6)
-    fleet.until(lambda: set(fleet.runs().values()) == {1}, 5)
-    assert fleet.ask("a", 2.7)["version"] == fleet.ask("b", 2.8)["version"] == 2
-    fleet.until(lambda: set(fleet.runs().values()) == {2}, 5)
-    states = {name: fleet.parts[name].mine.state for name in "ab"}
+    fleet.run_until_up()
+    fleet.propose_policy("a", 2.6)
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {1}, 5)
+    assert fleet.propose_policy("a", 2.7)["version"] == fleet.propose_policy("b", 2.8)["version"] == 2
+    fleet.run_until(lambda: set(fleet.active_versions().values()) == {2}, 5)
+    states = {name: fleet.parts[name].proposal.state for name in "ab"}
     assert sorted(states.values())[-1] == "settled" and set(states.values()) & {"lost", "refused", "unknown"}
-    reason = next(fleet.parts[name].mine.why for name in "ab" if states[name] != "settled")
+    reason = next(fleet.parts[name].proposal.why for name in "ab" if states[name] != "settled")
     assert reason
-    check_policies(fleet)
+    check_policy_invariants(fleet)
     check_records(fleet)
 
 
--- a/tests/test_policy_model.py
+++ b/tests/test_policy_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from driftshed.lab.state_search import explore
-from driftshed.policy.change import Known, may_change_tables, waited_out
+from driftshed.policy.change import LocalKnowledge, despite_silence_s, may_change_tables
 
 DESPITE_AFTER, DRIFT = 5.0, 0.02
 
@@ -37,9 +37,9 @@
     if not one.alive or one.runs is None:
         return False
     # By its own clock: just past the lease, or after the time that others must wait before they do without its vote.
-    now = {0: -1.0, 1: 0.01, 2: waited_out(DESPITE_AFTER, DRIFT) * (1 - DRIFT)}[one.away]
+    now = {0: -1.0, 1: 0.01, 2: despite_silence_s(DESPITE_AFTER, DRIFT) * (1 - DRIFT)}[one.away]
     return not freezes or may_change_tables(
-        Known(one.away == 0, 0.0, False, one.in_doubt, False, DESPITE_AFTER, DRIFT), now
+        LocalKnowledge(one.away == 0, 0.0, False, one.in_doubt, False, DESPITE_AFTER, DRIFT), now
     )
 
 
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -10,13 +10,13 @@
 import pytest
 
 from driftshed.day.fleet import OPERATION, FleetStage
-from driftshed.policy.keep import Keep
+from driftshed.policy.store import PolicyStore
 
 WRITER = """
 import sys
 from pathlib import Path
-from driftshed.policy.keep import Keep, StoredVersion
-store = Keep(Path(sys.argv[1]), "f", "s0")
+from driftshed.policy.store import PolicyStore, StoredVersion
+store = PolicyStore(Path(sys.argv[1]), "f", "s0")
 first = (store.latest_committed().version if store.latest_committed() else 0) + 1
 for version in range(first, first + 10000):
     store.put(StoredVersion(version, version, "assented", "d", "x" * 3000, "w", "", 1.0, 0.0, ""))
@@ -25,7 +25,7 @@
 """
 
 
-def cut_short(folder, seed: int) -> tuple[int, int]:
+def kill_writer(folder, seed: int) -> tuple[int, int]:
     """Kills a writer at a moment drawn by the seed; returns the last version that it acknowledged, and the last that is
     read afterwards."""
     writer = subprocess.Popen([sys.executable, "-c", WRITER, str(folder)], stdout=subprocess.PIPE, text=True)
@@ -39,7 +39,7 @@
         remaining = writer.stdout.read().split("\n")[:-1]
         writer.wait(10)
         writer.stdout.close()
-    store = Keep(folder, "f", "s0")
+    store = PolicyStore(folder, "f", "s0")
     try:
         assert all(len(version.text) == 3000 for version in store.history())
         return max([acknowledged, *map(int, remaining)]), store.latest_committed().version
@@ -49,7 +49,7 @@
 
 def test_a_killed_writer_loses_no_acknowledged_version_and_leaves_no_torn_one(tmp_path):
     for seed in range(8):  # all in one file
-        acknowledged, stored = cut_short(tmp_path, seed)
+        acknowledged, stored = kill_writer(tmp_path, seed)
         assert stored in (acknowledged, acknowledged + 1)
 
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1294,8 +1294,8 @@
         agents.network.dial("127.0.9.9"),
     )
     for k in range(broken):
-        agents.until(lambda k=k: follower.reads > 600 * (k + 1), 20)
+        agents.run_until(lambda k=k: follower.reads > 600 * (k + 1), 20)
         agents.store.reset_connections()
-    agents.until(lambda: updates, 60)
+    agents.run_until(lambda: updates, 60)
     assert updates[0].whole and len({each.server for each in updates[0].servers}) == count
     assert follower.pending_reads == 0 and not follower.unread
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from driftshed.cli import main
-from driftshed.coordination.parting import apart
+from driftshed.coordination.handover import handover_interval
 from driftshed.core.instance import Instance
 from driftshed.core.messages import Changes, Line
 from driftshed.net.http import Bounds, HttpClient
@@ -382,5 +382,5 @@
 
 
 def test_the_pace_of_a_hand_over_leaves_each_channel_time_for_one_proxys_tables():
-    assert apart(30, 3000.0, 2) == pytest.approx(0.005)
-    assert apart(0, 1000.0, 0) == pytest.approx(0.001)  # never without a pause
+    assert handover_interval(30, 3000.0, 2) == pytest.approx(0.005)
+    assert handover_interval(0, 1000.0, 0) == pytest.approx(0.001)  # never without a pause
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -4,52 +4,52 @@
 from msgspec.structs import replace
 
 from driftshed.coordination import agreement
-from driftshed.coordination.members import Roll
-from driftshed.coordination.tiered import Tiered
-from driftshed.coordination.tiers import HierarchyError, read_tiers
-from driftshed.policy.change import waited_out
-from driftshed.policy.part import PolicyPart
+from driftshed.coordination.hierarchical_agent import HierarchicalAgent
+from driftshed.coordination.hierarchy import HierarchyError, read_hierarchy
+from driftshed.coordination.members import MembershipView
+from driftshed.policy.change import despite_silence_s
+from driftshed.policy.participant import PolicyParticipant
 from driftshed.roster.announce import RegistrationState
 from driftshed.roster.jute import SetData
-from tests.tiers import (
+from tests.hierarchies import (
     DESPITE_AFTER,
     ROOT,
     WHOLE,
-    TieredFleet,
+    HierarchicalFleet,
     check,
     check_acts,
-    check_ends,
+    check_convergence,
     check_leases,
     check_records,
     drawn_history,
     tiers_text,
 )
 
-ABSENCE_TIMEOUT_S = waited_out(DESPITE_AFTER, 0.02)
+ABSENCE_TIMEOUT_S = despite_silence_s(DESPITE_AFTER, 0.02)
 
 
-def fleet_up(folder, version: int = 1, **options) -> TieredFleet:
+def fleet_up(folder, version: int = 1, **options) -> HierarchicalFleet:
     """A fleet that has run its first versions for a while."""
-    fleet = TieredFleet(folder, **options)
+    fleet = HierarchicalFleet(folder, **options)
     fleet.up()
     for k in range(version):
         fleet.open_change(fleet.names[0], 2.5 + k / 10)
-        fleet.until(lambda k=k: fleet.everywhere(k + 1), 20)
+        fleet.until(lambda k=k: fleet.all_run(k + 1), 20)
     fleet.run(1)
     return fleet
 
 
-def assert_converges(fleet: TieredFleet, version: int, most: float = 40.0) -> None:
+def assert_converges(fleet: HierarchicalFleet, version: int, most: float = 40.0) -> None:
     """Asserts that all living supervisors converge to a version and that no invariant has been violated."""
     fleet.until(
         lambda: (
-            fleet.everywhere(version) and not any(fleet.parts[name].instance.tables_frozen() for name in fleet.living())
+            fleet.all_run(version) and not any(fleet.parts[name].instance.tables_frozen() for name in fleet.living())
         ),
         most,
     )
     fleet.run(fleet.bound() + 1)
     check(fleet)
-    check_ends(fleet)
+    check_convergence(fleet)
 
 
 # ---- the delegate is lost, at each point ------------------------------------------------------------------------
@@ -57,18 +57,18 @@
 CELL = "r1c1"
 
 
-def open_epoch(fleet: TieredFleet) -> int:
-    return fleet.above().epoch
+def open_epoch(fleet: HierarchicalFleet) -> int:
+    return fleet.top_record().epoch
 
 
 MOMENTS = {
-    "before the cell's votes": lambda fleet: fleet.above().state == "open",
+    "before the cell's votes": lambda fleet: fleet.top_record().state == "open",
     "once the replica is stored": lambda fleet: fleet.cell_record(CELL).epoch == open_epoch(fleet),
     "between the cell's votes": lambda fleet: 0 < len(fleet.cell_votes(CELL, open_epoch(fleet))),
     "after the cell's votes": lambda fleet: len(fleet.cell_votes(CELL, open_epoch(fleet))) == len(fleet.cells[CELL]),
     "before the vote in the region": lambda fleet: fleet.cell_record(CELL).state == "ready",
     "after the vote in the region": lambda fleet: CELL in fleet.region_votes("r1", open_epoch(fleet)),
-    "once it is committed": lambda fleet: fleet.above().state == "settled",
+    "once it is committed": lambda fleet: fleet.top_record().state == "settled",
 }
 LOSSES = {
     "killed": lambda fleet, name: fleet.kill(name),
@@ -90,9 +90,9 @@
     delegate = fleet.delegate(CELL)
     assert loss == "killed" or delegate == fleet.delegate("r1")
     LOSSES[loss](fleet, delegate)
-    took = fleet.until(lambda: fleet.above().state == "settled", 29)
+    took = fleet.until(lambda: fleet.top_record().state == "settled", 29)
     assert took < ABSENCE_TIMEOUT_S + 4 * fleet.timeout, f"committed after {took:.1f} s"
-    fleet.until(lambda: fleet.everywhere(2), 20)
+    fleet.until(lambda: fleet.all_run(2), 20)
     assert fleet.region_votes("r1", change_epoch) == {cell: True for cell in fleet.regions["r1"]}
     if delegate in fleet.dead:
         fleet.start(delegate)
@@ -109,7 +109,7 @@
     second.cell_registered, second.unattended_since = False, float("-inf")
     second._maintain_cell_delegate()
     assert second.for_cell is not None and fleet.agents[first].for_cell is not None
-    fleet.until(lambda: fleet.everywhere(2), 20)
+    fleet.until(lambda: fleet.all_run(2), 20)
     assert fleet.region_votes("r1", change_epoch) == {cell: True for cell in fleet.regions["r1"]}
     assert_converges(fleet, 2)
     assert sum(fleet.agents[name].for_cell is not None for name in fleet.cells[CELL]) == 1
@@ -124,22 +124,22 @@
     fleet.kill(name)
     killed_at = fleet.loop.now
     fleet.open_change(ELSEWHERE, 3.3)
-    fleet.until(lambda: fleet.above().state == "settled", 29)
+    fleet.until(lambda: fleet.top_record().state == "settled", 29)
     elapsed = fleet.loop.now - killed_at  # its session lasts for up to one more timeout
     assert ABSENCE_TIMEOUT_S * (1 - fleet.drift) <= elapsed < ABSENCE_TIMEOUT_S + 2 * fleet.timeout, (
         f"after {elapsed:.2f} s"
     )
     assert fleet.cell_record(CELL).away == (name,)
     # The next change does not wait for it: it has been absent for long enough.
-    fleet.until(lambda: fleet.everywhere(2), 20)
+    fleet.until(lambda: fleet.all_run(2), 20)
     fleet.run(1)
     fleet.open_change(ELSEWHERE, 3.4)
-    assert fleet.until(lambda: fleet.everywhere(3), 29) < 3
+    assert fleet.until(lambda: fleet.all_run(3), 29) < 3
     # It adopts the version in force before its first order.
     fleet.start(name)
     restarted_at = fleet.loop.now
     fleet.run(10)
-    versions = [version for at, each, version in fleet.acts if each == name and at > restarted_at]
+    versions = [version for at, each, version in fleet.actions if each == name and at > restarted_at]
     assert versions and set(versions) == {3}
     assert_converges(fleet, 3)
 
@@ -150,8 +150,8 @@
     fleet.disconnect(name, 60)
     disconnected_at = fleet.loop.now
     fleet.open_change(ELSEWHERE, 3.3)
-    fleet.until(lambda: fleet.above().state == "settled", 29)
-    last_action = max(at for at, each, _ in fleet.acts if each == name)
+    fleet.until(lambda: fleet.top_record().state == "settled", 29)
+    last_action = max(at for at, each, _ in fleet.actions if each == name)
     assert disconnected_at + DESPITE_AFTER * (1 - 2 * fleet.drift) < last_action < fleet.loop.now
     fleet.run(62)
     assert_converges(fleet, 2)
@@ -165,14 +165,14 @@
         fleet.kill(name)
     killed_at = fleet.loop.now
     fleet.open_change("r1c1s1", 3.3, 60.0)
-    fleet.until(lambda: fleet.everywhere(2), 59)
+    fleet.until(lambda: fleet.all_run(2), 59)
     assert fleet.loop.now - killed_at >= ABSENCE_TIMEOUT_S * (1 - fleet.drift)
     fleet.run(2)
     restarted_at = fleet.loop.now
     for name in killed:
         fleet.start(name)
-    fleet.until(lambda: fleet.everywhere(2), 30)
-    assert {version for at, name, version in fleet.acts if at > restarted_at} == {2}
+    fleet.until(lambda: fleet.all_run(2), 30)
+    assert {version for at, name, version in fleet.actions if at > restarted_at} == {2}
     assert_converges(fleet, 2)
 
 
@@ -187,7 +187,7 @@
     fleet.open_change("r1c1s1", 3.3, 60.0)
     if when == "while it is open":
         fleet.cut_region("r2", 120)
-    fleet.until(lambda: fleet.above().state == "settled", 59, 0.001)
+    fleet.until(lambda: fleet.top_record().state == "settled", 59, 0.001)
     if when == "once it is committed":
         fleet.cut_region("r2", 120)
     cut_at = fleet.loop.now
@@ -211,14 +211,16 @@
     change_epoch = fleet.open_change("r2c1s1", 3.3, 5.0)
     fleet.stores[store].crash(60)
     fleet.run(62)
-    fleet.until(lambda: fleet.above().epoch == change_epoch and fleet.above().state in ("settled", "void"), 40)
+    fleet.until(
+        lambda: fleet.top_record().epoch == change_epoch and fleet.top_record().state in ("settled", "void"), 40
+    )
     fleet.until(lambda: not isinstance(fleet.ask("r2c1s1", 3.4, patience=30.0), str), 20)
-    fleet.until(lambda: fleet.above().epoch > change_epoch and fleet.above().state == "settled", 40)
-    assert_converges(fleet, fleet.settled()[-1][1])
+    fleet.until(lambda: fleet.top_record().epoch > change_epoch and fleet.top_record().state == "settled", 40)
+    assert_converges(fleet, fleet.committed()[-1][1])
 
 
 def test_all_start_within_thirty_seconds_and_none_reads_all_others(tmp_path):
-    fleet = TieredFleet(tmp_path, 2, 3, 4, start=False)
+    fleet = HierarchicalFleet(tmp_path, 2, 3, 4, start=False)
     for name in fleet.names:
         fleet.network.own_seat.after(fleet.random.uniform(0, 30), lambda name=name: fleet.start(name))
     fleet.run(31)
@@ -230,7 +232,7 @@
         region_members[store] = sum(path.startswith(f"{ROOT}/whole/members/") for path in paths)
     assert region_members[WHOLE] == 2  # one delegate for each region
     for name in fleet.names:
-        expected = set(fleet.agents[name].roll.nodes)
+        expected = set(fleet.agents[name].membership.nodes)
         assert {node.partition("~")[0] for node in expected} <= set(fleet.cells[fleet.cell_of[name]])
 
 
@@ -260,7 +262,7 @@
     text = tiers_text()
     assert old in text
     with pytest.raises(HierarchyError) as error:
-        read_tiers(text.replace(old, new) if old == "[[regions]]" else text.replace(old, new, 1))
+        read_hierarchy(text.replace(old, new) if old == "[[regions]]" else text.replace(old, new, 1))
     assert message in str(error.value) and "\n" not in str(error.value)
 
 
@@ -273,28 +275,28 @@
     ids=["one more", "one less"],
 )
 def test_supervisors_with_different_hierarchies_change_nothing_and_name_the_remedy(tmp_path, old, new, differing):
-    fleet = TieredFleet(tmp_path, start=False)
-    fleet.other_hierarchies["r1c1s1"] = read_tiers(fleet.text.replace(old, new, 1))
+    fleet = HierarchicalFleet(tmp_path, start=False)
+    fleet.other_hierarchies["r1c1s1"] = read_hierarchy(fleet.text.replace(old, new, 1))
     for name in fleet.names:
         fleet.start(name)
     fleet.up()
     change_epoch = fleet.open_change(ELSEWHERE, 3.3, 20.0)
-    fleet.until(lambda: fleet.above().state != "open", 25)
-    assert fleet.above().epoch == change_epoch and fleet.above().state == "void"
-    assert differing in fleet.above().why and "give all the same --tiers" in fleet.above().why
+    fleet.until(lambda: fleet.top_record().state != "open", 25)
+    assert fleet.top_record().epoch == change_epoch and fleet.top_record().state == "void"
+    assert differing in fleet.top_record().why and "give all the same --tiers" in fleet.top_record().why
     fleet.run(2)
     check(fleet)
 
 
 def test_a_proposal_from_a_supervisor_with_other_regions_is_refused(tmp_path):
-    fleet = TieredFleet(tmp_path, start=False)
-    fleet.other_hierarchies[ELSEWHERE] = read_tiers(tiers_text(3))
+    fleet = HierarchicalFleet(tmp_path, start=False)
+    fleet.other_hierarchies[ELSEWHERE] = read_hierarchy(tiers_text(3))
     for name in fleet.names:
         fleet.start(name)
     fleet.up()
     fleet.open_change(ELSEWHERE, 3.3, 20.0)
-    fleet.until(lambda: fleet.above().state != "open", 25)
-    assert fleet.above().state == "void" and "by r3: give all the same --tiers" in fleet.above().why
+    fleet.until(lambda: fleet.top_record().state != "open", 25)
+    assert fleet.top_record().state == "void" and "by r3: give all the same --tiers" in fleet.top_record().why
 
 
 # ---- random histories -------------------------------------------------------------------------------------------
@@ -304,19 +306,19 @@
 def test_random_histories_keep_the_invariants_and_finish(tmp_path, seed):
     fleet = drawn_history(tmp_path, seed, 10, 15)
     check(fleet)
-    check_ends(fleet)
+    check_convergence(fleet)
 
 
 # ---- each check detects its violation ---------------------------------------------------------------------------
 
 
 def test_a_build_that_acts_on_its_cells_lease_alone_is_detected(tmp_path, monkeypatch):
-    monkeypatch.setattr(Tiered, "acts", lambda self: self.holds() and self.records.current)
-    monkeypatch.setattr(Tiered, "acts_until", lambda self: self.lease_until())
+    monkeypatch.setattr(HierarchicalAgent, "may_act", lambda self: self.holds_lease() and self.records.current)
+    monkeypatch.setattr(HierarchicalAgent, "may_act_until", lambda self: self.lease_expires_at())
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut_region("r2", 60)
     fleet.open_change("r1c1s1", 3.3)
-    fleet.until(lambda: fleet.above().state == "settled", 29)
+    fleet.until(lambda: fleet.top_record().state == "settled", 29)
     fleet.run(fleet.bound() + 1)
     with pytest.raises(AssertionError, match="acts on version 1 at .* version 2 was committed"):
         check_acts(fleet)
@@ -325,7 +327,7 @@
 
 
 def test_a_build_that_ignores_undecided_records_is_detected(tmp_path, monkeypatch):
-    monkeypatch.setattr(PolicyPart, "_doubt", lambda self: False)
+    monkeypatch.setattr(PolicyParticipant, "_in_doubt", lambda self: False)
     fleet = fleet_up(tmp_path, cells=1, members=2)
     change_epoch = fleet.open_change("r1c1s1", 3.3)
     fleet.until(lambda: "r2" in fleet.votes(WHOLE, f"{ROOT}/whole", change_epoch), 5, 0.001)
@@ -336,8 +338,10 @@
 
 
 def test_a_build_that_does_not_wait_out_the_silence_is_detected(tmp_path, monkeypatch):
-    silent_seconds = Roll.away
-    monkeypatch.setattr(Roll, "away", lambda self, now: {name: 1e9 for name in silent_seconds(self, now)})
+    silent_seconds = MembershipView.absent_for
+    monkeypatch.setattr(
+        MembershipView, "absent_for", lambda self, now: {name: 1e9 for name in silent_seconds(self, now)}
+    )
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut_region("r2", 60)
     fleet.open_change("r1c1s1", 3.3)
@@ -347,7 +351,9 @@
 
 
 def test_a_build_that_acts_without_a_lease_is_detected(tmp_path, monkeypatch):
-    monkeypatch.setattr(Tiered, "holds", lambda self: self.chair.state is RegistrationState.LISTED)
+    monkeypatch.setattr(
+        HierarchicalAgent, "holds_lease", lambda self: self.registration.state is RegistrationState.LISTED
+    )
     fleet = fleet_up(tmp_path, cells=1, members=2)
     fleet.cut("r1c1s2", "r1", 20)
     fleet.run(10)
@@ -358,9 +364,9 @@
 RECORDS = f"{ROOT}/regions/r1/records/policy"
 
 
-def tamper_with_record(fleet: TieredFleet, store: str, path: str, **changes) -> None:
-    record = agreement.read_record("policy", fleet.stores[store].data(path))
-    fleet.write_directly(store, SetData(path, agreement.write(replace(record, **changes))))
+def tamper_with_record(fleet: HierarchicalFleet, store: str, path: str, **changes) -> None:
+    record = agreement.decode_record("policy", fleet.stores[store].data(path))
+    fleet.write_directly(store, SetData(path, agreement.encode(replace(record, **changes))))
 
 
 def test_a_vote_that_changes_is_detected(tmp_path):
@@ -368,7 +374,7 @@
     change_epoch = fleet.open_change(fleet.names[-1], 3.3)
     fleet.until(lambda: CELL in fleet.region_votes("r1", change_epoch), 5, 0.001)
     vote = agreement.Vote(CELL, change_epoch, False, "I would rather not")
-    fleet.write_directly("r1", SetData(f"{RECORDS}/{change_epoch}.{CELL}", agreement.write(vote)))
+    fleet.write_directly("r1", SetData(f"{RECORDS}/{change_epoch}.{CELL}", agreement.encode(vote)))
     with pytest.raises(AssertionError, match="the vote .* changed"):
         check_records(fleet)
 
@@ -400,7 +406,7 @@
     fleet.open_change(fleet.names[-1], 3.3, 3.0)
     fleet.until(lambda: fleet.cell_record(CELL).epoch == 2, 5, 0.001)
     record = fleet.cell_record(CELL)
-    standing = agreement.Standing(record.epoch, record.token, record.by, record.body)
+    standing = agreement.CommittedValue(record.epoch, record.token, record.by, record.body)
     tamper_with_record(fleet, "r1", f"{ROOT}/cells/{CELL}/records/policy", state="settled", standing=standing)
     fleet.run(3)
     with pytest.raises(AssertionError, match="is settled, but not in the top-level fleet"):
@@ -415,4 +421,4 @@
     fleet.open_change("r1c1s1", 3.3)
     fleet.run(15)
     with pytest.raises(AssertionError, match="runs version 1, but 2 is in force|is open|is ready"):
-        check_ends(fleet)
+        check_convergence(fleet)
--- a/tests/test_tiers_decisions.py
+++ b/tests/test_tiers_decisions.py
@@ -7,10 +7,10 @@
 from click.testing import CliRunner
 
 from driftshed.cli import main
-from driftshed.coordination import agreement, tiers
-from driftshed.coordination.agreement import Record, Standing, Vote
-from driftshed.coordination.members import Digest, Member, Roll
-from driftshed.coordination.tiers import Heartbeat, HeartbeatTracker, HierarchyError, read_tiers
+from driftshed.coordination import agreement, hierarchy
+from driftshed.coordination.agreement import CommittedValue, Record, Vote
+from driftshed.coordination.hierarchy import Heartbeat, HeartbeatTracker, HierarchyError, read_hierarchy
+from driftshed.coordination.members import Digest, Member, MembershipView
 
 FILE = """
 form = 1
@@ -34,7 +34,7 @@
 
 
 def test_a_supervisor_has_a_placement_in_three_fleets():
-    placement = read_tiers(FILE).placement("n1b")
+    placement = read_hierarchy(FILE).placement("n1b")
     assert placement.cell == (
         "n1b",
         "/driftshed/cells/n1",
@@ -46,7 +46,7 @@
     assert placement.region.expected == ("n1", "n2")
     assert placement.region.hosts == placement.cell.hosts and placement.region.sizes == {"n1": 2, "n2": 1}
     assert placement.top[:4] == ("north", "/driftshed/whole", [("127.0.0.2", 2181)], ("north", "south"))
-    assert placement.top.sizes == {"north": 3, "south": 3} and read_tiers(FILE).supervisor_count() == 6
+    assert placement.top.sizes == {"north": 3, "south": 3} and read_hierarchy(FILE).supervisor_count() == 6
 
 
 NAMES = ", ".join(f'"m{k}"' for k in range(65))
@@ -78,27 +78,27 @@
 def test_an_invalid_file_is_refused_with_the_remedy(old, new, message):
     assert FILE.count(old) >= 1
     with pytest.raises(HierarchyError) as error:
-        read_tiers(FILE.replace(old, new, 1))
+        read_hierarchy(FILE.replace(old, new, 1))
     assert message in str(error.value)
 
 
 def test_65_cells_and_65_regions_are_refused():
     cells = "".join(f'[[regions.cells]]\nname = "c{k}"\nmembers = ["m{k}"]\n' for k in range(65))
     with pytest.raises(HierarchyError, match="65 cells in region far, at most 64"):
-        read_tiers(FILE + f'[[regions]]\nname = "far"\nstores = "127.0.0.6:2181"\n{cells}')
+        read_hierarchy(FILE + f'[[regions]]\nname = "far"\nstores = "127.0.0.6:2181"\n{cells}')
     regions = "".join(
         f'[[regions]]\nname = "r{k}"\nstores = "127.0.0.6:2181"\n[[regions.cells]]\nname = "c{k}"\nmembers = ["m{k}"]\n'
         for k in range(63)
     )
     with pytest.raises(HierarchyError, match="65 regions in the top-level fleet, at most 64"):
-        read_tiers(FILE + regions)
+        read_hierarchy(FILE + regions)
 
 
 def test_a_supervisor_in_no_cell_is_refused_with_the_remedy():
     with pytest.raises(
         HierarchyError, match="'n9' is in no cell: name it among the members of one, or give another --name"
     ):
-        read_tiers(FILE).placement("n9")
+        read_hierarchy(FILE).placement("n9")
 
 
 # ---- heartbeats -------------------------------------------------------------------------------------------------
@@ -150,21 +150,24 @@
 
 
 def test_a_malformed_heartbeat_is_none():
-    assert tiers.decode_heartbeat(b"") is None and tiers.decode_heartbeat(b'{"by":"a","run":"r","number":0}') is None
-    assert tiers.decode_heartbeat(tiers.encode_heartbeat(Heartbeat("a", "r", 1, Digest(3, 2)))) == Heartbeat(
+    assert (
+        hierarchy.decode_heartbeat(b"") is None
+        and hierarchy.decode_heartbeat(b'{"by":"a","run":"r","number":0}') is None
+    )
+    assert hierarchy.decode_heartbeat(hierarchy.encode_heartbeat(Heartbeat("a", "r", 1, Digest(3, 2)))) == Heartbeat(
         "a", "r", 1, Digest(3, 2)
     )
 
 
 def test_the_next_in_the_order_takes_over_later():
-    assert tiers.takeover_due(0.0, 0, True, 4.0) and not tiers.takeover_due(0.0, 0, False, 4.0)
-    assert not tiers.takeover_due(1.9, 1, True, 4.0) and tiers.takeover_due(2.0, 1, True, 4.0)
-    assert not tiers.takeover_due(3.9, 1, False, 4.0) and tiers.takeover_due(4.0, 1, False, 4.0)
+    assert hierarchy.takeover_due(0.0, 0, True, 4.0) and not hierarchy.takeover_due(0.0, 0, False, 4.0)
+    assert not hierarchy.takeover_due(1.9, 1, True, 4.0) and hierarchy.takeover_due(2.0, 1, True, 4.0)
+    assert not hierarchy.takeover_due(3.9, 1, False, 4.0) and hierarchy.takeover_due(4.0, 1, False, 4.0)
 
 
 # ---- replicas and votes -----------------------------------------------------------------------------------------
 
-IN_FORCE = Standing(3, "old", "x", {"version": 1})
+IN_FORCE = CommittedValue(3, "old", "x", {"version": 1})
 
 
 def parent_record(state: str = "open", epoch: int = 7, **changes) -> Record:
@@ -194,7 +197,7 @@
 def test_a_decision_of_the_parent_is_replicated_whatever_the_replica_decided(replica_state):
     replica = agreement.replicated(None, parent_record(), "n1", ("n1", "n2"))
     replica = agreement.replace(replica, state=replica_state)
-    committed = Standing(7, "t7", "north", {"version": 2})
+    committed = CommittedValue(7, "t7", "north", {"version": 2})
     ended = agreement.replicated(replica, parent_record("settled", standing=committed, passed=True), "n1", ("n1", "n2"))
     assert (ended.state, ended.standing, ended.passed) == ("settled", committed, True) and agreement.newer(
         ended, replica
@@ -241,8 +244,8 @@
 
 
 def test_a_record_of_a_flat_fleet_has_no_fields_of_hierarchies():
-    record = agreement.proposed(None, "policy", 1, "a", "t", 1, ("a",), 1, 3.0)
-    assert b"copied" not in agreement.write(record) and b"waits" not in agreement.write(record)
+    record = agreement.proposed_record(None, "policy", 1, "a", "t", 1, ("a",), 1, 3.0)
+    assert b"copied" not in agreement.encode(record) and b"waits" not in agreement.encode(record)
     assert agreement.outcome(record, {"a": Vote("a", 1, True)}).state == "settled"
     assert agreement.aborted(record, "no").state == "void"
 
@@ -251,41 +254,41 @@
 
 
 def test_silence_is_counted_from_when_the_view_became_complete():
-    roll = Roll(("a", "b", "c"), 0.0)
-    assert roll.away(5.0) == {}
+    roll = MembershipView(("a", "b", "c"), 0.0)
+    assert roll.absent_for(5.0) == {}
     roll.complete_since = 1.0
-    roll.appeared("a~1", Member("a", incarnation=1), 1, 1.0)
-    roll.appeared("b~1", Member("b", incarnation=1), 2, 1.0)
-    assert roll.away(5.0) == {"c": 4.0}
+    roll.update_node("a~1", Member("a", incarnation=1), 1, 1.0)
+    roll.update_node("b~1", Member("b", incarnation=1), 2, 1.0)
+    assert roll.absent_for(5.0) == {"c": 4.0}
     roll.remove_node("b~1", 6.0)
-    assert roll.away(8.0) == {"b": 2.0, "c": 7.0}
+    assert roll.absent_for(8.0) == {"b": 2.0, "c": 7.0}
     roll.complete_since = 20.0  # this supervisor was disconnected in between
-    assert roll.away(21.0) == {"b": 1.0, "c": 1.0}
+    assert roll.absent_for(21.0) == {"b": 1.0, "c": 1.0}
 
 
 def test_a_supervisor_with_a_node_of_an_older_start_is_not_absent():
-    roll = Roll(("a",), 0.0)
+    roll = MembershipView(("a",), 0.0)
     roll.complete_since = 0.0
-    roll.appeared("a~1", Member("a", incarnation=1), 1, 0.0)
-    roll.appeared("a~2", Member("a", incarnation=2), 2, 0.0)
+    roll.update_node("a~1", Member("a", incarnation=1), 1, 0.0)
+    roll.update_node("a~2", Member("a", incarnation=2), 2, 0.0)
     roll.remove_node("a~2", 1.0)
-    assert "a" not in roll.living() and roll.away(100.0) == {}
+    assert "a" not in roll.living() and roll.absent_for(100.0) == {}
 
 
 # ---- digests ----------------------------------------------------------------------------------------------------
 
 
 def test_digests_of_cells_add_up_and_are_bounded():
-    roll = Roll(("a", "b", "c", "d"), 0.0)
+    roll = MembershipView(("a", "b", "c", "d"), 0.0)
     for k, (name, state, policy) in enumerate((("a", "serving", 3), ("b", "leaving", 2), ("x", "serving", 9))):
-        roll.appeared(f"{name}~1", Member(name, state=state, policy=policy, incarnation=1), k, 0.0)
-    digest = tiers.cell_digest(roll.rows(1.0))
+        roll.update_node(f"{name}~1", Member(name, state=state, policy=policy, incarnation=1), k, 0.0)
+    digest = hierarchy.cell_digest(roll.rows(1.0))
     assert digest == Digest(4, 1, 1, 2, {"3": 1, "2": 1})
-    region_digest = tiers.aggregate_digest(
+    region_digest = hierarchy.aggregate_digest(
         {"n1": Member("n1", digest=digest), "n2": Member("n2")}, {"n1": 4, "n2": 3, "n3": 5}
     )
     assert region_digest == Digest(12, 1, 1, 2 + 3 + 5, {"3": 1, "2": 1})
-    many = tiers.bounded_policies({str(k): k for k in range(1, 9)})
+    many = hierarchy.bounded_policies({str(k): k for k in range(1, 9)})
     assert many == {"8": 8, "7": 7, "6": 6, "5": 1 + 2 + 3 + 4 + 5}
 
 
@@ -314,6 +317,6 @@
 
 
 def test_a_single_supervisor_loads_no_module_of_hierarchies():
-    code = "import sys, driftshed.supervisor.command as c; print([m for m in sys.modules if 'tier' in m])"
+    code = "import sys, driftshed.supervisor.command as c; print([m for m in sys.modules if 'hierarch' in m])"
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/test_tiers_model.py
+++ b/tests/test_tiers_model.py
@@ -11,14 +11,14 @@
 from driftshed.coordination import agreement
 from driftshed.coordination.agreement import Record, Vote
 from driftshed.lab.state_search import explore
-from driftshed.policy.change import Known, may_change_tables, waited_out
+from driftshed.policy.change import LocalKnowledge, despite_silence_s, may_change_tables
 
 DESPITE_AFTER_S, CLOCK_DRIFT = 5.0, 0.02
 # Seconds past the permission to act, by the local clock.
 OVERDUE_S = (
     -1.0,
     0.01,
-    waited_out(DESPITE_AFTER_S, CLOCK_DRIFT) * (1 - CLOCK_DRIFT),
+    despite_silence_s(DESPITE_AFTER_S, CLOCK_DRIFT) * (1 - CLOCK_DRIFT),
 )
 
 
@@ -93,7 +93,7 @@
 @cache
 def may_act(permission: int, doubt: bool) -> bool:
     return may_change_tables(
-        Known(permission == 0, 0.0, False, doubt, False, DESPITE_AFTER_S, CLOCK_DRIFT), OVERDUE_S[permission]
+        LocalKnowledge(permission == 0, 0.0, False, doubt, False, DESPITE_AFTER_S, CLOCK_DRIFT), OVERDUE_S[permission]
     )
 
 
@@ -440,7 +440,7 @@
     assert not found.broken and found.states == 2_500, found
 
 
-BROKEN = {
+FAULTY = {
     "patient": fleet(1),
     "stretched": fleet(1),
     "doubts": fleet(1),
@@ -456,11 +456,11 @@
 
 
 @pytest.mark.parametrize("link", ["beats", "roll"])
-@pytest.mark.parametrize("guard", BROKEN)
+@pytest.mark.parametrize("guard", FAULTY)
 def test_each_disabled_guard_is_detected(guard, link):
     if (guard, link) == ("serial", "roll"):
         return  # there are no heartbeats
-    found = search(BROKEN[guard], Guards(link)._replace(**{guard: False}))
+    found = search(FAULTY[guard], Guards(link)._replace(**{guard: False}))
     message = "a cell's vote changed" if guard == "once" else "after the bound"
     assert message in found.broken and found.way, found
 
