--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -79,7 +79,7 @@
     records = [hub.join(p, p % 2, None, 0)[0] for p in range(proxies)]
     now = 100.0
     entries = tuple(
-        face.Entry(module_events.name(n), n % 2, n // 2 % 2, None, 0, face.READY, 1.0) for n in range(servers)
+        face.Entry(module_events.server_address(n), n % 2, n // 2 % 2, None, 0, face.READY, 1.0) for n in range(servers)
     )
     hub.apply(brain.handle(now, [face.Listing(1, face.CACHED, entries)]), now)
     for first in range(0, proxies, 64):
@@ -120,7 +120,7 @@
     """Joins the proxies to the hub and gives them one table of all servers; returns their records."""
     records = [hub.join(p, 0, None, 0)[0] for p in range(proxies)]
     weights = Random(1)
-    lines = [face.SetLine(module_events.name(n), weights.uniform(0.5, 2), 0) for n in range(servers)]
+    lines = [face.SetLine(module_events.server_address(n), weights.uniform(0.5, 2), 0) for n in range(servers)]
     hub.apply([*lines, *(face.UseTable(0, 0, p) for p in range(proxies))], 0.0)
     hub.release(1e9)
     return records
@@ -132,7 +132,7 @@
     record = fill_one_table(hub, servers, 1)[0]
     snapshot_bytes = len(hub.update_body(record))
     hub.ack(record, record.version, 1e9)
-    hub.apply([face.SetLine(module_events.name(0), 1.25, 0)], 1e9)
+    hub.apply([face.SetLine(module_events.server_address(0), 1.25, 0)], 1e9)
     hub.release(2e9)
     return {"whole_bytes": snapshot_bytes, "delta_bytes": len(hub.update_body(record))}
 
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -38,7 +38,7 @@
     return start_facts(facts)
 
 
-def name(n: int) -> bytes:
+def server_address(n: int) -> bytes:
     """The binary address of server number `n`."""
     return bytes([10, n >> 16, n >> 8 & 255, n & 255, 31, 64])
 
@@ -50,7 +50,7 @@
     random = Random(1)
 
     def entry(n: int, state: int = face.READY, started: float | None = None) -> face.Entry:
-        return face.Entry(name(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
+        return face.Entry(server_address(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
 
     server_numbers, last_number = list(range(servers)), servers
     yield now, [face.Listing(1, face.CACHED, tuple(entry(n) for n in server_numbers))]
@@ -70,7 +70,7 @@
         for n in server_numbers:
             for zone in (0, 1):
                 latency = random.uniform(0.09, 0.2)
-                events.append(face.Heard(random.random() < 0.1, name(n), 12, PERIOD_S, zone, latency, None))
+                events.append(face.Heard(random.random() < 0.1, server_address(n), 12, PERIOD_S, zone, latency, None))
         events += [face.Demand(1 + random.randrange(2), p, PERIOD_S, 0, random.randrange(3)) for p in range(proxies)]
         yield now, events
 
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -36,7 +36,7 @@
 
 from benchmarks.hollow_worker import Plan, Row, policy_text, resident_bytes
 from benchmarks.hollow_worker import main as worker_main
-from driftshed.day.stage import Launched, free_net
+from driftshed.day.stage import Subprocess, reserve_network
 from driftshed.net.loop import Loop
 from driftshed.net.stream import Stream
 from driftshed.policy.participant import CHECK_INTERVAL_S
@@ -99,7 +99,7 @@
 ROLES = {1: "member", 2: "cell's speaker", 3: "region's speaker"}
 
 
-class StoreProcess(Launched):
+class StoreProcess(Subprocess):
     """A stand-in store in a process of its own."""
 
     def __init__(self, address: str, folder: Path) -> None:
@@ -109,7 +109,7 @@
         self._launch(["roster", "serve", "--listen", address, "--folder", str(folder), "--log-level", "warning"])
 
 
-class RealSupervisor(Launched):
+class RealSupervisor(Subprocess):
     """A complete supervisor process without proxies, in the same fleet as the hollow ones, with module, service and
     listener."""
 
@@ -248,7 +248,7 @@
         self.ends_at = time.monotonic() + max_seconds
         shared = Path("/dev/shm")
         self.folder = Path(tempfile.mkdtemp(prefix="hollow-", dir=shared if shared.is_dir() else None))
-        self.net, self.lock = free_net(os.getpid())
+        self.net, self.lock = reserve_network(os.getpid())
         self.stores: list[StoreProcess] = []
         self.workers: list[WorkerProcess] = []
         self.real: list[RealSupervisor] = []
@@ -316,7 +316,7 @@
         for worker in self.workers:
             worker.end()
         for each in (*self.real, *self.stores):
-            each.end()
+            each.terminate()
         self.loop.close()
         self.lock.close()
         shutil.rmtree(self.folder, ignore_errors=True)
@@ -466,7 +466,7 @@
                     row[2] += opened if sign > 0 else 0
         result["stores"] = [
             {
-                "store": Path(store.logs).stem.removeprefix("store-"),
+                "store": Path(store.log_path).stem.removeprefix("store-"),
                 "sessions": sums.get(store.address, [0, 0, 0])[2],
                 "bytes_a_second": round(sums.get(store.address, [0, 0, 0])[0] / elapsed),
                 "messages_a_second": round(sums.get(store.address, [0, 0, 0])[1] / elapsed, 1),
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -16,7 +16,7 @@
 
 from driftshed.coordination.participation import leave_fleet
 from driftshed.core.messages import Changes
-from driftshed.day.judge import CHANGES
+from driftshed.day.judge import CHANGES_DECODER
 from driftshed.lab.environments import VirtualEnvironment
 from driftshed.lab.scenario import check_scenario, fault_free_day
 from driftshed.lab.simulation import SimulatedDeployment
@@ -47,7 +47,7 @@
     # By proxy: time, owner and number of lines of the first tables of another supervisor.
     first_tables: dict[int, tuple[float, int, float]] = {}
     for connection in environment.record.kinds["control"]:
-        owner = environment.owner(connection.asked)
+        owner = environment.owner(connection.destination)
         for each in connection.exchanges:
             parts = each.path.split("/")
             proxy = int(parts[3])
@@ -56,7 +56,7 @@
             if owner == 0:
                 last_answers[proxy] = max(last_answers.get(proxy, 0.0), each.answered_at)
             elif each.answered_at > LOST_AT_S and each.status == 200:
-                message: Changes = CHANGES.decode(each.body)
+                message: Changes = CHANGES_DECODER.decode(each.body)
                 if message.changes and (proxy not in first_tables or each.answered_at < first_tables[proxy][0]):
                     first_tables[proxy] = each.answered_at, owner, message.lines
     lines: dict[int, float] = {}
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -22,9 +22,9 @@
 from msgspec.structs import replace
 
 from driftshed.day import script as day_script
-from driftshed.day.drawn import with_drawn
 from driftshed.day.judge import judge
-from driftshed.day.stage import play
+from driftshed.day.random_troubles import with_drawn
+from driftshed.day.stage import run_day
 from driftshed.evacuation import controller, stages
 from driftshed.evacuation.stages import check_succession, next_stage
 from driftshed.lab import scenario as lab_scenario
@@ -254,16 +254,16 @@
     fleet = replace(script.fleet, supervisors=random.choice([3, 5]))
     script = with_drawn(replace(script, fleet=fleet, troubles=faults), seed)
     with tempfile.TemporaryDirectory() as folder:
-        stage = play(script, seed, Path(folder), None, None, None)
+        stage = run_day(script, seed, Path(folder), None, None, None)
         verdict = judge(script, stage.record)
-    left_shares = {owner: max(share for _, share in rows) for owner, rows in verdict.left.get("east", {}).items()}
+    left_shares = {owner: max(share for _, share in rows) for owner, rows in verdict.evacuated.get("east", {}).items()}
     return {
         "seed": seed,
         "kind": kind,
         "supervisors": fleet.supervisors,
         "service": round(verdict.service, 4),
         "left": left_shares,
-        "breaks": verdict.breaks[:3],
+        "breaks": verdict.violations[:3],
         "rules": {name: [row["checked"], row["broken"]] for name, row in verdict.rules.items()},
     }
 
--- a/driftshed/day/accord.py
+++ b/driftshed/day/agreement_checker.py
@@ -130,10 +130,10 @@
 
     def _orders(self) -> Iterator[tuple[float, OrderReport]]:
         rows = [
-            (each.asked_at, ORDER_DECODER.decode(each.asked))
+            (each.requested_at, ORDER_DECODER.decode(each.request_body))
             for connection in self.kinds.get(ORDER, [])
             for each in connection.exchanges
-            if each.path == ORDER_PATH and each.asked
+            if each.path == ORDER_PATH and each.request_body
         ]
         for at, order in sorted(rows, key=lambda row: row[0]):
             if self.names is None or order.name in self.names:
@@ -166,7 +166,7 @@
         polled."""
         joins, polls, terms = defaultdict(list), defaultdict(list), {}
         for connection in self.kinds.get(CONTROL, []):
-            owner = self.owner(connection.asked)
+            owner = self.owner(connection.destination)
             for each in connection.exchanges:
                 parts = each.path.split("/")
                 if len(parts) == 5 and parts[4] == "join" and each.status == 200:
@@ -175,7 +175,7 @@
                     terms[owner, stream] = term
                     joins[parts[3]].append((each.answered_at, term))
                 elif len(parts) == 5 and parts[4] == "changes":
-                    polls[parts[3]].append((each.asked_at, owner, each.query.get("stream")))
+                    polls[parts[3]].append((each.requested_at, owner, each.query.get("stream")))
         for proxy, rows in joins.items():
             highest = -1
             for at, term in sorted(rows):
@@ -198,7 +198,7 @@
                 highest = max(highest, term)
 
 
-def judge_accord(verdict, kinds: dict[str, list], owner: Callable[[str], int]) -> None:
+def check_agreement(verdict, kinds: dict[str, list], owner: Callable[[str], int]) -> None:
     """Adds the three rules to a verdict and checks them."""
     for rule in RULES:
         verdict.rules[rule] = {"checked": 0, "broken": 0}
--- a/driftshed/day/command.py
+++ b/driftshed/day/command.py
@@ -12,12 +12,12 @@
 
 from driftshed.common.options import option
 from driftshed.day import tiers
-from driftshed.day.accord import RULES as AGREEMENT_RULES
-from driftshed.day.drawn import shrunk, with_drawn, without
+from driftshed.day.agreement_checker import RULES as AGREEMENT_RULES
 from driftshed.day.judge import Verdict, judge
 from driftshed.day.policies import RULE as POLICIES
+from driftshed.day.random_troubles import reduce_troubles, with_drawn, without
 from driftshed.day.script import BadScript, Script, load_script
-from driftshed.day.stage import DayHarness, play
+from driftshed.day.stage import DayHarness, run_day
 from driftshed.day.tamper import RULES
 from driftshed.day.zones import RULE as ZONES
 
@@ -84,18 +84,18 @@
 
     def run_once(script: Script, folder: Path) -> tuple[DayHarness, Verdict]:
         folder.mkdir(parents=True, exist_ok=True)
-        harness = play(script, seed, folder, tamper, trace, tries)
+        harness = run_day(script, seed, folder, tamper, trace, tries)
         return harness, judge(script, harness.record)
 
     with tempfile.TemporaryDirectory() as scratch:
         harness, verdict = run_once(script, keep or Path(scratch) / "0")
-        if shrink and not verdict.kept:
+        if shrink and not verdict.all_kept:
             folders = (Path(scratch) / str(k) for k in count(1))
-            script, (harness, verdict) = shrunk(
+            script, (harness, verdict) = reduce_troubles(
                 script,
                 (harness, verdict),
                 lambda reduced: run_once(reduced, next(folders)),
-                lambda outcome: not outcome[1].kept,
+                lambda outcome: not outcome[1].all_kept,
             )
         size = harness.recorder.bytes
     if as_json:
@@ -109,15 +109,15 @@
                     "events": harness.events,
                     "name": name,
                     "asked": verdict.asked,
-                    "breaks": verdict.breaks,
-                    "left": verdict.left,
+                    "breaks": verdict.violations,
+                    "left": verdict.evacuated,
                     "operations": {name: round(share, 4) for name, share in verdict.operations.items()},
                 }
             )
         )
     else:
         _print_report(name, seed, script, harness.events, verdict, size)
-    sys.exit(0 if verdict.kept else 1)
+    sys.exit(0 if verdict.all_kept else 1)
 
 
 def _play_tiers(
@@ -141,7 +141,7 @@
                     "seconds": seconds,
                     "events": harness.events,
                     "name": tiers.NAME,
-                    "breaks": verdict.breaks,
+                    "breaks": verdict.violations,
                     **figures,
                 }
             )
@@ -152,13 +152,13 @@
         recorded = f"{seconds:g} s, {harness.recorder.bytes / 1e6:.1f} MB recorded"
         click.echo(f"{parts}, {len(harness.proxies)} proxies, {recorded}")
         _print_events(harness.events, verdict)
-        for text in verdict.breaks:
+        for text in verdict.violations:
             click.echo(f"  {text}")
         click.echo(
             f"{harness.asked} changes requested, {figures['settled']} committed; at most {figures['used']:.2f} "
             f"of the bound of {tiers_judge.bound:.2f} s was used"
         )
-    sys.exit(0 if verdict.kept else 1)
+    sys.exit(0 if verdict.all_kept else 1)
 
 
 def _print_events(events: list[dict], verdict: Verdict) -> None:
@@ -177,11 +177,11 @@
     parts = f"{supervisors}{script.fleet.servers} servers, {facts.proxies} proxies, {script.seconds:g} s"
     click.echo(f"{parts}, {size / 1e6:.1f} MB recorded")
     _print_events(events, verdict)
-    for zone, rows in verdict.left.items():
+    for zone, rows in verdict.evacuated.items():
         for owner, shares in sorted(rows.items()):
             result = ", ".join(f"{share:.0%} at {at:g} s" for at, share in shares)
             click.echo(f"left of {zone} by supervisor {owner}: {result}")
-    for text in verdict.breaks:
+    for text in verdict.violations:
         click.echo(f"  {text}")
     parts = ", ".join(f"{name} {share:.3f}" for name, share in verdict.operations.items())
     click.echo(f"service {verdict.service:.3f} of the billed value of {verdict.asked} invocations ({parts})")
--- a/driftshed/day/between.py
+++ b/driftshed/day/fault_relay.py
@@ -111,13 +111,13 @@
     def _accept(self, near: Stream) -> None:
         self.connections.add(_Connection(self, near))
 
-    def hold(self, forth: bool = True, back: bool = True) -> None:
+    def block(self, forth: bool = True, back: bool = True) -> None:
         """Sets which directions are blocked; connections stay open."""
         self.blocked = {FORTH: forth, BACK: back}
 
-    def release(self) -> None:
+    def unblock(self) -> None:
         """Unblocks both directions; data buffered on open connections are forwarded, as after a loss."""
-        self.hold(False, False)
+        self.block(False, False)
         for connection in list(self.connections):
             for way in (FORTH, BACK):
                 connection.forward(way)
@@ -125,9 +125,9 @@
     def cut(self, way: str, step: int) -> None:
         """Adds `step` (+1 or -1) to the faults that block a direction; it is unblocked when none is left."""
         self.cuts[way] += step
-        self.hold(self.cuts[FORTH] > 0, self.cuts[BACK] > 0)
+        self.block(self.cuts[FORTH] > 0, self.cuts[BACK] > 0)
         if not any(self.blocked.values()):
-            self.release()
+            self.unblock()
 
     def reset(self) -> None:
         """Resets every connection at both ends."""
--- a/driftshed/day/fleet.py
+++ b/driftshed/day/fleet.py
@@ -16,20 +16,20 @@
 import msgspec
 
 from driftshed.core.messages import ListedServer, RosterUpdate, encode_json
-from driftshed.day.between import FaultRelay, frame_length
-from driftshed.day.stage import Launched, free_net
+from driftshed.day.fault_relay import FaultRelay, frame_length
+from driftshed.day.stage import Subprocess, reserve_network
 from driftshed.net.loop import Loop
 
 POLL_INTERVAL_S = 0.01  # between checks for calls to run on the relays' thread
-OPERATION = "look:objective=0.5,timeout=1.5,value=1,effect=idempotent"
+OPERATION_FLAG = "look:objective=0.5,timeout=1.5,value=1,effect=idempotent"
 
 
-class FleetProcess(Launched):
+class FleetProcess(Subprocess):
     """A process that can be restarted with the same command."""
 
-    def __init__(self, command: list[str], logs: Path) -> None:
-        """`command`: the arguments of `driftshed`; `logs`: the log file, appended to across restarts."""
-        super().__init__(logs)
+    def __init__(self, command: list[str], log_path: Path) -> None:
+        """`command`: the arguments of `driftshed`; `log_path`: the log file, appended to across restarts."""
+        super().__init__(log_path)
         self.command = command
 
     def start(self) -> None:
@@ -39,16 +39,16 @@
     def kill(self) -> None:
         """Kills the process by SIGKILL and waits for it."""
         self.signal(signal.SIGKILL)
-        self.end()
+        self.terminate()
 
     def events(self) -> list[dict]:
         """The lines of its JSON log so far."""
-        return [msgspec.json.decode(line) for line in self.logs.read_bytes().splitlines() if line.startswith(b"{")]
+        return [msgspec.json.decode(line) for line in self.log_path.read_bytes().splitlines() if line.startswith(b"{")]
 
 
-class FleetStage:
-    """A fleet of processes whose relays run on a thread of their own; call them only by `do`. Close it in any case, so
-    that no process is left behind."""
+class FleetHarness:
+    """A fleet of processes whose relays run on a thread of their own; call them only by `run_on_loop`. Close it in any
+    case, so that no process is left behind."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         `silence`: seconds without a poll after which a stream ends; `hears_within`: seconds until a proxy abandons a
         silent supervisor; `more`: further flags of supervisors; `policies`: they follow the fleet policy."""
         self.loop = Loop()
-        net, self.lock = free_net(os.getpid())
+        net, self.lock = reserve_network(os.getpid())
         host = f"127.{net}.0"
         self.names = [f"s{k}" for k in range(supervisors)]
         self.store_address = f"{host}.8", 2181
@@ -92,7 +92,7 @@
                     "--advertise",
                     f"{advertise[0]}:{advertise[1]}",
                     "--operation",
-                    OPERATION,
+                    OPERATION_FLAG,
                     "--proxies",
                     str(proxies),
                     "--supervisors",
@@ -128,7 +128,7 @@
                         "--zone",
                         "east",
                         "--operation",
-                        OPERATION,
+                        OPERATION_FLAG,
                         "--hears-within",
                         str(hears_within),
                         "--standing",
@@ -157,7 +157,7 @@
                 call()
                 done.set()
 
-    def do(self, call: Callable[[], object]) -> None:
+    def run_on_loop(self, call: Callable[[], object]) -> None:
         """Runs a call on the relays' thread and waits for it; RuntimeError after 10 s."""
         done = threading.Event()
         self.pending_calls.put((call, done))
@@ -195,7 +195,7 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         for process in (*self.proxies, *self.supervisors.values(), self.store):
-            process.end()
+            process.terminate()
         self.stopped = True
         self.thread.join(10)
         for relay in (*self.to_store.values(), *self.to_proxies.values()):
--- a/driftshed/day/tiers_accord.py
+++ b/driftshed/day/hierarchy_judge.py
@@ -19,16 +19,16 @@
 from driftshed.coordination.hierarchy import HEARTBEAT_VALIDITY_FRACTION
 from driftshed.coordination.lease import MAX_CLOCK_DRIFT
 from driftshed.core.messages import Changes
-from driftshed.day import accord
-from driftshed.day.accord import AgreementChecker
+from driftshed.day import agreement_checker
+from driftshed.day.agreement_checker import AgreementChecker
 from driftshed.day.policies import DELAY_ALLOWANCE_S, judge_changes
 from driftshed.day.policies import RULE as POLICIES
 from driftshed.day.recorder import CONTROL, ORDER, STORED
-from driftshed.day.traffic import Connection, StoreTalk
+from driftshed.day.traffic import Connection, StoreConnection
 from driftshed.policy.change import TOPIC, activation_bound_s
 from driftshed.roster import jute
 
-RULES = (*accord.RULES, POLICIES, "ends")
+RULES = (*agreement_checker.RULES, POLICIES, "ends")
 RUNS_PATH = "/runs"  # at which the harness accepts reports of versions
 REPORT_ALLOWANCE_S = 0.3  # for reports of supervisors in transit to the harness, on a busy machine
 FINAL_REPORTS_S = 1.5  # before the end of a record, within which every live supervisor has reported
@@ -70,7 +70,7 @@
 class FleetChecker(AgreementChecker):
     """Checks one fleet of the hierarchy."""
 
-    def __init__(self, *args: object, answer_cache: dict[StoreTalk, list[tuple]], **kwargs: object) -> None:
+    def __init__(self, *args: object, answer_cache: dict[StoreConnection, list[tuple]], **kwargs: object) -> None:
         """`answer_cache`: parsed answers by connection, shared by the checkers of all fleets."""
         self.answer_cache = answer_cache
         # Records that were read: time of the reading, the store's time of the write, and the record.
@@ -94,12 +94,12 @@
         for node, rows in self.node_events.items():
             self.presence[node] += [(at, False) for at, present in rows if not present]
 
-    def _answers(self, connection: StoreTalk) -> list[tuple]:
+    def _answers(self, connection: StoreConnection) -> list[tuple]:
         if connection not in self.answer_cache:
             self.answer_cache[connection] = list(super()._answers(connection))
         return self.answer_cache[connection]
 
-    def _read(self, connection: StoreTalk) -> None:
+    def _read(self, connection: StoreConnection) -> None:
         super()._read(connection)
         folder, records = f"{self.root}/members", f"{self.root}/records/"
         for at, request, result in self._answers(connection):
@@ -170,10 +170,13 @@
             self.count_check("epochs")
             for name in seen.record.needs:
                 vote_times = self.votes.get((epoch, name), {})
-                if vote_times.get(True, accord.NEVER) <= seen.at + accord.TRANSIT_ALLOWANCE_S:
+                if vote_times.get(True, agreement_checker.NEVER) <= seen.at + agreement_checker.TRANSIT_ALLOWANCE_S:
                     continue
                 away = isinstance(waits, float | int)
-                since, till = seen.at - (waits * (1 - 2 * MAX_CLOCK_DRIFT) if away else accord.NEVER), seen.at
+                since, till = (
+                    seen.at - (waits * (1 - 2 * MAX_CLOCK_DRIFT) if away else agreement_checker.NEVER),
+                    seen.at,
+                )
                 till -= timeout * (1 + MAX_CLOCK_DRIFT) + REPORT_ALLOWANCE_S
                 seen_at = [at for at in self.sightings[name] if since + REPORT_ALLOWANCE_S < at < till]
                 if not away or seen_at:
@@ -211,7 +214,7 @@
         self.ends = ends
         self.end = max((each.now for rows in kinds.values() for each in rows), default=0.0)
         self.checkers: dict[str, FleetChecker] = {}
-        answer_cache: dict[StoreTalk, list[tuple]] = {}
+        answer_cache: dict[StoreConnection, list[tuple]] = {}
         for name, root in fleets.roots.items():
             members = frozenset(fleets.cells.get(name, ()))
             self.checkers[name] = FleetChecker(
@@ -219,10 +222,10 @@
             )
         self.settled: dict[int, ObservedRecord] = {}  # by version
         runs = [
-            (each.asked_at, VERSION_DECODER.decode(each.asked))
+            (each.requested_at, VERSION_DECODER.decode(each.request_body))
             for connection in kinds.get(ORDER, [])
             for each in connection.exchanges
-            if each.path == RUNS_PATH and each.asked
+            if each.path == RUNS_PATH and each.request_body
         ]
         self.runs = sorted(runs, key=lambda row: row[0])
 
@@ -268,8 +271,8 @@
                 if standing is None:
                     continue
                 self.verdict.count_check("epochs")
-                since = whole.get((seen.record.topic, standing.epoch, standing.token), accord.NEVER)
-                if since > seen.at + accord.TRANSIT_ALLOWANCE_S:
+                since = whole.get((seen.record.topic, standing.epoch, standing.token), agreement_checker.NEVER)
+                if since > seen.at + agreement_checker.TRANSIT_ALLOWANCE_S:
                     self.verdict.report_violation(
                         "epochs",
                         f"{checker.root}: epoch {standing.epoch} of {standing.token} "
@@ -314,17 +317,17 @@
         polls: dict[str, list[tuple[float, float, dict]]] = defaultdict(list)
         proofs: dict[str, list[tuple[float, float]]] = defaultdict(list)
         for connection in self.kinds.get(STORED, []):
-            name = self.names[self.owner(connection.asked)]
+            name = self.names[self.owner(connection.destination)]
             if name in self.fleets.cells[cell]:
                 polls[name] += node_readings(connection, f"{self.fleets.roots[region]}/above")
         for name, rows in polls.items():
             older: dict[str, list[tuple[float, int]]] = defaultdict(list)  # by run
-            for asked_at, answered_at, heartbeat in sorted(rows, key=lambda row: row[0]):
+            for requested_at, answered_at, heartbeat in sorted(rows, key=lambda row: row[0]):
                 own = older[heartbeat["run"]]
                 before = [then for then, number in own if number <= heartbeat["number"] - 2]
                 if before:
                     proofs[name].append((answered_at, max(before) + lasts))
-                own.append((asked_at, heartbeat["number"]))
+                own.append((requested_at, heartbeat["number"]))
         return proofs
 
     def _cell_listings(self, cell: str, region: str) -> dict[str, list[tuple[float, bool]]]:
@@ -332,7 +335,7 @@
         named: dict[str, list[tuple[float, bool]]] = defaultdict(list)
         path, checker = f"{self.fleets.roots[region]}/members", self.checkers[region]
         for connection in self.kinds.get(STORED, []):
-            name = self.names[self.owner(connection.asked)]
+            name = self.names[self.owner(connection.destination)]
             for at, request, result in checker._answers(connection) if name in self.fleets.cells[cell] else ():
                 if isinstance(request, jute.GetChildren) and request.path == path:
                     named[name].append((at, any(node.partition("~")[0] == cell for node in result[0])))
@@ -346,7 +349,10 @@
         judge_changes(self.verdict, changes_by_proxy(self.kinds), since, self.bound)
         for at, runs in self.runs:
             self.verdict.count_check(POLICIES)
-            if runs.version and since.get(runs.version, accord.NEVER) > at + accord.TRANSIT_ALLOWANCE_S:
+            if (
+                runs.version
+                and since.get(runs.version, agreement_checker.NEVER) > at + agreement_checker.TRANSIT_ALLOWANCE_S
+            ):
                 self.verdict.report_violation(
                     POLICIES,
                     f"{runs.name} follows version {runs.version} at {at:.2f} s, which was "
@@ -402,7 +408,7 @@
     return present
 
 
-def node_readings(connection: StoreTalk, path: str) -> Iterator[tuple[float, float, dict]]:
+def node_readings(connection: StoreConnection, path: str) -> Iterator[tuple[float, float, dict]]:
     """Yields the readings of one node on a connection to a store: (time of request, time of answer, content)."""
     pending: dict[int, float] = {}
     session_opened = {False: False, True: False}
@@ -415,10 +421,10 @@
                 pending[xid] = at
         else:
             reply, reader = jute.read_reply(payload)
-            asked_at = pending.pop(reply.xid, None)
-            if asked_at is not None and reply.error == jute.OK:
+            requested_at = pending.pop(reply.xid, None)
+            if requested_at is not None and reply.error == jute.OK:
                 data, _ = jute.read_result(jute.GetData(path), reader)
-                yield asked_at, at, msgspec.json.decode(data)
+                yield requested_at, at, msgspec.json.decode(data)
 
 
 def changes_by_proxy(kinds: dict[str, list[Connection]]) -> dict[int, list[tuple[float, Changes]]]:
--- a/driftshed/day/judge.py
+++ b/driftshed/day/judge.py
@@ -17,11 +17,11 @@
 from driftshed import interface as face
 from driftshed.core.messages import Changes, RosterUpdate
 from driftshed.core.proxy_state import fold, lines_of
-from driftshed.day.accord import judge_accord
+from driftshed.day.agreement_checker import check_agreement
 from driftshed.day.policies import judge_policies
-from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, WORK, read_record
+from driftshed.day.recorder import CLIENT, CONTROL, ROSTER, STORE, WORK, read_record
 from driftshed.day.script import Apart, Cut, Kill, Pause, Script
-from driftshed.day.stage import Cast, supervisor_directory
+from driftshed.day.stage import AddressPlan, supervisor_directory
 from driftshed.day.traffic import Exchange, read_traffic, store_answers
 from driftshed.day.zones import judge_zones
 from driftshed.roster import jute
@@ -31,7 +31,7 @@
 
 SERVICE_START_S = 1.0  # requests before this time do not count toward service
 CLOCK_TOLERANCE_S = 1e-3  # allowance for differences of clocks and for rounding
-CHANGES, ROSTER_UPDATES = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterUpdate)
+CHANGES_DECODER, ROSTER_UPDATES = msgspec.json.Decoder(Changes), msgspec.json.Decoder(RosterUpdate)
 NEVER = float("inf")
 
 
@@ -57,10 +57,10 @@
     def __init__(self) -> None:
         """Has the five rules of any day; checkers of fleets, zones and policies add theirs to `rules`."""
         self.rules = {rule: {"checked": 0, "broken": 0} for rule in ("bare", "twice", "drains", "failback", "queue")}
-        self.breaks: list[str] = []
+        self.violations: list[str] = []
         self.service, self.operations, self.asked = 0.0, {}, 0
         # By zone and supervisor, where zones are evacuated: (time, share to evacuate) as the supervisor read them.
-        self.left: dict[str, dict[int, list[tuple[float, float]]]] = {}
+        self.evacuated: dict[str, dict[int, list[tuple[float, float]]]] = {}
         self.margins: dict[str, float] = {}  # by rule: the largest share used of its bound
 
     def record_usage(self, rule: str, share: float) -> None:
@@ -74,22 +74,22 @@
     def report_violation(self, rule: str, text: str) -> None:
         """Counts a violation; the texts of the first five of each rule are kept."""
         self.rules[rule]["broken"] += 1
-        if sum(text.startswith(rule) for text in self.breaks) < 5:
-            self.breaks.append(f"{rule}: {text}")
+        if sum(text.startswith(rule) for text in self.violations) < 5:
+            self.violations.append(f"{rule}: {text}")
 
     @property
-    def kept(self) -> bool:
+    def all_kept(self) -> bool:
         """Whether no rule was violated."""
         return not any(row["broken"] for row in self.rules.values())
 
 
-class Case(NamedTuple):
+class JudgeInput(NamedTuple):
     """The recorded traffic and the faults of a day: `machine`: the capacity model by number of a server; `cuts`:
     (proxy, supervisor or None for all, time) of each partition between them; `kills`: (supervisor, time); `owner`: the
     number of the supervisor that a relay's address leads to. Times in seconds from the start of the day."""
 
     facts: face.StartFacts
-    cast: Cast
+    address_plan: AddressPlan
     machine: Callable[[int], ServerProperties]
     seconds: float
     cuts: list[tuple[int, int | None, float]]
@@ -104,11 +104,13 @@
 class Judge:
     """Judges one day. Construction reads the traffic; `judge` checks the rules."""
 
-    def __init__(self, case: Case) -> None:
+    def __init__(self, case: JudgeInput) -> None:
         """Extracts joins, changes, roster updates and requests, by proxy, supervisor and server."""
-        self.case, self.facts, self.began, self.cast = case, case.facts, case.began, case.cast
+        self.case, self.facts, self.began, self.address_plan = case, case.facts, case.began, case.address_plan
         kinds = case.kinds
-        self.control, self.roster, self.work, self.ask = (kinds.get(kind, []) for kind in (CONTROL, ROSTER, WORK, ASK))
+        self.control, self.roster, self.work, self.ask = (
+            kinds.get(kind, []) for kind in (CONTROL, ROSTER, WORK, CLIENT)
+        )
         self.store_connections = kinds.get(STORE, [])
         self.operations = {operation.name: operation for operation in self.facts.operations}
         self.verdict = Verdict()
@@ -146,7 +148,7 @@
                 if parts[4] == "join":
                     joins[proxy].append((exchange.answered_at, exchange))
                 elif parts[4] == "changes":
-                    changes = CHANGES.decode(exchange.body)
+                    changes = CHANGES_DECODER.decode(exchange.body)
                     if changes.changes:
                         self.changes_received[proxy].append((exchange.answered_at, changes))
         for proxy, rows in joins.items():
@@ -155,7 +157,7 @@
                 connection = exchange.connection
                 ends = [connection.ended_at, rows[k + 1][0] if k + 1 < len(rows) else None]
                 ends += [each.answered_at for each in connection.exchanges if each.status not in (0, 200)]
-                owner = self.case.owner(connection.asked)
+                owner = self.case.owner(connection.destination)
                 ends += [cut for by, cut in cuts[proxy] if by in (None, owner)]
                 ends += [kill for by, kill in self.case.kills if by == owner]
                 till = min([end for end in ends if end is not None and end > at], default=self.end)
@@ -172,7 +174,7 @@
             for exchange in connection.exchanges:
                 parts = exchange.path.split("/")
                 if len(parts) == 5 and parts[4] == "changes":
-                    acks[int(parts[3])].append((int(exchange.query.get("after", 0)), exchange.asked_at))
+                    acks[int(parts[3])].append((int(exchange.query.get("after", 0)), exchange.requested_at))
         self.slow_applies: dict[int, list[Interval]] = defaultdict(list)
         for proxy, rows in self.changes_received.items():
             for at, changes in rows:
@@ -187,7 +189,7 @@
 
     def _read_roster(self) -> None:
         """Reads the intervals of each server as received by each supervisor: (state, time of its last start)."""
-        owners = {self.case.owner(each.asked) for each in (*self.control, *self.roster, *self.store_connections)}
+        owners = {self.case.owner(each.destination) for each in (*self.control, *self.roster, *self.store_connections)}
         self.listed: dict[int, dict[str, list[Interval]]] = {
             owner: self._read_supervisor_roster(owner) for owner in owners
         }
@@ -199,9 +201,9 @@
     def _read_supervisor_roster(self, owner: int) -> dict[str, list[Interval]]:
         intervals: dict[str, list[Interval]] = defaultdict(list)
         updates = [
-            (each.answered_at, ROSTER_UPDATES.decode(each.asked))
+            (each.answered_at, ROSTER_UPDATES.decode(each.request_body))
             for connection in self.roster
-            if self.case.owner(connection.asked) == owner
+            if self.case.owner(connection.destination) == owner
             for each in connection.exchanges
             if each.status == 200 and each.method == "POST"
         ]
@@ -242,7 +244,7 @@
         rows: list[tuple[float, str, object]] = [(kill, "", None) for kill in kills]
         root = self.case.servers_root
         for connection in self.store_connections:
-            if self.case.owner(connection.asked) != owner:
+            if self.case.owner(connection.destination) != owner:
                 continue
             for at, request, result in store_answers(connection):
                 at, path = self.observable_at(owner, at), getattr(request, "path", "")
@@ -294,9 +296,9 @@
         """Reads the requests to each server: (time, proxy, exchange)."""
         self.sent: dict[str, list[tuple[float, int, Exchange]]] = defaultdict(list)
         for connection in self.work:
-            proxy = self.cast.number_of_proxy(connection.host)
+            proxy = self.address_plan.number_of_proxy(connection.host)
             for exchange in connection.exchanges:
-                self.sent[connection.asked].append((exchange.asked_at, proxy, exchange))
+                self.sent[connection.destination].append((exchange.requested_at, proxy, exchange))
         for rows in self.sent.values():
             rows.sort(key=lambda row: row[0])
 
@@ -329,7 +331,7 @@
         warm = {owner: self._warm_ready_intervals(owner) for owner in self.listed}
         refusals: dict[int, list[tuple[float, Exchange]]] = defaultdict(list)
         for connection in self.ask:
-            proxy = self.cast.number_of_proxy(connection.asked.rpartition(":")[0])
+            proxy = self.address_plan.number_of_proxy(connection.destination.rpartition(":")[0])
             refusals[proxy] += [(e.answered_at, e) for e in connection.exchanges if e.answered_at is not None]
         for proxy, joined in self.joined.items():
             for k, operation in enumerate(self.operations):
@@ -382,18 +384,18 @@
             if operation.effect == "idempotent":
                 continue
             self.verdict.count_check("twice")
-            attempts.sort(key=lambda exchange: exchange.asked_at)
+            attempts.sort(key=lambda exchange: exchange.requested_at)
             for k, later in enumerate(attempts[1:], 1):
                 for earlier in attempts[:k]:
                     never_ran = earlier.status == 503 and earlier.headers.get(b"x-never-ran") == b"1"
                     if never_ran and not self.facts.full_may_have_run:
                         continue
-                    interval_s = later.asked_at - earlier.asked_at
+                    interval_s = later.requested_at - earlier.requested_at
                     if operation.effect == "side-effecting" or interval_s > operation.repeat_window:
                         self.verdict.report_violation(
                             "twice",
                             f"proxy {proxy} sent invocation {inv} of {operation.name} again at "
-                            f"{later.asked_at:.2f} s, {interval_s:.2f} s after a try that may have run",
+                            f"{later.requested_at:.2f} s, {interval_s:.2f} s after a try that may have run",
                         )
                         break
 
@@ -437,7 +439,7 @@
                     if each.value[1] is not None:
                         all_starts[server][each.value[1]][owner] = each.since
         for server, starts in all_starts.items():
-            machine = self.case.machine(self.cast.number_of_server(server))
+            machine = self.case.machine(self.address_plan.number_of_server(server))
             for started, informed_at in starts.items():
                 self.verdict.count_check("failback")
                 window: deque[tuple[float, float, bool]] = deque()
@@ -518,16 +520,16 @@
             for exchange in connection.exchanges:
                 if not exchange.query.get("inv"):
                     continue
-                key = connection.asked, exchange.query["inv"], exchange.path.rpartition("/")[2]
-                first_request[key] = min(first_request.get(key, NEVER), exchange.asked_at)
+                key = connection.destination, exchange.query["inv"], exchange.path.rpartition("/")[2]
+                first_request[key] = min(first_request.get(key, NEVER), exchange.requested_at)
                 if exchange.status == 200:
                     first_success[key] = min(first_success.get(key, NEVER), exchange.answered_at)
         earned, billed = defaultdict(float), defaultdict(float)
-        for key, asked_at in first_request.items():
-            if not SERVICE_START_S <= asked_at <= self.case.seconds:
+        for key, requested_at in first_request.items():
+            if not SERVICE_START_S <= requested_at <= self.case.seconds:
                 continue
             operation = self.operations[key[2]]
-            latency = first_success.get(key, NEVER) - asked_at
+            latency = first_success.get(key, NEVER) - requested_at
             billed[key[2]] += operation.billed_value
             if latency <= operation.latency_objective:
                 earned[key[2]] += operation.billed_value
@@ -554,14 +556,14 @@
 def judge(script: Script, record: Path) -> Verdict:
     """Reads a day's record and returns the verdict; ValueError where the record is cut short."""
     began, kinds = read_traffic(read_record(record))
-    net = next((int(connection.asked.split(".")[1]) for connection in kinds.get(CONTROL, [])), 0)
-    cast = Cast(script.facts, net)
+    net = next((int(connection.destination.split(".")[1]) for connection in kinds.get(CONTROL, [])), 0)
+    address_plan = AddressPlan(script.facts, net)
     cuts = [
         (proxy, None, trouble.at)
         for trouble in script.troubles
         if isinstance(trouble, Cut) and trouble.what != "servers"
         for proxy in range(script.facts.proxies)
-        if cast.zone_of_proxy(proxy) == trouble.zone
+        if address_plan.zone_of_proxy(proxy) == trouble.zone
     ]
     kills = [(trouble.who, trouble.at) for trouble in script.troubles if isinstance(trouble, Kill)]
     pauses = [
@@ -576,10 +578,10 @@
         if isinstance(trouble, Apart) and trouble.side != "store"
         for proxy in range(script.facts.proxies)
     ]
-    case = Case(
+    case = JudgeInput(
         script.facts,
-        cast,
-        lambda number: script.machine(cast.kind_of_server(number)),
+        address_plan,
+        lambda number: script.machine(address_plan.kind_of_server(number)),
         script.seconds,
         cuts,
         kills,
@@ -591,7 +593,7 @@
     day_judge = Judge(case)
     verdict = day_judge.judge()
     if len(names) > 1:
-        judge_accord(verdict, kinds, owner)
+        check_agreement(verdict, kinds, owner)
     if script.fleet.leave_zones:
         judge_zones(day_judge, script.fleet.regions)
     if script.fleet.policies:
--- a/driftshed/day/drawn.py
+++ b/driftshed/day/random_troubles.py
@@ -59,7 +59,7 @@
     return replace(script, troubles=[each for each in script.troubles if not isinstance(each, faults)], drawn=None)
 
 
-def shrunk(
+def reduce_troubles(
     script: schema.Script, outcome: Played, play: Callable[[schema.Script], Played], fails: Callable[[Played], bool]
 ) -> tuple[schema.Script, Played]:
     """Removes troubles one by one while the day still `fails`; returns the reduced script and its last failing
@@ -72,10 +72,10 @@
             outcome = reduced
         return outcome is reduced
 
-    return replace(script, troubles=fewest(script.troubles, still_fails)), outcome
+    return replace(script, troubles=minimal_failing(script.troubles, still_fails)), outcome
 
 
-def fewest(
+def minimal_failing(
     items: list, fails: Callable[[list], bool], on_progress: Callable[[list], object] = lambda items: None
 ) -> list:
     """A subset that still fails, and no longer does if any one item is removed. `on_progress` is called with each
--- a/driftshed/day/rigged.py
+++ b/driftshed/day/rigged.py
@@ -18,9 +18,9 @@
 
 from driftshed.coordination import hierarchical_agent, participation
 from driftshed.coordination.agent import Agent
-from driftshed.day.accord import ORDER_PATH, RULES, OrderReport
+from driftshed.day.agreement_checker import ORDER_PATH, RULES, OrderReport
+from driftshed.day.hierarchy_judge import RUNS_PATH, VersionReport
 from driftshed.day.policies import RULE as POLICIES
-from driftshed.day.tiers_accord import RUNS_PATH, VersionReport
 from driftshed.day.zones import RULE as ZONES
 from driftshed.evacuation.overlay import Overlay
 from driftshed.net.http import HttpClient
@@ -95,7 +95,7 @@
         self.client.call("POST", path, json.encode(report), lambda answer: None, 1.0)
 
 
-def take_out(guard: str, name: str = "") -> None:
+def remove_guard(guard: str, name: str = "") -> None:
     """Removes one guard of the fleet in this process, so that its checker is shown to detect the violation. `name`: of
     the supervisor that this process runs, if any; only those with names ending in 0 violate the rule of policies."""
     if guard == "leases":  # acts without a lease, as long as it is listed
@@ -154,7 +154,7 @@
 
         TransactionLog.sync = slow_sync
     if guard:
-        take_out(guard, dict(zip(command, command[1:], strict=False)).get("--name", ""))
+        remove_guard(guard, dict(zip(command, command[1:], strict=False)).get("--name", ""))
     if orders_to:
         host, _, port = orders_to.rpartition(":")
         take_part = participation.join_fleet
--- a/driftshed/day/stage.py
+++ b/driftshed/day/stage.py
@@ -17,8 +17,8 @@
 from driftshed import interface as face
 from driftshed.core.messages import ListedServer
 from driftshed.day import script as schema
-from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
-from driftshed.day.recorder import ASK, CONTROL, ORDER, ROSTER, STORE, STORED, WORK, Recorder
+from driftshed.day.fault_relay import BACK, FORTH, FaultRelay, frame_length
+from driftshed.day.recorder import CLIENT, CONTROL, ORDER, ROSTER, STORE, STORED, WORK, Recorder
 from driftshed.day.relay import Relay
 from driftshed.day.tamper import RULES, Tamper
 from driftshed.net.http import Answer, HttpClient, HttpServer
@@ -29,7 +29,7 @@
 from driftshed.standins.roster import RosterStandin, StoreRoster
 
 COMPLETION_TIME_S = 2.5  # after the last arrival, for requests in progress
-WORK_PORT, ASK_PORT, CONTROL_PORT, ROSTER_PORT, ORDER_PORT = 8000, 9000, 7000, 7001, 7002
+WORK_PORT, CLIENT_PORT, CONTROL_PORT, ROSTER_PORT, ORDER_PORT = 8000, 9000, 7000, 7001, 7002
 
 
 # The first x of each kind of address 127.NET.0.x, one for each supervisor: the relays at which proxies connect to it
@@ -44,11 +44,11 @@
 )
 
 
-class Cast:
+class AddressPlan:
     """Maps numbers of servers and proxies to addresses, zones and kinds, and back; used by harness and judge."""
 
     def __init__(self, facts: face.StartFacts, net: int) -> None:
-        """`net`: the second byte of all addresses (127.NET.x.x), as reserved by `free_net`."""
+        """`net`: the second byte of all addresses (127.NET.x.x), as reserved by `reserve_network`."""
         self.net, self.facts = net, facts
         self.zones = self.facts.zones
 
@@ -98,7 +98,7 @@
     return [f"s{k}" for k in range(supervisors)], lambda address: hosts.get(address.rpartition(":")[0], 0)
 
 
-def free_net(first: int) -> tuple[int, socket.socket]:
+def reserve_network(first: int) -> tuple[int, socket.socket]:
     """Reserves 127.NET.0.0/16 for this process. Returns NET and the bound socket that holds the reservation until it is
     closed. Raises OSError if 200 candidates are in use."""
     for k in range(200):
@@ -113,12 +113,12 @@
     raise OSError("no free part of 127.0.0.0/8: too many days at once")
 
 
-class Launched:
-    """A sub-command of `driftshed` run as a process; its log is appended to the file `logs`."""
+class Subprocess:
+    """A sub-command of `driftshed` run as a process; its log is appended to the file `log_path`."""
 
-    def __init__(self, logs: Path) -> None:
-        """`logs`: the file for standard error. No process is started yet."""
-        self.logs = logs
+    def __init__(self, log_path: Path) -> None:
+        """`log_path`: the file for standard error. No process is started yet."""
+        self.log_path = log_path
         self.process: subprocess.Popen | None = None
 
     program = ("driftshed.cli",)
@@ -126,7 +126,7 @@
     def _launch(self, command: list[str]) -> None:
         command = [sys.executable, "-m", *self.program, *command]
         environment = {name: value for name, value in os.environ.items() if not name.startswith("DRIFTSHED_")}
-        with self.logs.open("ab") as log:
+        with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 command, stdout=subprocess.PIPE, stderr=log, stdin=subprocess.DEVNULL, env=environment
             )
@@ -135,14 +135,14 @@
         """Blocks until the process reports that it is listening; RuntimeError with its log if it does not."""
         line = self.process.stdout.readline().decode()
         if not line.startswith("listening"):
-            raise RuntimeError(f"process did not start listening: {self.logs.read_text()[-2000:]}")
+            raise RuntimeError(f"process did not start listening: {self.log_path.read_text()[-2000:]}")
 
     def signal(self, number: int) -> None:
         """Sends a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def end(self) -> None:
+    def terminate(self) -> None:
         """Terminates the process, resumed first if it is stopped, and kills it after 5 s."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
@@ -155,12 +155,12 @@
             self.process.stdout.close()
 
 
-class ScriptProcess(Launched):
+class ScriptProcess(Subprocess):
     """A process run with the script's operations and flags."""
 
-    def __init__(self, script: schema.Script, logs: Path, trace: Path | None) -> None:
+    def __init__(self, script: schema.Script, log_path: Path, trace: Path | None) -> None:
         """`trace`: the folder for traces; None for no traces."""
-        super().__init__(logs)
+        super().__init__(log_path)
         self.script, self.trace, self.operations = script, trace, script.operations
 
     def run(self, *command: str) -> None:
@@ -178,9 +178,9 @@
 class SupervisorProcess(ScriptProcess):
     """A supervisor, whose address stays the same across restarts."""
 
-    def __init__(self, script: schema.Script, host: str, logs: Path, trace: Path | None = None) -> None:
+    def __init__(self, script: schema.Script, host: str, log_path: Path, trace: Path | None = None) -> None:
         """`host`: where it listens, on port 7100. `extra_flags` are added at each start."""
-        super().__init__(script, logs, trace)
+        super().__init__(script, log_path, trace)
         self.address = f"{host}:7100"
         self.extra_flags: list[str] = []
 
@@ -260,8 +260,8 @@
         the retry mode forced on every proxy. Listens on its relays at once; processes start in `play`."""
         self.script, self.seed, self.facts = script, seed, script.facts
         self.random = Random(f"day {seed}")
-        self.net, self.lock = free_net(os.getpid())
-        self.cast = Cast(self.facts, self.net)
+        self.net, self.lock = reserve_network(os.getpid())
+        self.address_plan = AddressPlan(self.facts, self.net)
         self.loop = Loop()
         self.record = folder / "record"
         self.recorder = Recorder(self.loop, self.record)
@@ -282,7 +282,7 @@
         self.store_recorders: list[Relay] = []
         if len(self.names) > 1:
             self.order_sink = HttpServer(self.loop, (f"{host}.3", ORDER_PORT), lambda request: request.answer(200))
-            self.order_sink.on_connection = self.recorder.accepted(ORDER, self.order_sink.address)
+            self.order_sink.on_connection = self.recorder.tap_accepted(ORDER, self.order_sink.address)
         for k in range(len(self.names)):
             self._create_supervisor(k, host)
         if tamper in RULES or tries is not None:
@@ -300,8 +300,8 @@
         script, fleet, loop = self.script, self.script.fleet, self.loop
         address = f"{host}.{9 + number}"
         target, store = (address, 7100), self.store.address if self.store else None
-        logs = self.folder / ("supervisor.log" if number == 0 else f"supervisor{number}.log")
-        supervisor = SupervisorProcess(script, address, logs, self.trace)
+        log_path = self.folder / ("supervisor.log" if number == 0 else f"supervisor{number}.log")
+        supervisor = SupervisorProcess(script, address, log_path, self.trace)
         if len(self.names) > 1:
             self.store_recorders.append(
                 Relay(loop, self.recorder, STORED, (f"{host}.{STORE_RECORD_HOSTS + number}", 2181), store)
@@ -374,18 +374,18 @@
         facts = self.facts
         started = RosterStandin.unix_time(self.servers[number].started)
         return ListedServer(
-            self.cast.server(number),
-            facts.zones[self.cast.zone_of_server(number)],
-            facts.kinds[self.cast.kind_of_server(number)],
+            self.address_plan.server(number),
+            facts.zones[self.address_plan.zone_of_server(number)],
+            facts.kinds[self.address_plan.kind_of_server(number)],
             state,
             started,
         )
 
     def _create_server(self, number: int, cold: bool) -> None:
-        host, _, port = self.cast.server(number).rpartition(":")
+        host, _, port = self.address_plan.server(number).rpartition(":")
         address = (host, int(port))
-        machine = self.script.machine(self.cast.kind_of_server(number))
-        tap = self.recorder.accepted(WORK, address)
+        machine = self.script.machine(self.address_plan.kind_of_server(number))
+        tap = self.recorder.tap_accepted(WORK, address)
         self.servers[number] = ServerStandin(self.loop, address, machine, self.random.getrandbits(32), tap)
         self.servers[number].start(cold)
 
@@ -424,7 +424,7 @@
             self.roster = RosterStandin(self.loop, client, fleet.roster_lag)
         self.roster.publish_initial([self._listed_server(number) for number in range(fleet.servers)])
         for number, rate in enumerate(rates):
-            address = (self.cast.proxy_host(number), ASK_PORT)
+            address = (self.address_plan.proxy_host(number), CLIENT_PORT)
             self.clients.append(
                 ClientStandin(
                     self.loop,
@@ -435,7 +435,7 @@
                     rate,
                     self.random.getrandbits(32),
                     script.traffic.repeats,
-                    lambda address=address: self.recorder.asking(ASK, address),
+                    lambda address=address: self.recorder.tap_outgoing(CLIENT, address),
                 )
             )
         for trouble in script.troubles:
@@ -445,7 +445,7 @@
     def _start_proxy(self, number: int, rate: float) -> None:
         facts, servers = self.facts, range(self.script.fleet.servers)
         zone = number % len(facts.zones)
-        nearby = [n for n in servers if self.cast.zone_of_server(n) == zone] or list(servers)
+        nearby = [n for n in servers if self.address_plan.zone_of_server(n) == zone] or list(servers)
         standing = self.random.sample(nearby, min(len(nearby), max(1, facts.standing_lines)))
         proxy = ProxyProcess(self.script, self.folder, self.trace)
         # A proxy repeats no side-effecting try in doubt, whatever its tables allow, unless its own configuration calls
@@ -461,9 +461,9 @@
             number,
             facts.zones[zone],
             rate,
-            (self.cast.proxy_host(number), ASK_PORT),
+            (self.address_plan.proxy_host(number), CLIENT_PORT),
             controls,
-            [self.cast.server(n) for n in standing],
+            [self.address_plan.server(n) for n in standing],
             self.random.getrandbits(32),
             *extra_flags,
         )
@@ -481,7 +481,7 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         for process in (*self.proxies, *self.supervisors, *([self.store] if self.store else [])):
-            process.end()
+            process.terminate()
         for server in self.servers.values():
             server.stop()
         for relay in (*self.controls, *self.roster_relays, *self.store_recorders, *self.fault_relays.values()):
@@ -498,7 +498,7 @@
         """Randomly chosen healthy servers, or all healthy servers of a zone."""
         healthy = [n for n, server in self.servers.items() if n not in self.removed and server.up and not server.faults]
         if zone:
-            return [n for n in healthy if self.facts.zones[self.cast.zone_of_server(n)] == zone]
+            return [n for n in healthy if self.facts.zones[self.address_plan.zone_of_server(n)] == zone]
         return sorted(self.random.sample(healthy, min(count, len(healthy))))
 
     def _begin_deploy(self, trouble: schema.Deploy) -> None:
@@ -511,11 +511,11 @@
             return
         number = self.servers_to_deploy.pop(0)
         self.removed.add(number)
-        self._record_event("drains", server=self.cast.server(number))
+        self._record_event("drains", server=self.address_plan.server(number))
         self.roster.change(self._listed_server(number, "draining"))
 
         def stop() -> None:
-            self._record_event("dies", server=self.cast.server(number))
+            self._record_event("dies", server=self.address_plan.server(number))
             self.servers[number].stop()
             self.roster.change(self._listed_server(number, "gone"))
             self.loop.after(trouble.down, start_successor)
@@ -523,7 +523,7 @@
         def start_successor() -> None:
             successor, self.next_number = self.next_number, self.next_number + 1
             # A successor is in the zone of the server that it replaces.
-            while self.cast.zone_of_server(successor) != self.cast.zone_of_server(number):
+            while self.address_plan.zone_of_server(successor) != self.address_plan.zone_of_server(number):
                 successor, self.next_number = self.next_number, self.next_number + 1
             self._start_cold(successor)
 
@@ -534,13 +534,13 @@
             self.servers[number].start()
         else:
             self._create_server(number, cold=True)
-        self.cold_servers.add(self.cast.server(number))
-        self._record_event("starts", server=self.cast.server(number))
+        self.cold_servers.add(self.address_plan.server(number))
+        self._record_event("starts", server=self.address_plan.server(number))
         self.roster.change(self._listed_server(number))
 
     def _begin_restart(self, trouble: schema.Restart) -> None:
         for number in self._pick_servers(trouble.servers, trouble.zone):
-            self._record_event("dies", server=self.cast.server(number))
+            self._record_event("dies", server=self.address_plan.server(number))
             self.servers[number].stop()
             self.roster.change(self._listed_server(number, "gone"))
             self.loop.after(trouble.down, lambda number=number: self._start_cold(number))
@@ -549,7 +549,7 @@
         numbers = self._pick_servers(trouble.servers, trouble.zone)
         for number in numbers:
             server = self.servers[number]
-            self._record_event(trouble.how, server=self.cast.server(number))
+            self._record_event(trouble.how, server=self.address_plan.server(number))
             server.add_fault(
                 (trouble.how, trouble.at),
                 {
@@ -561,7 +561,7 @@
 
         def recover() -> None:
             for number in numbers:
-                self._record_event("well", server=self.cast.server(number))
+                self._record_event("well", server=self.address_plan.server(number))
                 self.servers[number].remove_fault((trouble.how, trouble.at))
 
         self.loop.after(trouble.lasts, recover)
@@ -578,13 +578,13 @@
     def _begin_cut(self, trouble: schema.Cut) -> None:
         self._record_event("zone cut off", zone=trouble.zone, way=trouble.what)
         zone = self.facts.zones.index(trouble.zone)
-        hosts = {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(self.facts.zones) == zone}
+        hosts = {self.address_plan.proxy_host(n) for n in range(len(self.proxies)) if n % len(self.facts.zones) == zone}
         if trouble.what != "servers":
             for control in self.controls:
                 control.blocked_hosts |= hosts
         if trouble.what != "supervisor":
             for number, server in self.servers.items():
-                if self.cast.zone_of_server(number) != zone:
+                if self.address_plan.zone_of_server(number) != zone:
                     server.unreachable |= hosts
 
         def restore() -> None:
@@ -720,7 +720,7 @@
 
     def _begin_breakstreams(self, trouble: schema.BreakStreams) -> None:
         count = max(1, round(trouble.share * len(self.proxies)))
-        hosts = {self.cast.proxy_host(n) for n in self.random.sample(range(len(self.proxies)), count)}
+        hosts = {self.address_plan.proxy_host(n) for n in self.random.sample(range(len(self.proxies)), count)}
         self._record_event("streams break halfway through a delta", proxies=count)
         for control in self.controls:
             control.break_hosts |= hosts
@@ -749,7 +749,7 @@
         self.loop.after(trouble.lasts, restore)
 
 
-def play(
+def run_day(
     script: schema.Script,
     seed: int,
     folder: Path,
--- a/driftshed/day/tiers.py
+++ b/driftshed/day/tiers.py
@@ -1,6 +1,6 @@
 """A test day of a hierarchical fleet of processes: two regions of two cells with three supervisors each, a store for
 the whole and one for each region, and proxies, all connected by relays. A seed determines the faults and the requests
-for changes of policy; `tiers_accord.py` judges the recorded traffic."""
+for changes of policy; `hierarchy_judge.py` judges the recorded traffic."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 import msgspec
 
 from driftshed.core.messages import ListedServer, RosterUpdate, encode_json
-from driftshed.day.between import BACK, FORTH, FaultRelay, frame_length
-from driftshed.day.fleet import OPERATION, POLL_INTERVAL_S, FleetProcess
+from driftshed.day.fault_relay import BACK, FORTH, FaultRelay, frame_length
+from driftshed.day.fleet import OPERATION_FLAG, POLL_INTERVAL_S, FleetProcess
+from driftshed.day.hierarchy_judge import FleetLayout, HierarchyJudge
 from driftshed.day.judge import Verdict
 from driftshed.day.recorder import CONTROL, ORDER, STORED, Recorder, read_record
 from driftshed.day.relay import Relay
-from driftshed.day.stage import free_net
-from driftshed.day.tiers_accord import FleetLayout, HierarchyJudge
+from driftshed.day.stage import reserve_network
 from driftshed.day.traffic import read_traffic
 from driftshed.net.http import Answer, HttpClient, HttpServer
 from driftshed.net.loop import Loop
@@ -181,8 +181,9 @@
 
 
 class HierarchyHarness:
-    """The processes and relays of the day. Relays and timers run on a thread of their own; call them by `do`. `events`
-    lists the faults applied and their times in seconds. Close it in any case, so that no process is left behind."""
+    """The processes and relays of the day. Relays and timers run on a thread of their own; call them by `run_on_loop`.
+    `events` lists the faults applied and their times in seconds. Close it in any case, so that no process is left
+    behind."""
 
     def __init__(
         self, folder: Path, timeout: float = SESSION_TIMEOUT_S, tamper: str | None = None, proxies: int = 6
@@ -191,12 +192,12 @@
         removed from the processes, or None."""
         self.folder, self.timeout, self.tamper = folder, timeout, tamper
         self.loop = Loop()
-        self.net, self.lock = free_net(os.getpid())
+        self.net, self.lock = reserve_network(os.getpid())
         self.record = folder / "record"
         self.recorder = Recorder(self.loop, self.record)
         self.events: list[dict] = []
         self.sink = HttpServer(self.loop, self._at(0, 3, 7002), lambda request: request.answer(200))
-        self.sink.on_connection = self.recorder.accepted(ORDER, self.sink.address)
+        self.sink.on_connection = self.recorder.tap_accepted(ORDER, self.sink.address)
         self.stores = {name: self._store_process(k, name) for k, name in enumerate(("", *REGIONS))}
         self.store_addresses = {name: self._at(STORES, 1 + k, 2181) for k, name in enumerate(("", *REGIONS))}
         self.fault_relays: dict[tuple[str, str], FaultRelay] = {}  # by supervisor and side
@@ -253,7 +254,7 @@
                 "--advertise",
                 advertise,
                 "--operation",
-                OPERATION,
+                OPERATION_FLAG,
                 "--proxies",
                 "6",
                 "--supervisors",
@@ -302,7 +303,7 @@
                 "--zone",
                 "east",
                 "--operation",
-                OPERATION,
+                OPERATION_FLAG,
                 "--hears-within",
                 "2",
                 "--standing",
@@ -350,7 +351,7 @@
                 call()
                 done.set()
 
-    def do(self, call: Callable[[], object]) -> None:
+    def run_on_loop(self, call: Callable[[], object]) -> None:
         """Runs a call on the relays' thread and waits for it; RuntimeError after 10 s."""
         done = threading.Event()
         self.pending_calls.put((call, done))
@@ -372,12 +373,12 @@
         if self.closed:
             return
         if self.thread.is_alive():
-            self.do(self._end_record)
-            self.do(self.recorder.close)
+            self.run_on_loop(self._end_record)
+            self.run_on_loop(self.recorder.close)
         for process in (*self.proxies, *self.supervisors.values(), *self.stores.values()):
             process.signal(signal.SIGKILL)
         for process in (*self.proxies, *self.supervisors.values(), *self.stores.values()):
-            process.end()
+            process.terminate()
         self.closed = True
         if self.thread.ident is not None:
             self.thread.join(10)
@@ -559,7 +560,7 @@
     harness = HierarchyHarness(folder, tamper=tamper)
     try:
         harness.open()
-        harness.do(lambda: harness.play(draw(seed, seconds) if faults else [], draw_changes(seed, seconds)))
+        harness.run_on_loop(lambda: harness.play(draw(seed, seconds) if faults else [], draw_changes(seed, seconds)))
         time.sleep(max(0.0, harness.recorder.began + seconds - time.monotonic()))
         if tamper is None:
             try:
--- a/driftshed/day/traffic.py
+++ b/driftshed/day/traffic.py
@@ -7,51 +7,56 @@
 
 import httptools
 
-from driftshed.day.recorder import STORE, STORED, Opened, Passed
+from driftshed.day.recorder import STORE, STORED, NewConnection, Traffic
 from driftshed.roster import jute
 from driftshed.roster.jute import Frames
 
 
 class Exchange:
-    """One request and its answer; `asked` is the request's body. Times are seconds from the start of the day. Without a
-    complete answer `answered_at` is None and `status` 0."""
+    """One request and its answer; `request_body` is the request's body. Times are seconds from the start of the day.
+    Without a complete answer `answered_at` is None and `status` 0."""
 
     __slots__ = (
         "connection",
-        "asked_at",
+        "requested_at",
         "method",
         "path",
         "query",
-        "asked",
+        "request_body",
         "answered_at",
         "status",
         "headers",
         "body",
     )
 
-    def __init__(self, connection: Connection, asked_at: float) -> None:
+    def __init__(self, connection: Connection, requested_at: float) -> None:
         """Created at the first byte of the request; the parser fills in the rest."""
-        self.connection, self.asked_at, self.answered_at, self.status = connection, asked_at, None, 0
+        self.connection, self.requested_at, self.answered_at, self.status = connection, requested_at, None, 0
         self.method, self.path, self.query = "", "", {}
-        self.asked, self.body, self.headers = b"", b"", {}
+        self.request_body, self.body, self.headers = b"", b"", {}
 
     @property
     def sent_at(self) -> float:
         """When the request was sent; on loopback the time at which it was received."""
-        return self.asked_at
+        return self.requested_at
 
 
 class Connection:
     """One HTTP connection and its exchanges.
 
-    `asks` and `asked`: address:port of the connecting and of the accepting side; `host`: of the connecting side;
-    `ended_at`: when the first end closed, or None; `now`: time of the last record; `malformed`: a parser failed.
+    `source` and `destination`: address:port of the connecting and of the accepting side; `host`: of the connecting
+    side; `ended_at`: when the first end closed, or None; `now`: time of the last record; `malformed`: a parser failed.
     """
 
-    def __init__(self, opened: Opened) -> None:
+    def __init__(self, opened: NewConnection) -> None:
         """`opened`: the record of its start."""
-        self.kind, self.asks, self.asked, self.number = opened.kind, opened.asks, opened.asked, opened.connection
-        self.host = opened.asks.rpartition(":")[0]
+        self.kind, self.source, self.destination, self.number = (
+            opened.kind,
+            opened.source,
+            opened.destination,
+            opened.connection,
+        )
+        self.host = opened.source.rpartition(":")[0]
         self.exchanges: list[Exchange] = []
         self.answered_count = 0
         self.ended_at: float | None = None
@@ -62,7 +67,7 @@
         )
         self.malformed = False
 
-    def feed(self, passed: Passed) -> None:
+    def feed(self, passed: Traffic) -> None:
         """Adds a record of this connection, in order of time."""
         self.now = passed.at
         if not passed.data:
@@ -74,17 +79,17 @@
             self.malformed = True
 
 
-class StoreTalk:
+class StoreConnection:
     """One connection to a store; `rows`: its frames as (time, back, payload), where `back` is true from the store."""
 
-    def __init__(self, opened: Opened) -> None:
+    def __init__(self, opened: NewConnection) -> None:
         """`opened`: the record of its start."""
-        self.kind, self.asks, self.asked, self.now = opened.kind, opened.asks, opened.asked, 0.0
+        self.kind, self.source, self.destination, self.now = opened.kind, opened.source, opened.destination, 0.0
         self.rows: list[tuple[float, bool, bytes]] = []
         self.frames = {False: Frames(1 << 24), True: Frames(1 << 24)}
         self.ended_at: float | None = None
 
-    def feed(self, passed: Passed) -> None:
+    def feed(self, passed: Traffic) -> None:
         """Adds a record of this connection, in order of time."""
         self.now = passed.at
         if not passed.data:
@@ -93,7 +98,7 @@
         self.rows += [(passed.at, passed.back, payload) for payload in self.frames[passed.back].feed(passed.data)]
 
 
-def store_answers(connection: StoreTalk) -> Iterator[tuple[float, object, object]]:
+def store_answers(connection: StoreConnection) -> Iterator[tuple[float, object, object]]:
     """Yields the store's successful answers as (time, request, result), and watch events as (time, event, None).
     Results of single writes are None."""
     pending: dict[int, object] = {}
@@ -126,7 +131,7 @@
         self.url += url
 
     def on_body(self, body: bytes) -> None:
-        self.connection.exchanges[-1].asked += body
+        self.connection.exchanges[-1].request_body += body
 
     def on_message_complete(self) -> None:
         exchange = self.connection.exchanges[-1]
@@ -159,16 +164,16 @@
         connection.answered_count += 1
 
 
-def read_traffic(record: Iterable[Opened | Passed]) -> tuple[float, dict[str, list[Connection]]]:
+def read_traffic(record: Iterable[NewConnection | Traffic]) -> tuple[float, dict[str, list[Connection]]]:
     """The unix time of the start of the day, and its connections by kind, in the order in which they were opened."""
     began, by_number, kinds = 0.0, {}, {}
     for each in record:
-        if isinstance(each, Passed):
+        if isinstance(each, Traffic):
             by_number[each.connection].feed(each)
         elif each.kind == "began":
-            began = float(each.asks)
+            began = float(each.source)
         else:
-            connection = StoreTalk(each) if each.kind in (STORE, STORED) else Connection(each)
+            connection = StoreConnection(each) if each.kind in (STORE, STORED) else Connection(each)
             by_number[each.connection] = connection
             kinds.setdefault(each.kind, []).append(connection)
     return began, kinds
--- a/driftshed/day/zones.py
+++ b/driftshed/day/zones.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from driftshed.coordination import agreement
-from driftshed.day.accord import FLEET_ROOT
+from driftshed.day.agreement_checker import FLEET_ROOT
 from driftshed.day.recorder import STORED
 from driftshed.day.traffic import store_answers
 from driftshed.evacuation.places import places, read_regions
@@ -32,7 +32,7 @@
     for connection in sorted(
         judge.case.kinds.get(STORED, []), key=lambda connection: connection.rows[0][0] if connection.rows else 0.0
     ):
-        owner = judge.case.owner(connection.asked)
+        owner = judge.case.owner(connection.destination)
         for at, request, result in store_answers(connection):
             topic = request.path.removeprefix(folder) if isinstance(request, jute.GetData) else ""
             if topic not in places_by_topic:
@@ -54,11 +54,11 @@
 def judge_zones(judge: Judge, regions: str = "") -> None:
     """Adds the rule to the judge's verdict and checks it: after a supervisor read that a share of a zone is evacuated,
     and after the grace, its proxies together send to no more of the zone's servers than the rest."""
-    verdict, facts, cast = judge.verdict, judge.facts, judge.cast
+    verdict, facts, address_plan = judge.verdict, judge.facts, judge.address_plan
     verdict.rules[RULE] = {"checked": 0, "broken": 0}
     for (owner, zone), rows in _read_stages(judge, regions).items():
         number = facts.zones.index(zone)
-        verdict.left.setdefault(zone, {})[owner] = [(round(at, 2), share) for at, share in rows]
+        verdict.evacuated.setdefault(zone, {})[owner] = [(round(at, 2), share) for at, share in rows]
         for k, (at, share) in enumerate(rows):
             till = rows[k + 1][0] if k + 1 < len(rows) else judge.end
             since = judge.observable_at(owner, at) + facts.drain_grace + DELAY_ALLOWANCE_S
@@ -68,7 +68,7 @@
             listed_servers = {
                 name
                 for name, intervals in judge.listed[owner].items()
-                if cast.zone_of_server(cast.number_of_server(name)) == number
+                if address_plan.zone_of_server(address_plan.number_of_server(name)) == number
                 and any(each.value[0] == "ready" and each.since < till and at < each.till for each in intervals)
             }
             used_servers = set()
--- a/driftshed/lab/environments.py
+++ b/driftshed/lab/environments.py
@@ -14,10 +14,10 @@
 from driftshed.coordination.agent import Agent
 from driftshed.coordination.participation import join_fleet
 from driftshed.core.instance import Instance
-from driftshed.day.recorder import ASK, CONTROL, ROSTER, STORE, STORED, WORK, Opened, Passed, Recorder
+from driftshed.day.recorder import CLIENT, CONTROL, ROSTER, STORE, STORED, WORK, NewConnection, Recorder, Traffic
 from driftshed.day.relay import Relay
-from driftshed.day.stage import CONTROL_PORT, ROSTER_PORT, Cast, ProxyProcess, SupervisorProcess, free_net
-from driftshed.day.traffic import StoreTalk
+from driftshed.day.stage import CONTROL_PORT, ROSTER_PORT, AddressPlan, ProxyProcess, SupervisorProcess, reserve_network
+from driftshed.day.traffic import StoreConnection
 from driftshed.evacuation.controller import Evacuation
 from driftshed.evacuation.places import read_regions
 from driftshed.evacuation.stages import read_limits
@@ -46,7 +46,7 @@
         of a server. With `fleet.store` the store's files are in a temporary folder, which the caller removes."""
         self.scenario, self.facts = scenario, scenario.facts
         self.brain, self.pick = brain, pick
-        self.cast = Cast(self.facts, 7)
+        self.address_plan = AddressPlan(self.facts, 7)
         self.virtual_loop = VirtualLoop()
         self.loop = Seat(self.virtual_loop, "lab")
         self.network = Network(self.virtual_loop, seed, self._make_route)
@@ -58,7 +58,7 @@
         self.network.zones |= {host: supervisor_zone(k) for k, host in enumerate(self.control_hosts)}
         # With several supervisors, control streams are observed at the client: a supervisor that a proxy has left may
         # still answer, and only what arrives at the proxy counts.
-        self.record = TrafficRecord(self._stream_kind, (ASK,) if supervisor_count == 1 else (ASK, CONTROL))
+        self.record = TrafficRecord(self._stream_kind, (CLIENT,) if supervisor_count == 1 else (CLIENT, CONTROL))
         self.network.observer = self.record.observer
         self.run_count = 0
         self.store_address = (self.roster_host, 2181)
@@ -85,7 +85,7 @@
             return None
         if address[1] == SUPERVISOR_PORT:
             return ROSTER if host == self.roster_host else CONTROL
-        return ASK if address[1] == 9000 else WORK
+        return CLIENT if address[1] == 9000 else WORK
 
     # ---- network ----------------------------------------------------------------------------------------------
 
@@ -142,7 +142,9 @@
     def work_tap(self, address: tuple[str, int]) -> None:
         """Assigns the server's host to its zone; there is no tap, as the network records the traffic."""
         host = address[0]
-        zone = self.facts.zones[self.cast.zone_of_server(self.cast.number_of_server(f"{host}:{address[1]}"))]
+        zone = self.facts.zones[
+            self.address_plan.zone_of_server(self.address_plan.number_of_server(f"{host}:{address[1]}"))
+        ]
         self.network.zones[host] = zone
 
     client_tap = None
@@ -219,9 +221,9 @@
 
     def _store_tap(self, kind: str, host: str) -> Callable[[bool, bytes], object]:
         """Records the traffic between a supervisor and the store for the judge, under an address of its own."""
-        connection = StoreTalk(Opened(0, kind, host, f"{host}:2181"))
+        connection = StoreConnection(NewConnection(0, kind, host, f"{host}:2181"))
         self.record.kinds.setdefault(kind, []).append(connection)
-        return lambda outward, data: connection.feed(Passed(self.virtual_loop.now, 0, not outward, data))
+        return lambda outward, data: connection.feed(Traffic(self.virtual_loop.now, 0, not outward, data))
 
     def _log(self, event: str, **fields: object) -> None:
         if event in ("zones", "stage"):
@@ -268,7 +270,7 @@
 
     def reset_proxy_streams(self, numbers: list[int]) -> None:
         """Resets all streams between these proxies and the supervisors."""
-        hosts = {self.cast.proxy_host(number) for number in numbers}
+        hosts = {self.address_plan.proxy_host(number) for number in numbers}
         for service in self.services:
             for connection in list(service.http.connections):
                 if connection.peer[0] in hosts:
@@ -288,8 +290,8 @@
                 raise ScenarioError(
                     f"link at {fault.at} s: with real processes, links can only be cut, in both directions"
                 )
-        self.net, self.lock = free_net(os.getpid())
-        self.cast = Cast(self.facts, self.net)
+        self.net, self.lock = reserve_network(os.getpid())
+        self.address_plan = AddressPlan(self.facts, self.net)
         self.loop = Loop()
         self.recorder = Recorder(self.loop, folder / "record")
         host = f"127.{self.net}.0"
@@ -326,11 +328,11 @@
 
     def work_tap(self, address: tuple[str, int]) -> Callable:
         """The tap that records the traffic of a server."""
-        return self.recorder.accepted(WORK, address)
+        return self.recorder.tap_accepted(WORK, address)
 
     def client_tap(self, address: tuple[str, int]) -> object:
         """The tap that records the traffic between clients and a proxy."""
-        return self.recorder.asking(ASK, address)
+        return self.recorder.tap_outgoing(CLIENT, address)
 
     def start_supervisor(self, seed: int, number: int = 0) -> None:
         """Starts the supervisor; after a kill, waits for the end of the process before."""
@@ -375,7 +377,7 @@
 
     def reset_proxy_streams(self, numbers: list[int]) -> None:
         """Resets all streams between these proxies and the supervisor."""
-        hosts = {self.cast.proxy_host(number) for number in numbers}
+        hosts = {self.address_plan.proxy_host(number) for number in numbers}
         self.control_relay.reset_all(lambda pair: pair.near.peer[0] not in hosts)
 
     def set_link_fault(self, fault: Link, on: bool) -> None:
@@ -387,7 +389,7 @@
             self.cut_links.remove(fault)
         zones = self.facts.zones
         hosts = {
-            zone: {self.cast.proxy_host(n) for n in range(len(self.proxies)) if n % len(zones) == k}
+            zone: {self.address_plan.proxy_host(n) for n in range(len(self.proxies)) if n % len(zones) == k}
             for k, zone in enumerate(zones)
         }
         cut_pairs = {(a, b) for each in self.cut_links for a, b in ((each.here, each.there), (each.there, each.here))}
@@ -397,7 +399,7 @@
 
         self.control_relay.blocked_hosts = set().union(*(hosts[zone] for zone in zones if cut(zone, "control")))
         for number, server in self.servers.items():
-            zone = zones[self.cast.zone_of_server(number)]
+            zone = zones[self.address_plan.zone_of_server(number)]
             server.unreachable = set().union(*(hosts[other] for other in zones if cut(other, zone)))
 
     def close(self) -> None:
@@ -406,7 +408,7 @@
             proxy.signal(signal.SIGCONT)
             proxy.signal(signal.SIGTERM)
         for process in (*self.proxies, self.supervisor):
-            process.end()
+            process.terminate()
         self.control_relay.close()
         self.roster_relay.close()
         self.recorder.close()
--- a/driftshed/lab/record.py
+++ b/driftshed/lab/record.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from driftshed.day.recorder import ASK, CONTROL, ROSTER, WORK
+from driftshed.day.recorder import CLIENT, CONTROL, ROSTER, WORK
 
 
 class ObservedExchange:
@@ -12,11 +12,11 @@
 
     __slots__ = (
         "connection",
-        "asked_at",
+        "requested_at",
         "method",
         "path",
         "raw",
-        "asked",
+        "request_body",
         "answered_at",
         "status",
         "headers",
@@ -27,17 +27,29 @@
     def __init__(
         self,
         connection: StreamObserver,
-        asked_at: float,
+        requested_at: float,
         method: str,
         path: str,
         raw: str,
-        asked: bytes,
+        request_body: bytes,
         sent_at: float,
     ) -> None:
-        """A request without an answer yet; `asked` is its body, `raw` its query string."""
-        self.sent_at = sent_at  # may be long before `asked_at`: the network may delay it
-        self.connection, self.asked_at, self.method, self.path, self.raw = connection, asked_at, method, path, raw
-        self.asked, self.answered_at, self.status, self.headers, self.body = asked, None, 0, NO_HEADERS, b""
+        """A request without an answer yet; `request_body` is its body, `raw` its query string."""
+        self.sent_at = sent_at  # may be long before `requested_at`: the network may delay it
+        self.connection, self.requested_at, self.method, self.path, self.raw = (
+            connection,
+            requested_at,
+            method,
+            path,
+            raw,
+        )
+        self.request_body, self.answered_at, self.status, self.headers, self.body = (
+            request_body,
+            None,
+            0,
+            NO_HEADERS,
+            b"",
+        )
 
     @property
     def query(self) -> dict[str, str]:
@@ -51,12 +63,12 @@
 class StreamObserver:
     """One stream and its exchanges, observed at the server's end or at the client's."""
 
-    __slots__ = ("at_server", "kind", "asks", "asked", "host", "exchanges", "ended_at", "now", "malformed")
+    __slots__ = ("at_server", "kind", "source", "destination", "host", "exchanges", "ended_at", "now", "malformed")
 
-    def __init__(self, kind: str, asks: str, asked: str, at_server: bool) -> None:
-        """`asks` is the client's host, `asked` the server's address."""
+    def __init__(self, kind: str, source: str, destination: str, at_server: bool) -> None:
+        """`source` is the client's host, `destination` the server's address."""
         self.at_server = at_server
-        self.kind, self.asks, self.asked, self.host = kind, asks, asked, asks
+        self.kind, self.source, self.destination, self.host = kind, source, destination, source
         self.exchanges: list[ObservedExchange] = []
         self.ended_at: float | None = None
         self.now, self.malformed = 0.0, False
@@ -92,11 +104,11 @@
     client's."""
 
     def __init__(
-        self, kind_of: Callable[[str, tuple[str, int]], str | None], at_client: tuple[str, ...] = (ASK,)
+        self, kind_of: Callable[[str, tuple[str, int]], str | None], at_client: tuple[str, ...] = (CLIENT,)
     ) -> None:
         """Starts with no stream of any kind."""
         self.kind_of, self.at_client = kind_of, at_client
-        self.kinds: dict[str, list[StreamObserver]] = {CONTROL: [], ROSTER: [], WORK: [], ASK: []}
+        self.kinds: dict[str, list[StreamObserver]] = {CONTROL: [], ROSTER: [], WORK: [], CLIENT: []}
 
     def observer(self, host: str, address: tuple[str, int]) -> StreamObserver | None:
         """The observer of a new stream, or None where it is not recorded."""
--- a/driftshed/lab/run.py
+++ b/driftshed/lab/run.py
@@ -14,9 +14,9 @@
 import numpy as np
 from msgspec import Struct
 
-from driftshed.day.accord import judge_accord
-from driftshed.day.judge import Case, Judge, Verdict
-from driftshed.day.recorder import ASK, WORK, read_record
+from driftshed.day.agreement_checker import check_agreement
+from driftshed.day.judge import Judge, JudgeInput, Verdict
+from driftshed.day.recorder import CLIENT, WORK, read_record
 from driftshed.day.traffic import read_traffic
 from driftshed.lab.baselines import POLICIES
 from driftshed.lab.environments import RealEnvironment, VirtualEnvironment, decisions_in_log
@@ -123,11 +123,11 @@
 
 
 def _judge(deployment: SimulatedDeployment, kinds: dict[str, list], began_unix: float, results: list) -> Outcome:
-    scenario, facts, cast = deployment.scenario, deployment.facts, deployment.cast
-    case = Case(
+    scenario, facts, address_plan = deployment.scenario, deployment.facts, deployment.address_plan
+    case = JudgeInput(
         facts,
-        cast,
-        lambda number: scenario.machine(cast.kind_of_server(number), facts),
+        address_plan,
+        lambda number: scenario.machine(address_plan.kind_of_server(number), facts),
         scenario.seconds,
         deployment.cuts,
         deployment.kills,
@@ -139,7 +139,7 @@
     judge = Judge(case)
     verdict: Verdict = judge.judge()
     if scenario.fleet.supervisors > 1:
-        judge_accord(verdict, kinds, deployment.environment.owner)
+        check_agreement(verdict, kinds, deployment.environment.owner)
     over_time = service_over_time(scenario, results)
     lag = deployment.load.lag
     carried, digest = _work_by_server(deployment, kinds)
@@ -162,7 +162,7 @@
         },
         over_time,
         verdict.rules,
-        verdict.breaks,
+        verdict.violations,
         verdict.margins,
         [(round(period.since, 3), round(period.till, 3), period.what) for period in deployment.fault_periods],
         [(round(sample.at, 3), sample.queued_lines) for sample in deployment.samples],
@@ -234,14 +234,14 @@
     digest = hashlib.blake2b(digest_size=16)
     sent: dict[str, dict[int, float]] = {}
     for connection in kinds.get(WORK, []):
-        server = sent.setdefault(connection.asked, {})
+        server = sent.setdefault(connection.destination, {})
         for exchange in connection.exchanges:
-            second = int(exchange.asked_at)
+            second = int(exchange.requested_at)
             server[second] = server.get(second, 0.0) + float(exchange.query.get("work", 0))
-            digest.update(f"{connection.asked} {exchange.asked_at!r} {exchange.status}\n".encode())
-    for connection in kinds.get(ASK, []):
+            digest.update(f"{connection.destination} {exchange.requested_at!r} {exchange.status}\n".encode())
+    for connection in kinds.get(CLIENT, []):
         for exchange in connection.exchanges:
-            digest.update(f"{exchange.asked_at!r} {exchange.answered_at!r} {exchange.status}\n".encode())
+            digest.update(f"{exchange.requested_at!r} {exchange.answered_at!r} {exchange.status}\n".encode())
     rows: dict[str, list[tuple[float, float, float]]] = {}
     for sample in deployment.samples:
         second = int(sample.at)
--- a/driftshed/lab/search.py
+++ b/driftshed/lab/search.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from driftshed.day.drawn import fewest
+from driftshed.day.random_troubles import minimal_failing
 from driftshed.lab.experiment import RunFailed, run_job
 from driftshed.lab.run import Outcome
 from driftshed.lab.scenario import (
@@ -75,7 +75,7 @@
     """The day with the fewest faults and the shortest length that still `fails`."""
     best = _replaced(
         day,
-        troubles=fewest(
+        troubles=minimal_failing(
             day.troubles,
             lambda less: fails(_replaced(day, troubles=less)),
             lambda left: progress(f"{len(left)} faults"),
--- a/driftshed/lab/simulation.py
+++ b/driftshed/lab/simulation.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from driftshed.core.messages import ListedServer
-from driftshed.day.stage import ASK_PORT, Cast
+from driftshed.day.stage import CLIENT_PORT, AddressPlan
 from driftshed.lab import scenario as scenarios
 from driftshed.lab.load import LoadGenerator, generate_arrivals
 from driftshed.net.http import Answer, Transport
@@ -28,7 +28,7 @@
     has `network`, `store_address` and the store's control methods."""
 
     loop: Timers
-    cast: Cast
+    address_plan: AddressPlan
 
     def transport(self, host: str) -> Transport:
         """The HTTP transport of a process at `host`."""
@@ -111,7 +111,7 @@
     def __init__(self, scenario: scenarios.Scenario, seed: int, environment: Environment) -> None:
         """Everything random is drawn by `seed`."""
         self.scenario, self.seed, self.environment = scenario, seed, environment
-        self.facts, self.loop, self.cast = scenario.facts, environment.loop, environment.cast
+        self.facts, self.loop, self.address_plan = scenario.facts, environment.loop, environment.address_plan
         self.random = Random(f"world {seed}")
         self.servers: dict[int, ServerStandin] = {}
         self.states: dict[int, str] = {}  # as listed in the roster
@@ -161,7 +161,7 @@
         arrivals = generate_arrivals(scenario.traffic, facts.operations, rates, surges, scenario.seconds, self.seed)
         self.load = LoadGenerator(
             self.loop,
-            environment.transport(f"127.{self.cast.net}.0.4"),
+            environment.transport(f"127.{self.address_plan.net}.0.4"),
             [options.listen for options in self.proxy_options],
             facts.operations,
             arrivals,
@@ -184,19 +184,25 @@
             server.stop()
 
     def _make_proxy_options(self, number: int, rate: float) -> ProxyOptions:
-        facts, cast, servers = self.facts, self.cast, range(self.scenario.fleet.servers)
+        facts, address_plan, servers = self.facts, self.address_plan, range(self.scenario.fleet.servers)
         zone = number % len(facts.zones)
-        near = [n for n in servers if cast.zone_of_server(n) == zone] or list(servers)
+        near = [n for n in servers if address_plan.zone_of_server(n) == zone] or list(servers)
         initial_servers = self.random.sample(near, min(len(near), max(1, facts.standing_lines)))
-        host = cast.proxy_host(number)
+        host = address_plan.proxy_host(number)
         return ProxyOptions(
-            number, facts.zones[zone], rate, (host, ASK_PORT), [], [cast.server(n) for n in initial_servers], host
+            number,
+            facts.zones[zone],
+            rate,
+            (host, CLIENT_PORT),
+            [],
+            [address_plan.server(n) for n in initial_servers],
+            host,
         )
 
     def _new_server(self, number: int, cold: bool) -> None:
-        host, _, port = self.cast.server(number).rpartition(":")
+        host, _, port = self.address_plan.server(number).rpartition(":")
         address = host, int(port)
-        machine = self.scenario.machine(self.cast.kind_of_server(number), self.facts)
+        machine = self.scenario.machine(self.address_plan.kind_of_server(number), self.facts)
         self.servers[number] = ServerStandin(
             self.loop,
             address,
@@ -209,12 +215,12 @@
         self.states[number] = "ready"
 
     def _listing(self, number: int) -> ListedServer:
-        started, facts, cast = self.servers[number].started, self.facts, self.cast
+        started, facts, address_plan = self.servers[number].started, self.facts, self.address_plan
         unix_time = None if started == float("-inf") else self.environment.unix_time(started) + self.clock_offset
         return ListedServer(
-            cast.server(number),
-            facts.zones[cast.zone_of_server(number)],
-            facts.kinds[cast.kind_of_server(number)],
+            address_plan.server(number),
+            facts.zones[address_plan.zone_of_server(number)],
+            facts.kinds[address_plan.kind_of_server(number)],
             self.states[number],
             unix_time,
             number // len(facts.zones) % self.scenario.fleet.cells,
@@ -228,7 +234,7 @@
 
     def _sample(self) -> None:
         at = self.now
-        capacity = {self.cast.server(n): server.capacity() for n, server in self.servers.items() if server.up}
+        capacity = {self.address_plan.server(n): server.capacity() for n, server in self.servers.items() if server.up}
         answers: dict = {}
 
         def finish() -> None:
@@ -261,14 +267,14 @@
     def _select_servers(self, whom: scenarios.Whom) -> list[int]:
         """Servers that match and are up and listed ready, drawn at random; one unless `whom` sets a count or
         share."""
-        facts, cast = self.facts, self.cast
+        facts, address_plan = self.facts, self.address_plan
         fit = [
             n
             for n, state in self.states.items()
             if state == "ready"
             and self.servers[n].up
-            and (not whom.kind or facts.kinds[cast.kind_of_server(n)] == whom.kind)
-            and (not whom.zone or facts.zones[cast.zone_of_server(n)] == whom.zone)
+            and (not whom.kind or facts.kinds[address_plan.kind_of_server(n)] == whom.kind)
+            and (not whom.zone or facts.zones[address_plan.zone_of_server(n)] == whom.zone)
             and (whom.cell < 0 or n // len(facts.zones) % self.scenario.fleet.cells == whom.cell)
         ]
         count = whom.count or round(whom.share * len(fit)) or 1
@@ -353,8 +359,8 @@
 
     def _start_successor(self, number: int) -> None:
         """Starts a successor at a new address, in the zone of the server that it replaces."""
-        zone = self.cast.zone_of_server(number)
-        while self.cast.zone_of_server(self.next_number) != zone:
+        zone = self.address_plan.zone_of_server(number)
+        while self.address_plan.zone_of_server(self.next_number) != zone:
             self.next_number += 1
         self._start_new_server(self.next_number)
 
@@ -447,7 +453,7 @@
         self.loop.after(fault.lasts, restore)
 
     def _begin_lapse(self, fault: scenarios.Lapse) -> None:
-        names = [self.cast.server(n) for n in self._select_servers(fault.whom)]
+        names = [self.address_plan.server(n) for n in self._select_servers(fault.whom)]
         self._record_fault(max(0.2, fault.within), f"{len(names)} sessions end")
         for name in names:
             end = lambda name=name: name in self.roster.announcers and self.roster.end_session(name)  # noqa: E731
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,11 +13,11 @@
 from driftshed.cli import main
 from driftshed.core.messages import Changes, Level, Line, ListedServer, Out, RosterUpdate, Use, encode_json
 from driftshed.day.judge import judge
-from driftshed.day.recorder import ASK, CONTROL, ROSTER, WORK, Opened, Passed, read_record
+from driftshed.day.recorder import CLIENT, CONTROL, ROSTER, WORK, NewConnection, Traffic, read_record
 from driftshed.day.script import known_scripts, load_script
 from driftshed.day.tamper import RULES
 
-SMALL = """
+SMALL_SCRIPT = """
 about = "a small day for tests"
 seconds = 9
 operations = [
@@ -64,7 +64,7 @@
 @pytest.fixture
 def script(tmp_path):
     path = tmp_path / "small.toml"
-    path.write_text(SMALL)
+    path.write_text(SMALL_SCRIPT)
     return load_script(str(path))
 
 
@@ -84,15 +84,15 @@
 
     def open(self, kind: str, asks: str, asked: str) -> int:
         self.opened += 1
-        self.rows.append((0.0, Opened(self.opened, kind, f"{asks}:4000", asked)))
+        self.rows.append((0.0, NewConnection(self.opened, kind, f"{asks}:4000", asked)))
         return self.opened
 
     def exchange(self, connection, at, method, path, body=b"", answered_at=None, status=200, answer=b"{}", extra=""):
         head = f"{method} {path} HTTP/1.1\r\ncontent-length: {len(body)}\r\n\r\n".encode()
-        self.rows.append((at, Passed(at, connection, False, head + body)))
+        self.rows.append((at, Traffic(at, connection, False, head + body)))
         if answered_at is not None:
             head = f"HTTP/1.1 {status} X\r\n{extra}content-length: {len(answer)}\r\n\r\n".encode()
-            self.rows.append((answered_at, Passed(answered_at, connection, True, head + answer)))
+            self.rows.append((answered_at, Traffic(answered_at, connection, True, head + answer)))
 
     def told(self, at: float, *changes, waited: float = 0.0, lines: int = 0) -> None:
         self.version += 1
@@ -113,15 +113,15 @@
         self.exchange(connection, at, "POST", path, b"", None if answered is None else at + answered, status, **more)
 
     def ask(self, at: float, operation: str, inv: int, took: float | None, status: int = 200, extra: str = "") -> None:
-        connection = self.open(ASK, f"127.{NET}.0.1", ASKED)
+        connection = self.open(CLIENT, f"127.{NET}.0.1", ASKED)
         path = f"/do/{operation}?inv={inv}&work=0.05&ask=1"
         self.exchange(connection, at, "POST", path, b"", None if took is None else at + took, status, extra=extra)
 
     def write(self) -> Path:
         path = self.folder / "record"
-        rows = [Opened(0, "began", "1000.0", "")] + [row for _, row in sorted(self.rows, key=lambda row: row[0])]
+        rows = [NewConnection(0, "began", "1000.0", "")] + [row for _, row in sorted(self.rows, key=lambda row: row[0])]
         # Rows of connections precede those of their traffic.
-        rows.sort(key=lambda row: isinstance(row, Passed))
+        rows.sort(key=lambda row: isinstance(row, Traffic))
         with path.open("wb") as file:
             for row in rows:
                 data = msgspec.msgpack.encode(row)
@@ -132,7 +132,7 @@
 def broken(script, record: Record) -> dict[str, int]:
     """The violated rules with their counts; asserts that the verdict is kept exactly if there are none."""
     verdict = judge(script, record.write())
-    assert verdict.kept == (not any(row["broken"] for row in verdict.rules.values()))
+    assert verdict.all_kept == (not any(row["broken"] for row in verdict.rules.values()))
     return {rule: row["broken"] for rule, row in verdict.rules.items() if row["broken"]}
 
 
@@ -186,7 +186,7 @@
 def test_judge_of_drains_does_not_bind_a_proxy_that_is_not_joined(script, tmp_path):
     record = Record(tmp_path)
     record.roster(3.0, False, (A, "draining", None))
-    record.rows.append((3.5, Passed(3.5, record.poll_on, False, b"")))
+    record.rows.append((3.5, Traffic(3.5, record.poll_on, False, b"")))
     record.work(A, 5.0, "look", 1)
     assert broken(script, record) == {}
 
@@ -255,7 +255,7 @@
 )
 def test_a_bad_script_exits_with_2_and_says_why(tmp_path, old, new, message):
     path = tmp_path / "small.toml"
-    path.write_text(SMALL.replace(old, new))
+    path.write_text(SMALL_SCRIPT.replace(old, new))
     result = CliRunner().invoke(main, ["day", str(path)])
     assert result.exit_code == 2 and message in " ".join(result.output.split())
 
@@ -266,7 +266,7 @@
 
 def test_a_small_day_keeps_the_rules_and_each_tamper_breaks_its_own(tmp_path):
     path = tmp_path / "small.toml"
-    path.write_text(SMALL)
+    path.write_text(SMALL_SCRIPT)
 
     def play(rule: str | None) -> tuple[int, dict]:
         tamper = ["--tamper", rule] if rule else []
--- a/tests/test_day_fleet.py
+++ b/tests/test_day_fleet.py
@@ -12,12 +12,12 @@
 
 from driftshed.cli import main
 from driftshed.core.messages import Changes, JoinAnswer, Line, ListedServer, RosterUpdate, encode_json
-from driftshed.day.accord import RULES
+from driftshed.day.agreement_checker import RULES
 from driftshed.day.command import day
-from driftshed.day.drawn import draw, shrunk, with_drawn, without
+from driftshed.day.random_troubles import draw, reduce_troubles, with_drawn, without
 from driftshed.day.recorder import CONTROL, ROSTER
 from driftshed.day.script import load_script
-from tests.test_day import NET, PROXY, SMALL, A, Record, broken
+from tests.test_day import NET, PROXY, SMALL_SCRIPT, A, Record, broken
 
 FAULTS = """
 [[troubles]]
@@ -60,7 +60,7 @@
 @pytest.fixture
 def script(tmp_path):
     path = tmp_path / "two.toml"
-    head, _, tail = SMALL.partition("[fleet]")
+    head, _, tail = SMALL_SCRIPT.partition("[fleet]")
     path.write_text(head + FLEET + tail[tail.index("\n[traffic]") :])
     return load_script(str(path))
 
@@ -141,7 +141,7 @@
     whole = with_drawn(script, 3)
     assert len(without(whole).troubles) == len(script.troubles) < len(whole.troubles)
     needed = [whole.troubles[4], whole.troubles[-1]]
-    less, _ = shrunk(whole, whole, lambda day: day, lambda day: all(each in day.troubles for each in needed))
+    less, _ = reduce_troubles(whole, whole, lambda day: day, lambda day: all(each in day.troubles for each in needed))
     assert less.troubles == needed
     alive = [0.0] * 3
     for seed in range(200):  # a supervisor that is dead or stopped has no other trouble
@@ -161,7 +161,9 @@
 def test_a_bad_script_of_several_says_why(tmp_path, old, new, message):
     path = tmp_path / "bad.toml"
     path.write_text(
-        SMALL.replace("servers = 6", FLEET.replace("[fleet]\n", "").replace("roster_lag = 0.3", "").replace(old, new))
+        SMALL_SCRIPT.replace(
+            "servers = 6", FLEET.replace("[fleet]\n", "").replace("roster_lag = 0.3", "").replace(old, new)
+        )
         + '\n[[troubles]]\ntype = "lose"\nat = 2\nwho = 1\n'
     )
     result = CliRunner().invoke(main, ["day", str(path)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from driftshed.day.between import BACK, FORTH
-from driftshed.day.fleet import FleetStage
+from driftshed.day.fault_relay import BACK, FORTH
+from driftshed.day.fleet import FleetHarness
 
 TIMEOUT = 1.5
 
 
 @pytest.fixture
 def harness(tmp_path):
-    harness = FleetStage(tmp_path, supervisors=3, proxies=6, timeout=TIMEOUT)
+    harness = FleetHarness(tmp_path, supervisors=3, proxies=6, timeout=TIMEOUT)
     try:
         harness.open()
         wait_until_all_joined(harness)
@@ -60,20 +60,20 @@
 @pytest.mark.parametrize("forth, back", [(True, True), (True, False), (False, True)])
 def test_one_cut_off_from_the_store_loses_its_lease_and_keeps_its_proxies(harness, forth, back):
     own_proxies = harness.joined("s2")
-    harness.do(lambda: harness.to_store["s2"].hold(forth, back))
+    harness.run_on_loop(lambda: harness.to_store["s2"].block(forth, back))
     harness.until(lambda: harness.get("s2", "fleet")["lease"] is None, 20)
     harness.until(lambda: harness.states("s0")["s2"] == "silent", 20)
     assert harness.joined("s2") == own_proxies
-    harness.do(harness.to_store["s2"].release)
+    harness.run_on_loop(harness.to_store["s2"].unblock)
     wait_until_all_joined(harness)
     harness.until(lambda: harness.get("s2", "fleet")["lease"] is not None, 20)
 
 
 def test_one_cut_off_from_its_proxies_is_left_by_them_and_still_lives(harness):
-    harness.do(harness.to_proxies["s0"].hold)
+    harness.run_on_loop(harness.to_proxies["s0"].block)
     harness.until(lambda: joined_proxies(harness, ("s1", "s2")) == set(range(6)), 20)
     assert harness.states("s1")["s0"] == "living"
-    harness.do(harness.to_proxies["s0"].release)
+    harness.run_on_loop(harness.to_proxies["s0"].unblock)
 
 
 @pytest.mark.parametrize("way", [FORTH, BACK])
@@ -101,7 +101,7 @@
     first = harness.supervisors["s0"]
     command = list(first.command)
     command[command.index("--listen") + 1] = command[command.index("--listen") + 1].replace(":7000", ":7001")
-    second = type(first)(command, first.logs.with_name("second.log"))
+    second = type(first)(command, first.log_path.with_name("second.log"))
     second.start()
     try:
         second.await_listening()
@@ -110,7 +110,7 @@
         assert harness.get("s0", "fleet")["lease"] is None
         harness.until(lambda: harness.states("s1")["s0"] == "living", 20)
     finally:
-        second.end()
+        second.terminate()
 
 
 def test_a_stop_in_peace_hands_its_proxies_over(harness):
@@ -130,7 +130,7 @@
         command = [sys.executable, "-m", "driftshed.cli", "zone", *words, "--supervisor", f"{host}:{port}"]
         return subprocess.run(command, capture_output=True, text=True, timeout=30)
 
-    harness = FleetStage(tmp_path, 2, 2, TIMEOUT, more=("--leave-zones", "--zone-limits", "ceiling=1,pace=0.3"))
+    harness = FleetHarness(tmp_path, 2, 2, TIMEOUT, more=("--leave-zones", "--zone-limits", "ceiling=1,pace=0.3"))
     try:
         harness.open()
         wait_until_all_joined(harness)
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from benchmarks.events import make_facts, name
+from benchmarks.events import make_facts, server_address
 from driftshed import interface as face
 from driftshed.brain import VIEW_WINDOW_S, Brain
 from driftshed.figures import median
@@ -60,7 +60,7 @@
         self.brain.handle(self.now, [face.Listing(1, face.CACHED, entries), *joins])
 
     def entry(self, n: int, state: int = face.READY, started: float | None = None) -> face.Entry:
-        return face.Entry(name(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
+        return face.Entry(server_address(n), n % 2, n // 2 % 2, started, 0, state, 1.0)
 
     def next_events(self) -> list:
         self.now += 0.5
@@ -70,7 +70,7 @@
         self.alive.extend(new)
         changes = [self.entry(n, face.GONE) for n in gone] + [self.entry(n, started=self.now - 1) for n in new]
         answers = [face.Applied(mark, proxy, 0.1) for proxy, mark in self.brain.unanswered.items()]
-        reports = [face.Heard(0, name(n), 12, 0.5, zone, 0.1, None) for n in gone + new for zone in (0, 1)]
+        reports = [face.Heard(0, server_address(n), 12, 0.5, zone, 0.1, None) for n in gone + new for zone in (0, 1)]
         return [face.TimerDue(0), *answers, face.Listing(2, face.DELTA, tuple(changes)), *reports]
 
     def run(self, until: int) -> int:
@@ -93,7 +93,7 @@
     fleet = ReplacedFleet()
     brain = fleet.brain
     fleet.run(4 * FLEET)
-    former = name(0)
+    former = server_address(0)
     assert former not in brain.slot_of and len(brain.server_ids) < fleet.listed_count
     before = [
         [list(row) for row in brain.solve_sample],
@@ -182,7 +182,13 @@
         events = [event for event in fleet.next_events() if not isinstance(event, face.Heard)]
         reports = [
             face.Heard(
-                random.randrange(6), name(random.choice(fleet.alive)), 12, 0.5, zone, random.uniform(0.05, 0.2), None
+                random.randrange(6),
+                server_address(random.choice(fleet.alive)),
+                12,
+                0.5,
+                zone,
+                random.uniform(0.05, 0.2),
+                None,
             )
             for zone in (0, 1)
             for _ in range(30)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,7 @@
 from driftshed.core.instance import Instance
 from driftshed.core.messages import JoinAnswer
 from driftshed.core.migration import CannotMigrate, migrate
-from driftshed.day.rigged import take_out
+from driftshed.day.rigged import remove_guard
 from driftshed.policy import document as policies
 from driftshed.policy import participant
 from driftshed.policy.document import BadDocument, Document, Operation
@@ -489,7 +489,7 @@
 
 
 def test_without_the_compare_and_set_two_changes_at_once_are_both_written(fleet):
-    take_out("epochs")
+    remove_guard("epochs")
     try:
         test = test_of_two_concurrent_changes_one_wins_and_the_other_reports_why
         with pytest.raises(AssertionError):
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from driftshed.day.fleet import OPERATION, FleetStage
+from driftshed.day.fleet import OPERATION_FLAG, FleetHarness
 from driftshed.policy.store import PolicyStore
 
 WRITER = """
@@ -70,8 +70,8 @@
 
 @pytest.fixture
 def stage(tmp_path):
-    stage = FleetStage(tmp_path, policies=True)
-    assert "look:objective=0.5,timeout=1.5,value=1,effect=idempotent" == OPERATION
+    stage = FleetHarness(tmp_path, policies=True)
+    assert "look:objective=0.5,timeout=1.5,value=1,effect=idempotent" == OPERATION_FLAG
     stage.open()
     stage.until(lambda: all(stage.states(name) == dict.fromkeys(stage.names, "living") for name in stage.names))
     yield stage
@@ -102,7 +102,7 @@
     assert active_versions(stage) == dict.fromkeys(stage.names, 1)
 
     # One that is cut off cannot vote: the change is applied nowhere, and everyone drops it.
-    stage.do(lambda: stage.to_store["s2"].hold())
+    stage.run_on_loop(lambda: stage.to_store["s2"].block())
     stage.until(lambda: stage.states("s0").get("s2") == "silent")
     result = run(stage, tmp_path, "s0", "propose", "--patience", "2", grace=2.7)
     assert result.returncode == 1 and "no word within 2 s from s2" in result.stderr, result
@@ -120,7 +120,7 @@
     assert active_versions(stage) == {"s0": 2, "s1": 2, "s2": 1} and stage.get("s2", "policy")["holds_still"]
 
     # Its connection is restored: it finds itself fenced, and after a restart it applies the version in force.
-    stage.do(lambda: stage.to_store["s2"].release())
+    stage.run_on_loop(lambda: stage.to_store["s2"].unblock())
     stage.until(lambda: stage.get("s2", "fleet")["standing"] == "fenced")
     assert stage.get("s2", "policy")["holds_still"]
     stage.supervisors["s2"].kill()
@@ -173,10 +173,12 @@
     good.write_text(TEXT.format(grace=2.5))
     bad.write_text(TEXT.format(grace=0.5))
     assert policy("check", str(good)).returncode == 0
-    drafted = policy("draft", "--operation", OPERATION, "--setting", "drain-grace=2.5", "--setting", "zones=east,west")
+    drafted = policy(
+        "draft", "--operation", OPERATION_FLAG, "--setting", "drain-grace=2.5", "--setting", "zones=east,west"
+    )
     (tmp_path / "drawn.toml").write_text(drafted.stdout)
     assert policy("check", str(tmp_path / "drawn.toml")).returncode == 0 and "zones" in drafted.stdout
-    result = policy("draft", "--operation", OPERATION, "--setting", "drain-gracee=2.5")
+    result = policy("draft", "--operation", OPERATION_FLAG, "--setting", "drain-gracee=2.5")
     assert result.returncode == 2 and "drain-grace" in result.stderr
     result = policy("check", str(bad))
     assert result.returncode == 1 and "drain-grace 0.5 s is under the channel's worst time" in result.stderr
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1213,14 +1213,14 @@
     """Judged from the bytes on the network, including those of the store."""
     from driftshed.day.judge import judge
     from driftshed.day.script import load_script
-    from driftshed.day.stage import play as play_day
+    from driftshed.day.stage import run_day as play_day
 
     path = tmp_path / "sessions.toml"
     path.write_text(SESSIONS)
     script = load_script(str(path))
     stage = play_day(script, 1, tmp_path)
     verdict = judge(script, stage.record)
-    assert verdict.kept, verdict.breaks
+    assert verdict.all_kept, verdict.violations
     assert verdict.rules["bare"]["checked"] and verdict.rules["drains"]["checked"] and verdict.service > 0.8
     assert [event["what"] for event in stage.events].count("sessions end") == 2
 
--- a/tests/test_tiers_processes.py
+++ b/tests/test_tiers_processes.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from driftshed.cli import main
-from driftshed.day.between import FORTH
+from driftshed.day.fault_relay import FORTH
 from driftshed.day.tiers import CELLS, FIRST_FAULT_S, NAMES, REGION_OF, HierarchyHarness, draw, judge
 
 TAMPERS = ("epochs", "leases", "owners", "policies")
@@ -102,7 +102,7 @@
         for name, relay in fault_relays.items():
             relay.may_drop, relay.drop_next[FORTH] = matcher(name), 1
 
-    harness.do(install)
+    harness.run_on_loop(install)
     return dropped_for
 
 
@@ -180,7 +180,7 @@
     )
     assert done.returncode == 0, done
     harness.until(lambda: in_force(5))
-    harness.do(lambda: harness.cut_region("north", -1))
+    harness.run_on_loop(lambda: harness.cut_region("north", -1))
     harness.until(lambda: harness.converged(5))
 
 
@@ -193,7 +193,7 @@
     harness.until(lambda: harness.converged(5))
     harness.close()
     verdict, hierarchy_judge = judge(harness)
-    assert not verdict.breaks, verdict.breaks
+    assert not verdict.violations, verdict.violations
     assert all(verdict.rules[rule]["checked"] for rule in TAMPERS), verdict.rules
     assert list(hierarchy_judge.settled) == [1, 2, 3, 4, 5]
     assert not [at for at, runs in hierarchy_judge.runs if runs.name == "n2-1" and at > resumed_at and runs.version < 3]
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -608,11 +608,11 @@
 
 
 def test_a_supervisor_killed_while_it_records_leaves_a_trace_that_replays_to_its_end(tmp_path):
-    from tests.test_day import SMALL
+    from tests.test_day import SMALL_SCRIPT
 
     script = tmp_path / "small.toml"
     kill = '\n[[troubles]]\ntype = "kill"\nat = 5.5\ndown = 1.0\n'
-    script.write_text(SMALL.replace("seconds = 9", "seconds = 8") + kill)
+    script.write_text(SMALL_SCRIPT.replace("seconds = 9", "seconds = 8") + kill)
     day = subprocess.run(
         [sys.executable, "-m", "driftshed.cli", "day", str(script), "--trace", str(tmp_path / "t")],
         capture_output=True,
