--- a/benchmarks/capacity_process.py
+++ b/benchmarks/capacity_process.py
@@ -209,7 +209,7 @@
     while time.process_time() - started_at < 0.3 or rounds < 3:
         fresh = Tables(operations, "two", "share", 1, [], Random(1))
         fresh.run = "0123456789ab"
-        fresh.take(CHANGES_DECODER.decode(body), 0.0)
+        fresh.apply(CHANGES_DECODER.decode(body), 0.0)
         rounds += 1
     seconds_per_snapshot = (time.process_time() - started_at) / rounds
     return {"proxy_memory": memory.bytes, "proxy_whole_bytes": len(body), "proxy_take_ms": seconds_per_snapshot * 1e3}
