--- a/driftshed/proxy/tables.py
+++ b/driftshed/proxy/tables.py
@@ -98,6 +98,7 @@
                 gate.set(level, now)
 
     def build_picker(self, table: int | None) -> None:
+        """Rebuilds the picker of a table from its lines; None stands for the table of the initial servers."""
         weights = self.weights[table] = Weights()
         if table is None:
             for name in self.initial_servers:
